--- a/benchmarks/shared_counts.py
+++ b/benchmarks/shared_counts.py
@@ -23,7 +23,7 @@
 
 from granitedock.lab.sharesim import Offer, ShareFleet, admitted, worst_over  # noqa: E402
 from granitedock.policy.interface import Plan  # noqa: E402
-from granitedock.shared.counts import Counts  # noqa: E402
+from granitedock.quota_sharing.counts import Counts  # noqa: E402
 
 PLOTS = Path(__file__).parent.parent / "docs" / "plots"
 RATE, BURST = 40.0, 40.0
--- a/granitedock/commands/control.py
+++ b/granitedock/commands/control.py
@@ -23,9 +23,9 @@
     from granitedock.configuration.document import ConfigurationError
     from granitedock.configuration.process import run
     from granitedock.configuration.settings import load_control
-    from granitedock.service.told import ToldError
-    from granitedock.service.told import load as load_told
-    from granitedock.tomlfile import FileError
+    from granitedock.platform_file import ToldError
+    from granitedock.platform_file import load as load_told
+    from granitedock.toml_file import FileError
 
     try:
         file = load_control(config)
--- a/granitedock/commands/files.py
+++ b/granitedock/commands/files.py
@@ -9,8 +9,8 @@
     """The operators' file, read and checked, or None without one. Nothing is started by one that fails."""
     if path is None:
         return None
-    from granitedock.fleet.settings import load
-    from granitedock.tomlfile import FileError
+    from granitedock.membership.settings import load
+    from granitedock.toml_file import FileError
 
     try:
         return load(path)
@@ -23,7 +23,7 @@
     if path is None:
         return None
     from granitedock.configuration.settings import load_gateway
-    from granitedock.tomlfile import FileError
+    from granitedock.toml_file import FileError
 
     try:
         return load_gateway(path)
--- a/granitedock/commands/gateway.py
+++ b/granitedock/commands/gateway.py
@@ -35,24 +35,24 @@
 )
 def serve(told: str, fleet: str | None, config: str | None, configuration: str | None) -> None:
     """Serve until SIGTERM."""
-    from granitedock.service.serve import serve as run
+    from granitedock.service.event_loop import serve as run
 
     raise SystemExit(run(told, fleet_file(fleet), config, configuration_file(configuration)))
 
 
 def fleet_shown(file, born: dict) -> dict:
     """What `check` says of the operators' file: whether it acts here, its times, and the bound on quotas."""
-    from granitedock import birth
-    from granitedock.fleet.settings import may_talk
-    from granitedock.shared.bound import told
-    from granitedock.shared.state import Bounds
+    from granitedock import platform_settings
+    from granitedock.membership.settings import may_talk
+    from granitedock.quota_sharing.bound import told
+    from granitedock.quota_sharing.state import Bounds
 
     gateways = max(1, int(born.get("Balancers") or 1))
     return {
         "on": file.enabled and may_talk(born),
         "shared": file.enabled and may_talk(born) and file.shared.enabled,
         "pace": file.pace(),
-        "bound": told(birth.plans(born), gateways, file.pace(), Bounds().tell_ms),
+        "bound": told(platform_settings.plans(born), gateways, file.pace(), Bounds().tell_ms),
     }
 
 
@@ -65,27 +65,27 @@
     """Read such a file and print what the gateway would serve with."""
     import orjson
 
-    from granitedock import birth
+    from granitedock import platform_settings
     from granitedock.service.limits import Limits
-    from granitedock.service.told import ToldError
-    from granitedock.service.told import load as load_told
-    from granitedock.tomlfile import FileError
+    from granitedock.platform_file import ToldError
+    from granitedock.platform_file import load as load_told
+    from granitedock.toml_file import FileError
 
     try:
         record = load_told(told)
         born = record["settings"]
         limits = Limits.told(record)
         if config is not None:
-            from granitedock.service.operators import load
+            from granitedock.service.operator_settings import load
 
             limits = load(config).over(limits)
         shown = {
             "limits": limits,
-            "seat": birth.seat(int(record["seed"], 16), born),
-            "leave": birth.leave(born),
-            "cold": birth.cold(born),
-            "products": birth.products(born),
-            "plans": birth.plans(born),
+            "seat": platform_settings.seat(int(record["seed"], 16), born),
+            "leave": platform_settings.leave(born),
+            "cold": platform_settings.cold(born),
+            "products": platform_settings.products(born),
+            "plans": platform_settings.plans(born),
         }
         if (file := fleet_file(fleet)) is not None:
             shown["fleet"] = fleet_shown(file, born)
--- a/granitedock/commands/laboratory.py
+++ b/granitedock/commands/laboratory.py
@@ -119,7 +119,7 @@
 ) -> None:
     """Visit every state of a small world through the program's own state machines; exits with 1 and a trace
     if a property is broken (docs/model.md)."""
-    from granitedock.model import command
+    from granitedock.model_checking import command
 
     if views:
         told = command.fleet_of(command.Fleet(gateways, faults, window_ms))
--- a/granitedock/configuration/change_form.py
+++ b/granitedock/configuration/change_form.py
@@ -14,7 +14,7 @@
 import orjson
 
 from granitedock.configuration.document import Change, ConfigurationError, Edit, Record, Section
-from granitedock.service.told import CLASS_RULES, MOST_FAULTS, PLAN_RULES, FieldRule, record_faults
+from granitedock.platform_file import CLASS_RULES, MOST_FAULTS, PLAN_RULES, FieldRule, record_faults
 
 RULES: dict[Section, list[FieldRule]] = {Section.CLASSES: CLASS_RULES, Section.PLANS: PLAN_RULES}
 WINDOW = "WindowMs"  # of a plan: set by control, never by operators (`windows.py`)
--- a/granitedock/configuration/gateway.py
+++ b/granitedock/configuration/gateway.py
@@ -8,7 +8,7 @@
 from operator import attrgetter
 from typing import Any
 
-from granitedock import birth
+from granitedock import platform_settings
 from granitedock.configuration.change_form import WINDOW
 from granitedock.configuration.document import ConfigurationError, Contents, Prepared, Record, Section
 from granitedock.configuration.messages import VersionedChange
@@ -37,8 +37,8 @@
     def keep(self, section: Section, record: Record) -> Entry:
         try:
             if section is Section.CLASSES:
-                return birth.product(record)
-            return birth.plan(record, float(record.get(WINDOW) or 0.0))
+                return platform_settings.product(record)
+            return platform_settings.plan(record, float(record.get(WINDOW) or 0.0))
         except (KeyError, ValueError, TypeError) as fault:
             raise ConfigurationError(
                 f"{section.value}: {record.get('Name')!r}: {type(fault).__name__}: {fault}"
--- a/granitedock/configuration/process.py
+++ b/granitedock/configuration/process.py
@@ -18,7 +18,7 @@
 from granitedock.configuration.server import ControlService
 from granitedock.configuration.settings import ControlFile
 from granitedock.configuration.store import Store
-from granitedock.service.log import Log
+from granitedock.event_log import Log
 
 LOG_LINES_A_SECOND = 50
 
--- a/granitedock/configuration/settings.py
+++ b/granitedock/configuration/settings.py
@@ -10,7 +10,7 @@
 
 from pydantic import AfterValidator, Field
 
-from granitedock.tomlfile import Found, Strict, checked, read
+from granitedock.toml_file import Found, Strict, checked, read
 
 
 def listen_address(text: str) -> str:
--- a/granitedock/lab/counter.py
+++ b/granitedock/lab/counter.py
@@ -21,7 +21,7 @@
 
 from granitedock.lab.running import listen, serve, vanish
 from granitedock.lab.scenario import Scenario, load
-from granitedock.service.counter import amount
+from granitedock.service.counter_protocol import amount
 from granitedock.service.resp import RespReceiver, bulk
 
 
--- a/granitedock/lab/fleetsim.py
+++ b/granitedock/lab/fleetsim.py
@@ -1,8 +1,8 @@
 """Many views of a fleet on a simulated wire, in one process and on a simulated clock.
 
-The machine under test is `granitedock.fleet.machine.View` itself; what is simulated is the network (latency,
-loss, doubles, cuts), processes that crash, vanish, are paused or starved and restart, and the kernel that
-refuses a knock where no process listens. The same seed gives the same run. Times are in ms.
+The machine under test is `granitedock.membership.machine.View` itself; what is simulated is the network
+(latency, loss, doubles, cuts), processes that crash, vanish, are paused or starved and restart, and the
+kernel that refuses a knock where no process listens. The same seed gives the same run. Times are in ms.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from random import Random
 from typing import Any
 
-from granitedock.fleet.machine import Change
-from granitedock.fleet.member import LIVE, Member, News, State
-from granitedock.fleet.news import NewsQueue
-from granitedock.fleet.pace import Pace
-from granitedock.fleet.part import Part
-from granitedock.fleet.wire import Message, encode
+from granitedock.membership.machine import Change
+from granitedock.membership.member import LIVE, Member, News, State
+from granitedock.membership.news import NewsQueue
+from granitedock.membership.pace import Pace
+from granitedock.membership.part import Part
+from granitedock.membership.wire import Message, encode
 
 EPOCH = 1_700_000_000_000  # when the simulated run begins, in Unix ms
 
--- a/granitedock/lab/hollow.py
+++ b/granitedock/lab/hollow.py
@@ -22,8 +22,8 @@
 from granitedock.lab.running import serve
 from granitedock.lab.scale.platform import platform_file
 from granitedock.lab.scale.roster import commanded
-from granitedock.service.dial import Dialler
-from granitedock.service.discovery import WatchLink
+from granitedock.service.connector import Dialler
+from granitedock.service.discovery_protocol import WatchLink
 from granitedock.service.limits import Limits
 from granitedock.service.reducer import Reducer
 
@@ -194,8 +194,8 @@
 
     def view(self) -> Any:
         """This gateway's part in the view, at an address of loopback of its own."""
-        from granitedock.fleet.carrier import FleetLink
-        from granitedock.fleet.settings import FleetFile
+        from granitedock.membership.carrier import FleetLink
+        from granitedock.membership.settings import FleetFile
 
         order = self.order
         listen, seed = fleet_address(order.fleet_net, self.number), fleet_address(order.fleet_net, 0)
--- a/granitedock/lab/scale/calls.py
+++ b/granitedock/lab/scale/calls.py
@@ -11,7 +11,7 @@
 
 from granitedock.lab.scale.probe import ScaleError, process_cpu_s
 from granitedock.lab.scale.requests import process, worded
-from granitedock.service.counter import tally
+from granitedock.service.counter_protocol import tally
 
 LIFE_MS = 12_000.0
 IN_FLIGHT = 4  # calls on a connection that wait for answers
--- a/granitedock/lab/scale/hosts.py
+++ b/granitedock/lab/scale/hosts.py
@@ -10,7 +10,7 @@
 
 from granitedock.lab.scale.platform import host_list, instance, platform_file
 from granitedock.lab.scale.probe import MIB, allocated_bytes, cpu_ms
-from granitedock.service.discovery import Listing, listing
+from granitedock.service.discovery_protocol import Listing, listing
 from granitedock.service.limits import Limits
 from granitedock.service.reducer import Reducer
 
--- a/granitedock/lab/scale/plans.py
+++ b/granitedock/lab/scale/plans.py
@@ -8,12 +8,12 @@
 
 import orjson
 
-from granitedock import birth
+from granitedock import platform_settings
 from granitedock.lab.scale.platform import platform_file
 from granitedock.lab.scale.probe import MIB, allocated_bytes, cpu_ms
 from granitedock.policy.decisions import Book
 from granitedock.policy.interface import Customer
-from granitedock.service.told import load
+from granitedock.platform_file import load
 
 BOOKS = 10_000
 
@@ -39,8 +39,8 @@
         size = path.stat().st_size
         read_ms = cpu_ms(lambda: load(path), 2)
         told = load(path)
-    decode_ms = cpu_ms(lambda: birth.plans(told["settings"]))
-    kept = allocated_bytes(lambda: {plan.name: plan for plan in birth.plans(told["settings"])})
-    plan = birth.plans(told["settings"])[0]
+    decode_ms = cpu_ms(lambda: platform_settings.plans(told["settings"]))
+    kept = allocated_bytes(lambda: {plan.name: plan for plan in platform_settings.plans(told["settings"])})
+    plan = platform_settings.plans(told["settings"])[0]
     books = allocated_bytes(lambda: [Customer(n, Book(plan, 3, 0.0)) for n in range(BOOKS)])
     return PlanCost(count, size, read_ms, decode_ms, kept / MIB, books / BOOKS)
--- a/granitedock/lab/scenario.py
+++ b/granitedock/lab/scenario.py
@@ -17,7 +17,7 @@
 
 from pydantic import Field, model_validator
 
-from granitedock.tomlfile import FileError, Strict, checked, read
+from granitedock.toml_file import FileError, Strict, checked, read
 
 Positive = Annotated[float, Field(gt=0)]
 
--- a/granitedock/lab/sharesim.py
+++ b/granitedock/lab/sharesim.py
@@ -13,15 +13,15 @@
 from random import Random
 from typing import Any
 
-from granitedock import birth
-from granitedock.fleet.pace import Pace
-from granitedock.fleet.wire import Kind, Message
-from granitedock.judgement.judge import Judge, Weights
+from granitedock import platform_settings
+from granitedock.membership.pace import Pace
+from granitedock.membership.wire import Kind, Message
+from granitedock.outlier_detection.judge import Judge, Weights
 from granitedock.lab.fleetsim import EPOCH, Node, World
 from granitedock.lab.scenario import parse
 from granitedock.lab.settings import born
 from granitedock.policy.interface import Call, Customer, Ending, Forward, Host, Plan, Sighting, Status, Task
-from granitedock.shared.state import Bounds, Shared
+from granitedock.quota_sharing.state import Bounds, Shared
 
 SERVED_MS, COUNTER_MS = 5.0, (1.0, 3.0)
 DEAF_MS, DIAL_MS = 1000.0, 250.0  # calls are lost until a cut connection is noticed; then none comes up
@@ -59,9 +59,9 @@
     def __init__(self, fleet: ShareFleet, node: Node, shared: bool, viewed: bool) -> None:
         self.fleet, self.node, self.part = fleet, node, node.part
         settings = born(fleet.scenario, node.number) | {"Balancers": len(fleet.nodes)}
-        goods = birth.products(settings)
+        goods = platform_settings.products(settings)
         self.read = goods[0]
-        self.gateway = birth.gateway(self, fleet.unix(), node.number, settings, goods)
+        self.gateway = platform_settings.gateway(self, fleet.unix(), node.number, settings, goods)
         self.hosts = {f"h{n}": Host(name=f"h{n}", zone="ab"[n % 2]) for n in range(fleet.hosts)}
         seen = [Sighting(host, 1.0, "m", host.zone, 0, 0.0, Status.READY) for host in self.hosts.values()]
         self.gateway.roster(seen, True)
--- a/granitedock/fleet/carrier.py
+++ b/granitedock/membership/carrier.py
@@ -16,13 +16,13 @@
 import orjson
 from twisted.internet.protocol import DatagramProtocol
 
-from granitedock.fleet.member import LIVE, Member, State
-from granitedock.fleet.part import Part
-from granitedock.fleet.settings import FleetFile, settings_number
-from granitedock.fleet.wire import MOST_BYTES, Kind, Malformed, Message, decode, encode
-from granitedock.judgement.judge import Judge, Weights
-from granitedock.shared.snapshot import Refused, pack, unpack
-from granitedock.shared.state import Bounds, Shared
+from granitedock.membership.member import LIVE, Member, State
+from granitedock.membership.part import Part
+from granitedock.membership.settings import FleetFile, settings_number
+from granitedock.membership.wire import MOST_BYTES, Kind, Malformed, Message, decode, encode
+from granitedock.outlier_detection.judge import Judge, Weights
+from granitedock.quota_sharing.snapshot import Refused, pack, unpack
+from granitedock.quota_sharing.state import Bounds, Shared
 
 SENDS_AT_ONCE = 16  # datagrams read in one turn of the loop, so that tasks are served between
 EVIDENCE_A_DATAGRAM = 10
--- a/granitedock/fleet/machine.py
+++ b/granitedock/membership/machine.py
@@ -15,10 +15,10 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from granitedock.fleet.member import LIVE, OVER, Member, News, State
-from granitedock.fleet.news import NewsQueue
-from granitedock.fleet.pace import MOST_SLOW, Pace
-from granitedock.fleet.wire import Kind, Message, cost, room
+from granitedock.membership.member import LIVE, OVER, Member, News, State
+from granitedock.membership.news import NewsQueue
+from granitedock.membership.pace import MOST_SLOW, Pace
+from granitedock.membership.wire import Kind, Message, cost, room
 
 NEVER = float("inf")
 OLD_ADDRESSES = 16  # of members forgotten while over, tried among the seeds
--- a/granitedock/fleet/news.py
+++ b/granitedock/membership/news.py
@@ -5,7 +5,7 @@
 import heapq
 import math
 
-from granitedock.fleet.member import News
+from granitedock.membership.member import News
 
 TOLD = 8  # and the natural logarithm of the fleet's size
 
--- a/granitedock/fleet/part.py
+++ b/granitedock/membership/part.py
@@ -8,11 +8,11 @@
 
 from random import Random
 
-from granitedock.fleet.machine import Change, View
-from granitedock.fleet.member import Member
-from granitedock.fleet.pace import Pace
-from granitedock.fleet.seats import Seats
-from granitedock.fleet.wire import Message
+from granitedock.membership.machine import Change, View
+from granitedock.membership.member import Member
+from granitedock.membership.pace import Pace
+from granitedock.membership.seats import Seats
+from granitedock.membership.wire import Message
 
 
 class Part:
--- a/granitedock/fleet/seats.py
+++ b/granitedock/membership/seats.py
@@ -11,9 +11,9 @@
 
 from dataclasses import dataclass
 
-from granitedock.fleet.machine import Change
-from granitedock.fleet.member import LIVE, OVER, State
-from granitedock.fleet.pace import Pace
+from granitedock.membership.machine import Change
+from granitedock.membership.member import LIVE, OVER, State
+from granitedock.membership.pace import Pace
 
 KNOCKS = 8  # at once; with more seats empty than can be proved in a lease, the rest count as held
 NEVER = float("-inf")
--- a/granitedock/fleet/settings.py
+++ b/granitedock/membership/settings.py
@@ -9,9 +9,9 @@
 import orjson
 from pydantic import AfterValidator, Field
 
-from granitedock.fleet.pace import Pace
-from granitedock.fleet.wire import is_address
-from granitedock.tomlfile import Found, Strict, checked, read
+from granitedock.membership.pace import Pace
+from granitedock.membership.wire import is_address
+from granitedock.toml_file import Found, Strict, checked, read
 
 
 def address(text: str) -> str:
--- a/granitedock/fleet/wire.py
+++ b/granitedock/membership/wire.py
@@ -15,9 +15,9 @@
 
 import msgpack
 
-from granitedock.fleet.member import Member, News, State
-from granitedock.judgement.evidence import Row as HostRow
-from granitedock.shared.counts import Row
+from granitedock.membership.member import Member, News, State
+from granitedock.outlier_detection.evidence import Row as HostRow
+from granitedock.quota_sharing.counts import Row
 
 VERSION = 1
 MOST_BYTES = 1200
--- a/granitedock/model/canon.py
+++ b/granitedock/model_checking/canon.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from granitedock.policy.interface import Plan, Product
-from granitedock.ring import Ring
+from granitedock.rolling_window import Ring
 
 BY_NAME = frozenset({Product, Plan})
 PLAIN = frozenset({int, float, str, bytes, bool, type(None)})
--- a/granitedock/model/command.py
+++ b/granitedock/model_checking/command.py
@@ -9,9 +9,9 @@
 
 import orjson
 
-from granitedock.model import explore
-from granitedock.model.gateways import KINDS, START, Shape, Small
-from granitedock.model.views import Fleet, Views
+from granitedock.model_checking import explore
+from granitedock.model_checking.gateways import KINDS, START, Shape, Small
+from granitedock.model_checking.views import Fleet, Views
 
 Say = Callable[[str], None]
 
--- a/granitedock/model/gateways.py
+++ b/granitedock/model_checking/gateways.py
@@ -15,12 +15,12 @@
 from typing import Any
 
 from granitedock.lab.rules import CEILING_SLACK_S, GRACE_S, SLACK_S
-from granitedock.model.canon import digest
-from granitedock.model.explore import Move
-from granitedock.model.still import keep, maker, still
+from granitedock.model_checking.canon import digest
+from granitedock.model_checking.explore import Move
+from granitedock.model_checking.still import keep, maker, still
 from granitedock.policy.interface import Cold, Ending, Leave, Plan, Product, Seat, Status
-from granitedock.service.clients import read
-from granitedock.service.discovery import Entry, Listing
+from granitedock.service.client_protocol import read
+from granitedock.service.discovery_protocol import Entry, Listing
 from granitedock.service.limits import Limits
 from granitedock.service.reducer import Reducer
 from granitedock.service.resp import command
--- a/granitedock/model/views.py
+++ b/granitedock/model_checking/views.py
@@ -13,11 +13,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from granitedock.fleet.member import State
-from granitedock.fleet.pace import Pace
+from granitedock.membership.member import State
+from granitedock.membership.pace import Pace
 from granitedock.lab.fleetsim import Node, World
-from granitedock.model.canon import digest
-from granitedock.model.explore import Move
+from granitedock.model_checking.canon import digest
+from granitedock.model_checking.explore import Move
 
 LATE_MS = 1000.0  # past every time-out of a probe
 PAUSE_MS = 3000.0  # longer than a period, a gap and the shortest suspicion
@@ -57,7 +57,7 @@
         self.since[n] = self.now
 
     def changed(self, now: float, node: Node, change: Any) -> None:
-        """Property 1: `gone` is proof, and a proof is never of one that runs, under its own birth."""
+        """Property 1: `gone` is proof, and a proof is never of one that runs, under its own incarnation."""
         at = self.at.get(change.member.address)
         if change.member.state is State.GONE and at is not None and at.part is not None:
             if at.part.view.me.born == change.member.born:
--- a/granitedock/judgement/evidence.py
+++ b/granitedock/outlier_detection/evidence.py
@@ -12,7 +12,7 @@
 from collections import Counter
 from dataclasses import dataclass, replace
 
-from granitedock.fleet.news import most_told
+from granitedock.membership.news import most_told
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitedock/judgement/judge.py
+++ b/granitedock/outlier_detection/judge.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from granitedock.judgement.evidence import Evidence, Held, Row
+from granitedock.outlier_detection.evidence import Evidence, Held, Row
 from granitedock.policy.interface import Ending, Host, Status
 
 ANSWERS = (Ending.DONE, Ending.FULL)
--- a/granitedock/policy/decisions.py
+++ b/granitedock/policy/decisions.py
@@ -14,7 +14,7 @@
 from granitedock.policy.interface import Call, Cold, Customer, Door, Ending, Forward, Group, Host, Judgement
 from granitedock.policy.interface import Kind, Leave, Peers, Plan, Product, Quota, Seat, Shared, Sighting
 from granitedock.policy.interface import Status, Task
-from granitedock.ring import Ring
+from granitedock.rolling_window import Ring
 
 BUDGET_MS = 20.0  # the design's budget of a call to the counter
 BUDGET_MEANS, BUDGET_MOST = 3.0, 0.25  # mean times, where that is more; of the quoted time
--- a/granitedock/shared/bound.py
+++ b/granitedock/quota_sharing/bound.py
@@ -15,7 +15,7 @@
 import math
 from dataclasses import dataclass
 
-from granitedock.fleet.pace import Pace
+from granitedock.membership.pace import Pace
 from granitedock.policy.interface import Plan
 
 TELLINGS = 5  # rounds in which news reaches all, as measured at up to 1,000 members
--- a/granitedock/shared/counts.py
+++ b/granitedock/quota_sharing/counts.py
@@ -12,7 +12,7 @@
 from collections import Counter
 from dataclasses import dataclass, replace
 
-from granitedock.fleet.news import most_told
+from granitedock.membership.news import most_told
 
 PER_UNIT = 1000
 WINDOWS_KEPT = 2  # a row is of use in its own window and the next one
--- a/granitedock/shared/snapshot.py
+++ b/granitedock/quota_sharing/snapshot.py
@@ -11,7 +11,7 @@
 
 import msgpack
 
-from granitedock.shared.counts import Row
+from granitedock.quota_sharing.counts import Row
 
 VERSION = 1
 
--- a/granitedock/shared/state.py
+++ b/granitedock/quota_sharing/state.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from granitedock.fleet.part import Part
+from granitedock.membership.part import Part
 from granitedock.policy.interface import Call, Customer, Ending, Quota
-from granitedock.shared.counts import Counts, Row
+from granitedock.quota_sharing.counts import Counts, Row
 
 ROWS_A_DATAGRAM = 16
 NOBODY = Customer(-1)
--- a/granitedock/service/serve.py
+++ b/granitedock/service/event_loop.py
@@ -24,15 +24,15 @@
 from twisted.python.failure import Failure
 
 from granitedock import BEGAN_MS
-from granitedock.service.clients import ClientDoor
-from granitedock.service.counter import CounterLink
-from granitedock.service.dial import Dialler
-from granitedock.service.discovery import Listing, WatchLink, listing
-from granitedock.service.hosts import HostLink
+from granitedock.service.client_protocol import ClientDoor
+from granitedock.service.counter_protocol import CounterLink
+from granitedock.service.connector import Dialler
+from granitedock.service.discovery_protocol import Listing, WatchLink, listing
+from granitedock.service.host_protocol import HostLink
 from granitedock.service.limits import Limits
-from granitedock.service.log import Log
+from granitedock.event_log import Log
 from granitedock.service.reducer import Reducer
-from granitedock.service.told import ToldError, load
+from granitedock.platform_file import ToldError, load
 
 
 class SteadyReactor(EPollReactor):
@@ -244,8 +244,8 @@
         to each other; else None, and nothing of it is so much as imported."""
         if told is None or not told.enabled:
             return None
-        from granitedock.fleet.carrier import FleetLink
-        from granitedock.fleet.settings import may_talk
+        from granitedock.membership.carrier import FleetLink
+        from granitedock.membership.settings import may_talk
 
         if not may_talk(born):
             self.log.event("fleet off", why="the settings do not let gateways talk to each other")
@@ -328,7 +328,7 @@
 
     def operators(self) -> Any:
         """The operators' file as it stands now. Only where there is one is its reader imported."""
-        from granitedock.service.operators import load
+        from granitedock.service.operator_settings import load
 
         return load(self.operators_at)
 
--- a/granitedock/service/lifecycle.py
+++ b/granitedock/service/lifecycle.py
@@ -50,7 +50,7 @@
             owner.diary.event("mode", was=before, now=self.state, tasks=len(owner.errands))
 
     def begin(self) -> None:
-        """Bound on the start: nine in ten restarted processes have to be ready within 10 s of their birth."""
+        """Bound on the start: nine in ten restarted processes have to be ready within 10 s of their start."""
         owner = self.owner
         owner.wake_at(owner.now + owner.limits.ready_ms, "mode", "waited")
         owner.wake_at(max(owner.now, owner.began_at + owner.limits.ready_most_ms), "mode", "overlong")
--- a/granitedock/service/operators.py
+++ b/granitedock/service/operator_settings.py
@@ -14,7 +14,7 @@
 from pydantic import Field
 
 from granitedock.service.limits import Limits
-from granitedock.tomlfile import Strict, checked, read
+from granitedock.toml_file import Strict, checked, read
 
 Ms = Annotated[float, Field(ge=1, le=600_000)]
 
--- a/granitedock/service/reducer.py
+++ b/granitedock/service/reducer.py
@@ -13,16 +13,16 @@
 from typing import Any
 from weakref import WeakValueDictionary
 
-from granitedock import birth
+from granitedock import platform_settings
 from granitedock.policy.decisions import advance
 from granitedock.policy.interface import Call, Customer, Ending, Forward, Host, Kind, Sighting, Status, Task
-from granitedock.service.clients import Ask
-from granitedock.service.counter import PING, tally
-from granitedock.service.discovery import Listing
+from granitedock.service.client_protocol import Ask
+from granitedock.service.counter_protocol import PING, tally
+from granitedock.service.discovery_protocol import Listing
 from granitedock.service.lifecycle import Lifecycle
 from granitedock.service.limits import Limits
 from granitedock.service.resp import bulk
-from granitedock.service.watch import DiscoveryWatch, Watch
+from granitedock.service.discovery_watch import DiscoveryWatch, Watch
 
 PONG = b"+PONG\r\n"
 CLOSING = b"-ERR closing\r\n"
@@ -183,8 +183,8 @@
         self.effects: list[tuple] = []
         self.inbox: deque[tuple] = deque()
         self.lifecycle = Lifecycle(self)
-        self.products = {product.name: product for product in birth.products(born)}
-        self.plans = {plan.name: plan for plan in birth.plans(born)}
+        self.products = {product.name: product for product in platform_settings.products(born)}
+        self.plans = {plan.name: plan for plan in platform_settings.plans(born)}
         self.customers: WeakValueDictionary[int, Customer] = WeakValueDictionary()
         self.callers: dict[Caller, None] = {}
         self.errands: dict[Errand, None] = {}
@@ -206,7 +206,7 @@
             None  # told of the list of hosts, where gateways tell each other what they know of them
         )
         self.shown: dict[bytes, Any] = {}  # further commands that only show something, and who words it
-        self.gateway = birth.gateway(self, now, seed, born, list(self.products.values()))
+        self.gateway = platform_settings.gateway(self, now, seed, born, list(self.products.values()))
 
     def reduce(self, now: float, name: str, *what: Any, since: float | None = None) -> list[tuple]:
         """One input, with all that follows from it here. `since`, in Unix ms, is the earliest moment at which
--- a/granitedock/benchlink/pipe.py
+++ b/granitedock/simulator_adapter/pipe.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from granitedock import birth
+from granitedock import platform_settings
 from granitedock.policy.interface import (
     Call,
     Customer,
@@ -59,8 +59,8 @@
     def __init__(self, now: float, seed: int, born: dict[str, Any]) -> None:
         self.now = now
         self.commands: list[list[Any]] = []
-        self.products: dict[str, Product] = {p.name: p for p in birth.products(born)}
-        self.plans: dict[str, Plan] = {p.name: p for p in birth.plans(born)}
+        self.products: dict[str, Product] = {p.name: p for p in platform_settings.products(born)}
+        self.plans: dict[str, Plan] = {p.name: p for p in platform_settings.plans(born)}
         self.hosts: dict[str, Host] = {}
         self.addresses: dict[Host, str] = {}
         self.tasks: dict[int, Task] = {}
@@ -69,7 +69,7 @@
         self.calls: dict[int, deque[Call]] = {}
         self.wakes: dict[int, object] = {}
         self.last_wake = 0
-        self.gateway = birth.gateway(self, now, seed, born, list(self.products.values()))
+        self.gateway = platform_settings.gateway(self, now, seed, born, list(self.products.values()))
 
     # The door: effects become commands.
 
--- a/tests/test_configuration.py
+++ b/tests/configuration/test_configuration.py
@@ -1,11 +1,11 @@
 """Documents, changes, stores, publishers and followers, by themselves: no sockets. Times in ms."""
 
-import os
 import signal
 import sqlite3
 import subprocess
 import sys
 from collections import Counter
+from pathlib import Path
 from random import Random
 
 import pytest
@@ -179,8 +179,8 @@
 
 @pytest.mark.parametrize("step", ["put", "logged", "stated"])
 def test_control_killed_in_the_middle_of_an_apply_has_the_version_before_whole(tmp_path, step):
-    path, here = tmp_path / "w.db", os.path.dirname(__file__)
-    code = KILLED.format(root=os.path.dirname(here), tests=here, path=str(path), step=step)
+    path, here = tmp_path / "w.db", Path(__file__).parent
+    code = KILLED.format(root=str(here.parents[1]), tests=str(here), path=str(path), step=step)
     ended = subprocess.run([sys.executable, "-c", code], capture_output=True)
     assert ended.returncode == -signal.SIGKILL, ended.stderr.decode()
     again = control(path)
@@ -593,7 +593,9 @@
 
 
 def test_nothing_of_it_is_imported_where_it_is_off():
-    code = "import sys, granitedock.service.serve; print([m for m in sys.modules if 'configuration' in m])"
+    code = (
+        "import sys, granitedock.service.event_loop\nprint([m for m in sys.modules if 'configuration' in m])"
+    )
     said = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
     assert said.strip() == "[]"
 
--- a/tests/test_configuration_live.py
+++ b/tests/configuration/test_configuration_processes.py
@@ -9,7 +9,7 @@
 
 import pytest
 from click.testing import CliRunner
-from live import VALUE, Live, Server
+from loopback import VALUE, Live, Server
 from twisted.internet import reactor
 
 from granitedock.__main__ import main
--- a/tests/test_plan_changes.py
+++ b/tests/configuration/test_plan_changes.py
@@ -1,7 +1,7 @@
 """A plan that changes in service: what a customer gets, and its books. Simulated; times in ms."""
 
 import pytest
-from fakehost import Story
+from fake_gateway import Story
 
 from granitedock.configuration.transition import Transitions, carried
 from granitedock.configuration.windows import window_of, with_window
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,11 +11,11 @@
 # once at most, in a run over several processes, each group one after another. They begin first, as they take
 # the longest.
 FLEETS = {
-    "test_shared.py": ("fleets-1", "fleets-2"),
-    "test_judgement.py": ("fleets-3",),
-    "test_fleet.py": ("fleets-4",),
+    "test_quota_sharing.py": ("fleets-1", "fleets-2"),
+    "test_outlier_detection.py": ("fleets-3",),
+    "test_membership_processes.py": ("fleets-4",),
     "test_rules.py": ("fleets-4",),
-    "test_configuration_live.py": ("fleets-4",),
+    "test_configuration_processes.py": ("fleets-4",),
 }
 
 
@@ -66,7 +66,7 @@
 @pytest.fixture
 def live(tmp_path):
     """Makes gateways on real sockets (`live.Live`), ended with the story."""
-    from live import Live
+    from loopback import Live
 
     made = []
 
--- a/tests/fakehost.py
+++ b/tests/helpers/fake_gateway.py
@@ -18,10 +18,10 @@
     Status,
     Task,
 )
-from granitedock.service.clients import ClientLink
-from granitedock.service.counter import CounterLink
-from granitedock.service.discovery import WatchLink, listing
-from granitedock.service.hosts import HostLink
+from granitedock.service.client_protocol import ClientLink
+from granitedock.service.counter_protocol import CounterLink
+from granitedock.service.discovery_protocol import WatchLink, listing
+from granitedock.service.host_protocol import HostLink
 from granitedock.service.limits import Limits
 from granitedock.service.reducer import Reducer
 from granitedock.service.resp import command
--- a/tests/live.py
+++ b/tests/helpers/loopback.py
@@ -11,10 +11,10 @@
 import socket
 from collections import deque
 
-from fakehost import BORN
+from fake_gateway import BORN
 
 from granitedock.service.resp import command
-from granitedock.service.serve import Clock, Service, SteadyReactor, Wakes
+from granitedock.service.event_loop import Clock, Service, SteadyReactor, Wakes
 
 # Of this process, so that no outgoing connection of another one, on 127.0.0.1, takes the port meanwhile.
 OWN_ADDRESS = f"127.{100 + os.getpid() // 250 % 100}.{os.getpid() % 250}.1"
--- a/tests/test_lab_counter.py
+++ b/tests/lab/test_lab_counter.py
@@ -3,9 +3,9 @@
 import socket
 import time
 
-from standins import CLIENTS, ONE_HOST, spawned
+from emulators import CLIENTS, ONE_HOST, spawned
 
-from granitedock.service.counter import tally
+from granitedock.service.counter_protocol import tally
 
 SCENARIO = (
     ONE_HOST
--- a/tests/test_lab_discovery.py
+++ b/tests/lab/test_lab_discovery.py
@@ -4,7 +4,7 @@
 import socket
 import time
 
-from standins import CLIENTS, ONE_HOST, spawned
+from emulators import CLIENTS, ONE_HOST, spawned
 
 SCENARIO = (
     ONE_HOST
--- a/tests/test_lab_hosts.py
+++ b/tests/lab/test_lab_hosts.py
@@ -3,7 +3,7 @@
 import socket
 import time
 
-from standins import CLIENTS, spawned
+from emulators import CLIENTS, spawned
 
 from granitedock.service.resp import command
 
--- a/tests/test_life.py
+++ b/tests/lab/test_life.py
@@ -1,12 +1,14 @@
 """A host's scripted life: faults of a zone reach its hosts together, and the same seed gives the same day."""
 
+from pathlib import Path
 from random import Random
 
-from test_scenario import EXAMPLE
 
 from granitedock.lab.life import condition, faults_of, reply
 from granitedock.lab.scenario import Fault, Service, load
 
+EXAMPLE = Path(__file__).parents[2] / "docs" / "examples" / "zone-slow.toml"
+
 
 def test_a_zone_that_slows_slows_all_its_hosts_at_the_same_moment_and_no_other():
     scenario = load(EXAMPLE)
--- a/tests/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -13,8 +13,8 @@
 from granitedock.lab.scale.results import Machine, Results, form, read, slope
 from granitedock.lab.scale.sizes import FULL, OperatorSize
 from granitedock.lab.scale.tables import filled
-from granitedock.service import told
-from granitedock.service.discovery import listing
+from granitedock import platform_file as told
+from granitedock.service.discovery_protocol import listing
 
 
 def steps(act):
--- a/tests/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -6,7 +6,7 @@
 
 from granitedock.lab.scenario import ScenarioError, load, parse
 
-EXAMPLE = Path(__file__).parent.parent / "docs" / "examples" / "zone-slow.toml"
+EXAMPLE = Path(__file__).parents[2] / "docs" / "examples" / "zone-slow.toml"
 
 
 def test_the_example_loads_as_written():
--- a/tests/test_fleet.py
+++ b/tests/membership/test_membership_processes.py
@@ -6,42 +6,13 @@
 import time
 
 import orjson
+from process_fleet import WITHIN_S, world
 from pytest import mark, raises
 
 from granitedock.lab.load import broken, done_units, load_on
 from granitedock.lab.rig import FLEET_PORT, Rig, RigError
-from granitedock.lab.scenario import parse
 from granitedock.lab.wires import Fate
 
-WORLD = """
-seed = 3
-length_s = 60
-[fleet]
-gateways = %d
-talk = true
-view = true
-[[plans]]
-rate = 40
-burst = 40
-[[fleet.zones]]
-name = "east"
-hosts = 4
-service = { kind = "fixed", mean_ms = 5 }
-[[clients]]
-customer = 161
-product = "read"
-plan = "p"
-rate = 160
-spread = 4
-left_ms = 800
-"""
-WITHIN_S = 10.0  # the stated time in which the live ones agree again (docs/fleet.md), on a loaded machine
-
-
-def world(count, *replace):
-    text = (WORLD % count).replace("spread = 4", f"spread = {min(4, count)}")
-    return parse(text.replace(*replace) if replace else text)
-
 
 def fleet(count, tmp_path, view=None):
     return Rig(world(count), tmp_path, view)
--- a/tests/test_view.py
+++ b/tests/membership/test_membership_simulated.py
@@ -7,15 +7,15 @@
 from hypothesis import strategies as st
 from pytest import raises
 
-from granitedock.fleet.machine import Change, View
-from granitedock.fleet.member import LIVE, Member, News, State
-from granitedock.fleet.news import NewsQueue, most_told
-from granitedock.fleet.pace import Pace
-from granitedock.fleet.seats import Seats
-from granitedock.fleet.settings import parse
-from granitedock.fleet.wire import MOST_BYTES, Kind, Malformed, Message, cost, decode, encode, room
+from granitedock.membership.machine import Change, View
+from granitedock.membership.member import LIVE, Member, News, State
+from granitedock.membership.news import NewsQueue, most_told
+from granitedock.membership.pace import Pace
+from granitedock.membership.seats import Seats
+from granitedock.membership.settings import parse
+from granitedock.membership.wire import MOST_BYTES, Kind, Malformed, Message, cost, decode, encode, room
 from granitedock.lab.fleetsim import World, plain
-from granitedock.tomlfile import FileError
+from granitedock.toml_file import FileError
 
 PACE = Pace()
 STEPS = st.one_of(
--- a/tests/test_model.py
+++ b/tests/model_checking/test_model_checking.py
@@ -9,14 +9,14 @@
 from hypothesis import strategies as st
 from pytest import mark, raises
 
-from granitedock import birth
-from granitedock.fleet.machine import View
-from granitedock.fleet.member import OVER, State
-from granitedock.fleet.seats import Seats
-from granitedock.model import command, explore
-from granitedock.model.canon import digest
-from granitedock.model.gateways import Shape, Small
-from granitedock.model.views import Fleet, Views
+from granitedock import platform_settings
+from granitedock.membership.machine import View
+from granitedock.membership.member import OVER, State
+from granitedock.membership.seats import Seats
+from granitedock.model_checking import command, explore
+from granitedock.model_checking.canon import digest
+from granitedock.model_checking.gateways import Shape, Small
+from granitedock.model_checking.views import Fleet, Views
 from granitedock.policy import decisions
 from granitedock.policy.decisions import Book, Bucket
 from granitedock.policy.interface import Call, Customer, Kind, Plan, Status
@@ -157,7 +157,7 @@
 
 
 def silence_taken_for_proof(monkeypatch):
-    monkeypatch.setattr("granitedock.fleet.seats.OVER", frozenset({State.DEAD, *OVER}))
+    monkeypatch.setattr("granitedock.membership.seats.OVER", frozenset({State.DEAD, *OVER}))
     monkeypatch.setattr(Seats, "vacant", lambda self, now, seat: seat in self.empty)
 
 
@@ -235,7 +235,7 @@
     )
 )
 def test_settings_decode_to_the_same_plan_whatever_is_left_out(told):
-    plan = birth.plans({"Tariffs": [{"Name": "p"} | told]})[0]
+    plan = platform_settings.plans({"Tariffs": [{"Name": "p"} | told]})[0]
     assert plan.rate * 1000 == told.get("Refill", 0.0) or abs(plan.rate * 1000 - told["Refill"]) < 1e-6
     assert plan.burst == told.get("MostAtOnce", 0.0) and plan.most_out == int(told.get("Concurrency", 0))
 
--- a/tests/test_judgement.py
+++ b/tests/outlier_detection/test_outlier_detection.py
@@ -7,12 +7,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from pytest import mark, raises
-from test_fleet import WITHIN_S
+from process_fleet import WITHIN_S
 
-from granitedock.fleet.member import Member, State
-from granitedock.fleet.wire import MOST_BYTES, Kind, Message, decode, encode
-from granitedock.judgement.evidence import Evidence, Row
-from granitedock.judgement.judge import Judge, Weights
+from granitedock.membership.member import Member, State
+from granitedock.membership.wire import MOST_BYTES, Kind, Message, decode, encode
+from granitedock.outlier_detection.evidence import Evidence, Row
+from granitedock.outlier_detection.judge import Judge, Weights
 from granitedock.lab.load import broken, load_on
 from granitedock.lab.rig import FLEET_PORT, Rig
 from granitedock.lab.scenario import parse
--- a/tests/test_quota_fleet.py
+++ b/tests/policy/test_fleet_quotas.py
@@ -9,7 +9,7 @@
 from random import Random
 
 import pytest
-from fakehost import READ
+from fake_gateway import READ
 
 from granitedock.policy.decisions import Gateway
 from granitedock.policy.interface import (
--- a/tests/test_stories.py
+++ b/tests/policy/test_request_decisions.py
@@ -1,8 +1,8 @@
-"""One short story for each failure met, against the fake host of tests/fakehost.py."""
+"""One short story for each failure met, against the fake host of tests/helpers/fake_gateway.py."""
 
 from dataclasses import replace
 
-from fakehost import BY_ZONE, CAPPED, FEW_OUT, ONE_SHOT, PLAN, READ, STAMPED, Story
+from fake_gateway import BY_ZONE, CAPPED, FEW_OUT, ONE_SHOT, PLAN, READ, STAMPED, Story
 
 from granitedock.policy.interface import Customer, Ending, Status
 
--- a/tests/test_cold.py
+++ b/tests/policy/test_slow_start.py
@@ -1,9 +1,11 @@
-"""Rule 4: each gateway decides alone, and the sum stays within what a cold host bears (tests/coldsim.py)."""
+"""Rule 4: each gateway decides alone, and the sum stays within what a cold host bears.
+
+The simulation is tests/helpers/slow_start_simulation.py."""
 
 from dataclasses import replace
 
 import pytest
-from coldsim import COLD, World
+from slow_start_simulation import COLD, World
 
 HOSTS = {1: 6, 4: 8, 20: 30, 30: 30, 200: 40}
 
--- a/tests/test_shared.py
+++ b/tests/quota_sharing/test_quota_sharing.py
@@ -7,21 +7,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from pytest import mark, raises
-from test_fleet import WITHIN_S, world
+from process_fleet import WITHIN_S, world
 
-from granitedock.fleet.machine import Change
-from granitedock.fleet.member import Member, State
-from granitedock.fleet.pace import Pace
-from granitedock.fleet.part import Part
+from granitedock.membership.machine import Change
+from granitedock.membership.member import Member, State
+from granitedock.membership.pace import Pace
+from granitedock.membership.part import Part
 from granitedock.lab.counter import Counts as CounterCounts
 from granitedock.lab.load import broken, done_units, load_on
 from granitedock.lab.rig import Rig, on_loop
 from granitedock.lab.sharesim import Offer, ShareFleet, admitted
 from granitedock.policy.interface import Ending, Plan, Quota
-from granitedock.shared.bound import excess
-from granitedock.shared.counts import Counts
-from granitedock.shared.snapshot import Refused, pack, unpack
-from granitedock.shared.state import Bounds, Shared
+from granitedock.quota_sharing.bound import excess
+from granitedock.quota_sharing.counts import Counts
+from granitedock.quota_sharing.snapshot import Refused, pack, unpack
+from granitedock.quota_sharing.state import Bounds, Shared
 
 RATE, BURST, SET = 40.0, 40.0, 4
 LEAST = 0.9  # of the allowance over some seconds, with real processes, which other work may hold up
--- a/tests/test_operators.py
+++ b/tests/service/test_operator_settings.py
@@ -6,7 +6,7 @@
 import time
 import urllib.request
 
-from test_fleet import world
+from process_fleet import world
 
 from granitedock.lab.rig import Rig
 
--- a/tests/test_told.py
+++ b/tests/service/test_platform_file.py
@@ -9,15 +9,15 @@
 from pathlib import Path
 
 import pytest
-from fakehost import BORN
-from live import VALUE, Live
+from fake_gateway import BORN
+from loopback import VALUE, Live
 
-from granitedock import birth
+from granitedock import platform_settings
 from granitedock.policy.interface import Group, Kind
 from granitedock.service.limits import Limits
-from granitedock.service.told import ToldError, faults, load
+from granitedock.platform_file import ToldError, faults, load
 
-SITES = sorted((Path(__file__).parent.parent / "deploy" / "sites").glob("*.toml"))
+SITES = sorted((Path(__file__).parents[2] / "deploy" / "sites").glob("*.toml"))
 TOLD = {
     "name": "g0",
     "listen": "127.0.0.1:1",
@@ -235,14 +235,16 @@
     site = tomllib.loads(path.read_text())
     told = TOLD | {"settings": settings_of(site)}
     assert faults(told) == []
-    products = birth.products(told["settings"])
+    products = platform_settings.products(told["settings"])
     assert [(it.name, it.quoted_ms, it.cutoff_ms) for it in products] == [
         (it["name"], it["aim_ms"], it["deadline_ms"]) for it in site["class"]
     ]
     assert {it.kind for it in products} == set(Kind)
     keyed = next(it for it in products if it.kind is Kind.STAMPED)
     assert keyed.group_ms <= 1500 and keyed.group in (Group.ALL, Group.ZONE)
-    assert [plan.name for plan in birth.plans(told["settings"])] == [it["name"] for it in site["tenant"]]
+    assert [plan.name for plan in platform_settings.plans(told["settings"])] == [
+        it["name"] for it in site["tenant"]
+    ]
     limits, longest = Limits.told(told), max(it["deadline_ms"] for it in site["class"])
     assert limits.open_ms < limits.leave_ms < limits.leave_most_ms < min(3000, longest) + 700
     # A request of each class is served by the program, under the names of this deployment alone.
--- a/tests/test_process.py
+++ b/tests/service/test_process.py
@@ -9,7 +9,7 @@
 from socketserver import StreamRequestHandler, ThreadingTCPServer
 from threading import Thread
 
-from fakehost import BORN
+from fake_gateway import BORN
 
 from granitedock.service.resp import bulk, command
 
--- a/tests/test_crossings.py
+++ b/tests/service/test_race_conditions.py
@@ -6,8 +6,8 @@
 import socket
 
 import pytest
-from fakehost import BORN
-from live import VALUE, WATCHED, Peer, Server, answer, chunk
+from fake_gateway import BORN
+from loopback import VALUE, WATCHED, Peer, Server, answer, chunk
 
 from granitedock.service.resp import command
 
--- a/tests/test_terms.py
+++ b/tests/service/test_standing_terms.py
@@ -4,7 +4,7 @@
 import re
 
 import pytest
-from live import VALUE, WATCHED, chunk
+from loopback import VALUE, WATCHED, chunk
 
 TIME_LEFT = re.compile(rb",d=(\d+)")
 
--- a/tests/test_pipe.py
+++ b/tests/simulator_adapter/test_simulator_adapter.py
@@ -2,7 +2,7 @@
 
 import io
 
-from granitedock.benchlink.pipe import Pipe, run
+from granitedock.simulator_adapter.pipe import Pipe, run
 
 BORN = (
     '{"Me":0,"Balancers":1,"Lanes":[{"Name":"r","Repeat":"safe","TargetMs":1000,"GiveUpMs":4000,"Worth":1}],'
--- a/tests/test_examples.py
+++ b/tests/test_small_functions.py
@@ -6,13 +6,13 @@
 
 
 def test_fleet_news_most_told():
-    from granitedock.fleet.news import most_told
+    from granitedock.membership.news import most_told
 
     assert (most_told(2), most_told(40), most_told(1000)) == (10, 12, 15)
 
 
 def test_fleet_settings_may_talk():
-    from granitedock.fleet.settings import may_talk
+    from granitedock.membership.settings import may_talk
 
     assert (may_talk({"Specifics": {"MailPerS": 40}}), may_talk({"Specifics": {}}), may_talk({})) == (
         True,
@@ -22,20 +22,20 @@
 
 
 def test_fleet_settings_settings_number():
-    from granitedock.fleet.settings import settings_number
+    from granitedock.membership.settings import settings_number
 
     assert settings_number({"Me": 1, "Balancers": 4}) == settings_number({"Balancers": 4, "Me": 2})
 
 
 def test_fleet_wire_decode():
-    from granitedock.fleet.wire import Kind, Member, Message, State, decode, encode
+    from granitedock.membership.wire import Kind, Member, Message, State, decode, encode
 
     me = Member("a", "127.0.0.1:7946", 5, 0, State.ALIVE)
     assert decode("c", encode("c", Message(Kind.PING, me, 3, "b"))).word == "b"
 
 
 def test_fleet_wire_is_address():
-    from granitedock.fleet.wire import is_address
+    from granitedock.membership.wire import is_address
 
     assert [is_address(text) for text in ("127.0.0.1:7946", "127.0.0.1", "localhost:1", "1.2.3.4:70000")] == [
         True,
@@ -120,14 +120,14 @@
 
 
 def test_model_canon_digest():
-    from granitedock.model.canon import digest
+    from granitedock.model_checking.canon import digest
 
     a, b = [1, "x", {2: 3.0}], [1, "x", {2: 3.0}]
     assert (digest(a) == digest(b), digest(a) == digest([1, "x", {2: 3.5}])) == (True, False)
 
 
 def test_ring_ring():
-    from granitedock.ring import Ring
+    from granitedock.rolling_window import Ring
 
     ring = Ring(800.0)
     ring.add(0.0, 30.0, 1.0)
@@ -137,7 +137,7 @@
 
 
 def test_service_clients_read():
-    from granitedock.service.clients import Limits, read
+    from granitedock.service.client_protocol import Limits, read
 
     from granitedock.service.resp import command
 
@@ -156,13 +156,13 @@
 
 
 def test_service_counter_amount():
-    from granitedock.service.counter import amount
+    from granitedock.service.counter_protocol import amount
 
     assert (amount(2.0), amount(-2.5), amount(1e-09), amount(0.1 + 0.2)) == (b"2", b"-2.5", b"0", b"0.3")
 
 
 def test_service_discovery_listing():
-    from granitedock.service.discovery import Entry, Status, listing
+    from granitedock.service.discovery_protocol import Entry, Status, listing
 
     instance = {"instanceId": "s-1", "hostPort": "127.0.0.1:1", "lifecycle": "terminating"}
     listed = listing({"generation": 4, "reset": True, "instances": [instance]})
@@ -170,7 +170,7 @@
 
 
 def test_service_hosts_figures():
-    from granitedock.service.hosts import figures
+    from granitedock.service.host_protocol import figures
 
     assert (figures(b"used=86,cost=3", 4.0), figures(None, 4.0), figures(86, 4.0), figures(b"?", 4.0)) == (
         (3.0, 86),
@@ -212,27 +212,27 @@
 
 
 def test_shared_bound_detection_ms():
-    from granitedock.shared.bound import Pace, detection_ms
+    from granitedock.quota_sharing.bound import Pace, detection_ms
 
     assert (detection_ms(Pace()), detection_ms(Pace(), 200) > 13300) == (9500.0, True)
 
 
 def test_shared_bound_excess():
-    from granitedock.shared.bound import Pace, Plan, excess
+    from granitedock.quota_sharing.bound import Pace, Plan, excess
 
     plan = Plan("p", 0.04, 40, 0, 1, 0, 0, 0, 0, 0)
     assert excess(plan, 4, Pace(), 100.0).of(isolated=2) == 210.0
 
 
 def test_shared_counts_merged():
-    from granitedock.shared.counts import Row, merged
+    from granitedock.quota_sharing.counts import Row, merged
 
     row = Row("g1", 5, 161, 7, 1000, 3000, 1000)
     assert merged(row, Row("g1", 5, 161, 7, 1000, 2000, 2000)).paid == 2000
 
 
 def test_shared_snapshot_unpack():
-    from granitedock.shared.snapshot import Refused, Row, pack, unpack
+    from granitedock.quota_sharing.snapshot import Refused, Row, pack, unpack
 
     row = Row("g1", 5, 161, 7, 1000, 3000)
     assert unpack("g1", pack("g1", [row])) == [row]
@@ -241,7 +241,7 @@
 
 
 def test_shared_state_reserve():
-    from granitedock.shared.state import Quota, reserve
+    from granitedock.quota_sharing.state import Quota, reserve
 
     from granitedock.policy.interface import Plan
 
@@ -250,7 +250,7 @@
 
 
 def test_tomlfile_line_of():
-    from granitedock.tomlfile import line_of
+    from granitedock.toml_file import line_of
 
     text = "[fleet]\ngateways = 0\n[[clients]]\nrate = 1\n[[clients]]\nrate = -1\n"
     assert line_of(text, ("clients", 1, "rate")) == 6
