--- a/granitedock/commands/gateway.py
+++ b/granitedock/commands/gateway.py
@@ -84,7 +84,7 @@
             "seat": platform_settings.seat(int(record["seed"], 16), born),
             "leave": platform_settings.leave(born),
             "cold": platform_settings.cold(born),
-            "products": platform_settings.products(born),
+            "products": platform_settings.request_classes(born),
             "plans": platform_settings.plans(born),
         }
         if (file := fleet_file(fleet)) is not None:
--- a/granitedock/configuration/attach.py
+++ b/granitedock/configuration/attach.py
@@ -131,7 +131,7 @@
                 "version": document.version,
                 "digest": digest_text(document.digest),
                 "plans": len(self.applied.reducer.plans),
-                "classes": len(self.applied.reducer.products),
+                "classes": len(self.applied.reducer.request_classes),
             }
             | self.follower.status()
         )
--- a/granitedock/configuration/gateway.py
+++ b/granitedock/configuration/gateway.py
@@ -14,11 +14,11 @@
 from granitedock.configuration.messages import VersionedChange
 from granitedock.configuration.transition import Transitions, carried
 from granitedock.configuration.windows import window_of
-from granitedock.policy.interface import Plan, Product
+from granitedock.policy.interface import Plan, RequestClass
 
-CLASS_FIELDS = attrgetter(*Product.__slots__)
+CLASS_FIELDS = attrgetter(*RequestClass.__slots__)
 PLAN_FIELDS = attrgetter(*(name for name in Plan.__slots__ if name != "window_ms"))
-Entry = Plan | Product
+Entry = Plan | RequestClass
 
 
 def same_plan(one: Plan, other: Plan) -> bool:
@@ -37,7 +37,7 @@
     def keep(self, section: Section, record: Record) -> Entry:
         try:
             if section is Section.CLASSES:
-                return platform_settings.product(record)
+                return platform_settings.request_class(record)
             return platform_settings.plan(record, float(record.get(WINDOW) or 0.0))
         except (KeyError, ValueError, TypeError) as fault:
             raise ConfigurationError(
@@ -57,7 +57,7 @@
             gone[section].append(name)
         self.put_plans(put[Section.PLANS], gone[Section.PLANS])
         if put[Section.CLASSES] or gone[Section.CLASSES]:
-            classes = self.reducer.products | put[Section.CLASSES]
+            classes = self.reducer.request_classes | put[Section.CLASSES]
             for name in gone[Section.CLASSES]:
                 del classes[name]
             self.put_classes(classes)
@@ -70,9 +70,9 @@
             if name in held and held[name] is not plan and same_plan(held[name], plan):
                 plans[name] = held[name]
         self.put_plans(plans, [name for name in held if name not in plans])
-        classes, known = fresh.values[Section.CLASSES], self.reducer.products
-        for name, product in classes.items():
-            if name in known and CLASS_FIELDS(known[name]) == CLASS_FIELDS(product):
+        classes, known = fresh.values[Section.CLASSES], self.reducer.request_classes
+        for name, request_class in classes.items():
+            if name in known and CLASS_FIELDS(known[name]) == CLASS_FIELDS(request_class):
                 classes[name] = known[name]  # what was measured of its requests stays known
         self.put_classes(dict(classes))
 
@@ -93,14 +93,16 @@
         for name in gone:
             self.transitions.changed(reducer.plans.pop(name), now)
         if moved:
-            reducer.gateway.at(now)
-            for customer in reducer.gateway.books:
-                if (plan := moved.get(customer.book.plan.name)) is not None:
-                    customer.book = carried(customer.book, plan, now)
+            reducer.gateway.advance_clock(now)
+            for customer in reducer.gateway.accounts:
+                if (plan := moved.get(customer.account.plan.name)) is not None:
+                    customer.account = carried(customer.account, plan, now)
 
-    def put_classes(self, classes: dict[str, Product]) -> None:
+    def put_classes(self, classes: dict[str, RequestClass]) -> None:
         """The process's own end (`limits.leave_ms`) stays by the classes that it began with."""
-        self.reducer.products = classes
+        self.reducer.request_classes = classes
         fleet = self.reducer.gateway.fleet
-        fleet.products[:] = classes.values()
-        fleet.quoted_ms = min(product.quoted_ms for product in fleet.products)
+        fleet.request_classes[:] = classes.values()
+        fleet.latency_objective_ms = min(
+            request_class.latency_objective_ms for request_class in fleet.request_classes
+        )
--- a/granitedock/configuration/process.py
+++ b/granitedock/configuration/process.py
@@ -18,7 +18,7 @@
 from granitedock.configuration.server import ControlService
 from granitedock.configuration.settings import ControlFile
 from granitedock.configuration.store import Store
-from granitedock.event_log import Log
+from granitedock.event_log import EventLog
 
 LOG_LINES_A_SECOND = 50
 
@@ -28,7 +28,7 @@
 
     def __init__(self, file: ControlFile, reactor: Any = default_reactor) -> None:
         self.file, self.reactor = file, reactor
-        self.log = Log(file.name, lambda: time() * 1000.0, LOG_LINES_A_SECOND)
+        self.log = EventLog(file.name, lambda: time() * 1000.0, LOG_LINES_A_SECOND)
         store = Store(Path(file.store), file.cluster)
         self.control = Control(store, not file.follow, self.now, lambda _: None)
         self.service = ControlService(reactor, self.control, self.log.event)
--- a/granitedock/configuration/transition.py
+++ b/granitedock/configuration/transition.py
@@ -12,7 +12,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from granitedock.policy.decisions import LONGEST_NAME_MS, Book
+from granitedock.policy.decisions import LONGEST_NAME_MS, QuotaAccount
 from granitedock.policy.interface import Plan
 
 COUNTED = ("window", "current", "previous", "debt", "journal", "added", "raw", "lapse", "still")
@@ -28,20 +28,20 @@
     until: float
 
 
-def carried(book: Book, plan: Plan, now: float) -> Book:
+def carried(account: QuotaAccount, plan: Plan, now: float) -> QuotaAccount:
     """The book that goes on from `book` under another plan."""
-    made = Book(plan, book.spread, now, book.quota.first, now)
-    made.out, made.touched_at = book.out, book.touched_at
-    made.spell, made.seen_at = max(0.0, book.spell_at(now)), now
-    if made.window_ms == book.window_ms:
+    made = QuotaAccount(plan, account.subset_size, now, account.quota.subset_start, now)
+    made.in_flight, made.touched_at = account.in_flight, account.touched_at
+    made.spell, made.seen_at = max(0.0, account.spell_at(now)), now
+    if made.window_ms == account.window_ms:
         for name in COUNTED + HEARD:
-            setattr(made, name, getattr(book, name))
-    if book.local is not None:
-        made.local, made.sharers = book.local, book.sharers
-        made.local.become(plan.rate / book.sharers, plan.burst / book.sharers, now)
-    if made.ceiling is not None and book.ceiling is not None:
-        made.ceiling = book.ceiling
-        made.ceiling.become(plan.ceiling_rate / made.spread, plan.ceiling_burst / made.spread, now)
+            setattr(made, name, getattr(account, name))
+    if account.local is not None:
+        made.local, made.active_members = account.local, account.active_members
+        made.local.become(plan.rate / account.active_members, plan.burst / account.active_members, now)
+    if made.ceiling is not None and account.ceiling is not None:
+        made.ceiling = account.ceiling
+        made.ceiling.become(plan.ceiling_rate / made.subset_size, plan.ceiling_burst / made.subset_size, now)
     return made
 
 
@@ -63,26 +63,26 @@
             if not formers:
                 del self.former[name]
 
-    def open_book(self, plan: Plan, spread: int, now: float, first: int, began: float) -> Book:
+    def open_book(self, plan: Plan, subset_size: int, now: float, first: int, began: float) -> QuotaAccount:
         """The book of a customer that this gateway has none of; takes the place of `Book` in the
         decisions."""
         formers = [one for one in self.former.get(plan.name, ()) if now - one.until <= REMEMBERED_MS]
         if not formers:
-            return Book(plan, spread, now, first, began)
+            return QuotaAccount(plan, subset_size, now, first, began)
         oldest = formers[0]
-        book = Book(oldest.plan, spread, oldest.until, first, began)
+        account = QuotaAccount(oldest.plan, subset_size, oldest.until, first, began)
         followers = [one.plan for one in formers[1:]] + [plan]
         for former, then in zip(formers, followers, strict=True):
-            book = self.followed(book, then, former.until)
-        book.touched_at = now
-        return book
+            account = self.followed(account, then, former.until)
+        account.touched_at = now
+        return account
 
     @staticmethod
-    def followed(book: Book, plan: Plan, at: float) -> Book:
+    def followed(account: QuotaAccount, plan: Plan, at: float) -> QuotaAccount:
         """Guards against a fresh burst under the new names, of which this gateway can't know what was used
         under the old ones. Hurts a customer first seen here within the filling of the burst after such a
         change: it has its rate, and no burst yet."""
-        made = carried(book, plan, at)
-        if made.window_ms != book.window_ms:
-            made.spell = max(made.spell, book.plan.burst)
+        made = carried(account, plan, at)
+        if made.window_ms != account.window_ms:
+            made.spell = max(made.spell, account.plan.burst)
         return made
--- a/granitedock/event_log.py
+++ b/granitedock/event_log.py
@@ -17,7 +17,7 @@
 class Sink:
     """Where the lines end: a descriptor, written to at once and whole."""
 
-    def __init__(self, log: Log, descriptor: int) -> None:
+    def __init__(self, log: EventLog, descriptor: int) -> None:
         self.log, self.descriptor = log, descriptor
 
     def msg(self, line: bytes) -> None:
@@ -31,7 +31,7 @@
     return orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE)
 
 
-class Log:
+class EventLog:
     def __init__(self, name: str, clock, most_a_second: int, sink: int = 2) -> None:
         self.name, self.clock, self.most = name, clock, most_a_second
         self.second, self.lines, self.dropped = 0, 0, 0
--- a/granitedock/lab/plansim.py
+++ b/granitedock/lab/plansim.py
@@ -13,7 +13,7 @@
 from granitedock.configuration.gateway import GatewayConfiguration
 from granitedock.lab.fleetsim import Node
 from granitedock.lab.sharesim import Desk, Offer, ShareFleet
-from granitedock.policy.interface import Customer, Plan, Task
+from granitedock.policy.interface import Customer, Plan, Request
 
 
 SPAN_STEP_MS = 250
@@ -35,16 +35,20 @@
     def __init__(self, fleet: PlanFleet, node: Node, shared: bool, viewed: bool) -> None:
         super().__init__(fleet, node, shared, viewed)
         self.plans = {offer.plan.name: offer.plan for offer in fleet.offers.values()}
-        self.products = {product.name: product for product in self.gateway.fleet.products}
+        self.request_classes = {
+            request_class.name: request_class for request_class in self.gateway.fleet.request_classes
+        }
         self.configuration = GatewayConfiguration(self, fleet.unix)
 
     def take(self, offer: Offer, units: float) -> None:
         customer = self.customers.setdefault(offer.key, Customer(offer.key))
         now = self.fleet.unix()
         self.at()
-        task = Task(self.read, self.plans[offer.plan.name], customer, now, now + 800.0, units, offer.spread)
-        task.first = offer.first
-        self.gateway.take(task)
+        request = Request(
+            self.read, self.plans[offer.plan.name], customer, now, now + 800.0, units, offer.spread
+        )
+        request.subset_start = offer.first
+        self.gateway.handle_request(request)
 
     def changed(self, plan: Plan) -> None:
         self.configuration.put_plans({plan.name: plan}, [])
--- a/granitedock/lab/scale/plans.py
+++ b/granitedock/lab/scale/plans.py
@@ -11,7 +11,7 @@
 from granitedock import platform_settings
 from granitedock.lab.scale.platform import platform_file
 from granitedock.lab.scale.probe import MIB, allocated_bytes, cpu_ms
-from granitedock.policy.decisions import Book
+from granitedock.policy.decisions import QuotaAccount
 from granitedock.policy.interface import Customer
 from granitedock.platform_file import load
 
@@ -42,5 +42,5 @@
     decode_ms = cpu_ms(lambda: platform_settings.plans(told["settings"]))
     kept = allocated_bytes(lambda: {plan.name: plan for plan in platform_settings.plans(told["settings"])})
     plan = platform_settings.plans(told["settings"])[0]
-    books = allocated_bytes(lambda: [Customer(n, Book(plan, 3, 0.0)) for n in range(BOOKS)])
-    return PlanCost(count, size, read_ms, decode_ms, kept / MIB, books / BOOKS)
+    accounts = allocated_bytes(lambda: [Customer(n, QuotaAccount(plan, 3, 0.0)) for n in range(BOOKS)])
+    return PlanCost(count, size, read_ms, decode_ms, kept / MIB, accounts / BOOKS)
--- a/granitedock/lab/sharesim.py
+++ b/granitedock/lab/sharesim.py
@@ -20,7 +20,17 @@
 from granitedock.lab.fleetsim import EPOCH, Node, World
 from granitedock.lab.scenario import parse
 from granitedock.lab.settings import born
-from granitedock.policy.interface import Call, Customer, Ending, Forward, Host, Plan, Sighting, Status, Task
+from granitedock.policy.interface import (
+    CounterCall,
+    Customer,
+    Outcome,
+    Attempt,
+    Host,
+    Plan,
+    EndpointUpdate,
+    EndpointStatus,
+    Request,
+)
 from granitedock.quota_sharing.state import Bounds, Shared
 
 SERVED_MS, COUNTER_MS = 5.0, (1.0, 3.0)
@@ -59,12 +69,15 @@
     def __init__(self, fleet: ShareFleet, node: Node, shared: bool, viewed: bool) -> None:
         self.fleet, self.node, self.part = fleet, node, node.part
         settings = born(fleet.scenario, node.number) | {"Balancers": len(fleet.nodes)}
-        goods = platform_settings.products(settings)
+        goods = platform_settings.request_classes(settings)
         self.read = goods[0]
         self.gateway = platform_settings.gateway(self, fleet.unix(), node.number, settings, goods)
         self.hosts = {f"h{n}": Host(name=f"h{n}", zone="ab"[n % 2]) for n in range(fleet.hosts)}
-        seen = [Sighting(host, 1.0, "m", host.zone, 0, 0.0, Status.READY) for host in self.hosts.values()]
-        self.gateway.roster(seen, True)
+        seen = [
+            EndpointUpdate(host, 1.0, "m", host.zone, 0, 0.0, EndpointStatus.READY)
+            for host in self.hosts.values()
+        ]
+        self.gateway.update_endpoints(seen, True)
         self.judge: Judge | None = None
         if fleet.judged:
             me = node.part.view.me
@@ -77,63 +90,63 @@
         self.gateway.shared = self.shared
         self.gateway.peers = self if viewed else None
 
-    def sharers(self, first: int, spread: int) -> int:
-        return self.part.sharers(self.fleet.now, first, spread)
+    def active_members(self, first: int, spread: int) -> int:
+        return self.part.active_members(self.fleet.now, first, spread)
 
     def up(self) -> bool:
         return self.node.part is self.part
 
     def at(self) -> None:
-        self.gateway.at(self.fleet.unix())
+        self.gateway.advance_clock(self.fleet.unix())
 
     # What the decisions ask for.
 
-    def forward(self, forward: Forward, stop_at: float | None) -> None:
-        fleet, name = self.fleet, forward.host.name
+    def send_attempt(self, attempt: Attempt, attempt_deadline: float | None) -> None:
+        fleet, name = self.fleet, attempt.host.name
         what = fleet.bad.get(name)
         if (self.node.number, name) in fleet.unreached:
             what = "unreached"
-        fleet.forwards[name] += 1
+        fleet.attempts[name] += 1
         if what is None:
-            fleet.later(SERVED_MS, self.ended, forward, Ending.DONE)
+            fleet.later(SERVED_MS, self.ended, attempt, Outcome.DONE)
         elif what == "silent":
-            fleet.later(forward.task.cutoff_at - fleet.unix(), self.ended, forward, Ending.TIMEOUT)
+            fleet.later(attempt.request.deadline - fleet.unix(), self.ended, attempt, Outcome.TIMEOUT)
         else:
-            fleet.later(SERVED_MS, self.ended, forward, Ending[what.upper()])
+            fleet.later(SERVED_MS, self.ended, attempt, Outcome[what.upper()])
 
-    def ended(self, forward: Forward, ending: Ending) -> None:
-        if not self.up() or forward.ending is not None:
+    def ended(self, attempt: Attempt, outcome: Outcome) -> None:
+        if not self.up() or attempt.outcome is not None:
             return
-        task, done = forward.task, ending is Ending.DONE
+        request, done = attempt.request, outcome is Outcome.DONE
         if done:
-            offer = self.fleet.offers[task.customer.key]
-            offer.done.append((task.taken_at - EPOCH, self.node.number, task.units))
-        elif forward.host.name in self.fleet.bad:
-            self.fleet.lost[forward.host.name] += 1
+            offer = self.fleet.offers[request.customer.key]
+            offer.done.append((request.received_at - EPOCH, self.node.number, request.units))
+        elif attempt.host.name in self.fleet.bad:
+            self.fleet.lost[attempt.host.name] += 1
         self.at()
-        self.gateway.ended(forward, ending, self.fleet.unix() - forward.sent_at, done, 0, 0)
+        self.gateway.attempt_finished(attempt, outcome, self.fleet.unix() - attempt.sent_at, done, 0, 0)
 
-    def defer(self, task: Task, come_back_ms: float | None) -> None:
-        self.fleet.offers[task.customer.key].refused += 1
+    def reject(self, request: Request, retry_after_ms: float | None) -> None:
+        self.fleet.offers[request.customer.key].refused += 1
 
-    def error(self, task: Task) -> None:
-        self.fleet.offers[task.customer.key].refused += 1
+    def fail(self, request: Request) -> None:
+        self.fleet.offers[request.customer.key].refused += 1
 
-    def withdraw(self, forward: Forward) -> None:
-        self.fleet.later(0.0, self.ended, forward, Ending.WITHDRAWN)
+    def cancel(self, attempt: Attempt) -> None:
+        self.fleet.later(0.0, self.ended, attempt, Outcome.CANCELLED)
 
-    def log(self, line: str) -> None:
+    def log_decision(self, line: str) -> None:
         """Nobody reads it here."""
 
-    def wake(self, after_ms: float, why: object) -> None:
+    def start_timer(self, after_ms: float, why: object) -> None:
         self.fleet.later(after_ms, self.woke, why)
 
     def woke(self, why: Any) -> None:
         if self.up():
             self.at()
-            self.gateway.woke(why)
+            self.gateway.timer_fired(why)
 
-    def count(self, call: Call) -> None:
+    def call_counter(self, call: CounterCall) -> None:
         fleet = self.fleet
         fleet.calls += 1
         since = fleet.counter_cuts.get(self.node.number)
@@ -141,19 +154,19 @@
         if since is None:
             fleet.later(way, self.counted_there, call)
         elif fleet.now - since > DEAF_MS:
-            fleet.later(DIAL_MS, self.counted, call, Ending.UNREACHED, 0.0)
+            fleet.later(DIAL_MS, self.counted, call, Outcome.CONNECTION_FAILED, 0.0)
 
-    def counted_there(self, call: Call) -> None:
+    def counted_there(self, call: CounterCall) -> None:
         """It reaches the counter, and its answer comes back unless the wire is cut meanwhile."""
-        total = self.fleet.add(call.name, call.amount, call.life_ms)
+        total = self.fleet.add(call.name, call.amount, call.ttl_ms)
         if self.node.number not in self.fleet.counter_cuts:
             way = self.fleet.chance.uniform(*COUNTER_MS)
-            self.fleet.later(way, self.counted, call, Ending.DONE, total)
+            self.fleet.later(way, self.counted, call, Outcome.DONE, total)
 
-    def counted(self, call: Call, ending: Ending, total: float) -> None:
+    def counted(self, call: CounterCall, outcome: Outcome, total: float) -> None:
         if self.up():
             self.at()
-            self.gateway.counted(call, ending, total)
+            self.gateway.counter_call_finished(call, outcome, total)
 
     # What the world does to it.
 
@@ -161,9 +174,9 @@
         customer = self.customers.setdefault(offer.key, Customer(offer.key))
         now = self.fleet.unix()
         self.at()
-        task = Task(self.read, offer.plan, customer, now, now + 800.0, units, offer.spread)
-        task.first = offer.first
-        self.gateway.take(task)
+        request = Request(self.read, offer.plan, customer, now, now + 800.0, units, offer.spread)
+        request.subset_start = offer.first
+        self.gateway.handle_request(request)
 
     def tell_evidence(self) -> None:
         if not self.up():
@@ -192,7 +205,7 @@
             message = Message(Kind.ROWS, self.part.view.me, rows=rows)
             fleet.post(self.node, address, message)
         for call in calls:
-            self.count(call)
+            self.call_counter(call)
 
 
 class ShareFleet(World):
@@ -214,7 +227,7 @@
         self.hosts, self.judged = hosts, judged
         self.bad: dict[str, str] = {}  # hosts that fail, and how: "error", "silent", "full"
         self.unreached: set[tuple[int, str]] = set()  # gateways with no wire to a host
-        self.forwards: Counter[str] = Counter()
+        self.attempts: Counter[str] = Counter()
         self.lost: Counter[str] = Counter()  # forwards that a bad host failed
         self.scenario = parse(SCENARIO)
         self.offers = {offer.key: offer for offer in offers}
@@ -231,10 +244,10 @@
     def unix(self) -> float:
         return EPOCH + self.now
 
-    def add(self, name: int, amount: float, life_ms: float) -> float:
+    def add(self, name: int, amount: float, ttl_ms: float) -> float:
         kept = self.names.get(name)
         if kept is None or kept[1] <= self.now:
-            kept = self.names[name] = [0.0, self.now + life_ms]
+            kept = self.names[name] = [0.0, self.now + ttl_ms]
         kept[0] += amount
         return kept[0]
 
--- a/granitedock/membership/carrier.py
+++ b/granitedock/membership/carrier.py
@@ -281,8 +281,8 @@
 
     # What it is asked for.
 
-    def sharers(self, first: int, spread: int) -> int:
-        return self.part.sharers(self.now(), first, spread)
+    def active_members(self, first: int, spread: int) -> int:
+        return self.part.active_members(self.now(), first, spread)
 
     def shown(self) -> bytes:
         """The view as JSON: this gateway, the members it knows of, and its counters."""
--- a/granitedock/membership/part.py
+++ b/granitedock/membership/part.py
@@ -63,9 +63,9 @@
         due = self.view.due()
         return min(due, now + self.pace.lease_ms / 4) if self.seats.empty else due
 
-    def sharers(self, now: float, first: int, spread: int) -> int:
+    def active_members(self, now: float, first: int, spread: int) -> int:
         """See interface.Peers. Guards against a process that was paused and serves before its view has seen
         the gap: where our own wake is overdue, nothing is taken over."""
         if now - self.view.expected > self.pace.gap_ms:
             return spread
-        return self.seats.sharers(now, first, spread)
+        return self.seats.active_members(now, first, spread)
--- a/granitedock/membership/seats.py
+++ b/granitedock/membership/seats.py
@@ -109,7 +109,7 @@
         }
         return {seat: since for seat, since in self.quiet.items() if seat not in empty}
 
-    def sharers(self, now: float, first: int, spread: int) -> int:
+    def active_members(self, now: float, first: int, spread: int) -> int:
         """Of the set of `spread` gateways from number `first` on, counted round: how many may be serving."""
         if not self.empty or self.strangers or now < self.doubt_until:
             return spread
--- a/granitedock/model_checking/canon.py
+++ b/granitedock/model_checking/canon.py
@@ -14,10 +14,10 @@
 from types import FunctionType, MethodType
 from typing import Any
 
-from granitedock.policy.interface import Plan, Product
-from granitedock.rolling_window import Ring
+from granitedock.policy.interface import Plan, RequestClass
+from granitedock.rolling_window import RollingWindow
 
-BY_NAME = frozenset({Product, Plan})
+BY_NAME = frozenset({RequestClass, Plan})
 PLAIN = frozenset({int, float, str, bytes, bool, type(None)})
 LISTS = frozenset({list, tuple, deque})
 LEFT_OUT = frozenset(
@@ -57,7 +57,7 @@
         out.append("}")
     elif kind in BY_NAME:
         out.append(thing.name)
-    elif kind is Ring:
+    elif kind is RollingWindow:
         if thing.newest >= 0:
             out.append((thing.newest, tuple(thing.stamps), tuple(thing.cells)))
     elif isinstance(thing, Enum):
--- a/granitedock/model_checking/command.py
+++ b/granitedock/model_checking/command.py
@@ -80,9 +80,9 @@
         return f"{world.now:8.1f} ms  {'  '.join(held)}"
     said = []
     for name, job in sorted(world.jobs.items()):
-        sent = " ".join(f"h{host}:{how}" for host, _, _, how in job.forwards.values())
+        sent = " ".join(f"h{host}:{how}" for host, _, _, how in job.attempts.values())
         answers = " ".join(kind for _, kind in job.answers)
-        said.append(f"{name} ({job.product}) [{sent}] {answers}".rstrip())
+        said.append(f"{name} ({job.request_class}) [{sent}] {answers}".rstrip())
     return f"{world.now - START:6.1f} ms  {'  '.join(said)}"
 
 
--- a/granitedock/model_checking/gateways.py
+++ b/granitedock/model_checking/gateways.py
@@ -18,7 +18,15 @@
 from granitedock.model_checking.canon import digest
 from granitedock.model_checking.explore import Move
 from granitedock.model_checking.still import keep, maker, still
-from granitedock.policy.interface import Cold, Ending, Leave, Plan, Product, Seat, Status
+from granitedock.policy.interface import (
+    SlowStart,
+    Outcome,
+    PermittedFeatures,
+    Plan,
+    RequestClass,
+    GatewayIdentity,
+    EndpointStatus,
+)
 from granitedock.service.client_protocol import read
 from granitedock.service.discovery_protocol import Entry, Listing
 from granitedock.service.limits import Limits
@@ -43,7 +51,7 @@
     "wire": ("up", "refused"),
     "list": ("told",),
 }
-ENDINGS = {"value": Ending.DONE, "error": Ending.ERROR, "busy": Ending.FULL}
+ENDINGS = {"value": Outcome.DONE, "error": Outcome.ERROR, "busy": Outcome.OVERLOADED}
 
 
 @dataclass(frozen=True, slots=True)
@@ -162,12 +170,12 @@
     """A task as its client and the hosts know it. `forwards`, by number: (host, when written, when over or
     None, how)."""
 
-    product: str
+    request_class: str
     gateway: int
     plan: str = "p"
     sent_at: float = -1.0
     answers: list[tuple[float, str]] = field(default_factory=list)
-    forwards: dict[int, list[Any]] = field(default_factory=dict)
+    attempts: dict[int, list[Any]] = field(default_factory=dict)
     orphan: bool = False  # its gateway was killed: nothing is owed
     caller: Any = None  # its connection, as the reducer knows it
 
@@ -191,7 +199,7 @@
         parts = [("limits", reducer.limits), ("leave", reducer.gateway.leave)]
         parts += [("cold", reducer.gateway.fleet.cold), ("seat", reducer.gateway.fleet.seat)]
         parts += [
-            *reducer.products.items(),
+            *reducer.request_classes.items(),
             *(("plan " + name, plan) for name, plan in reducer.plans.items()),
         ]
         keep("gateways", shape, number, parts)
@@ -215,7 +223,7 @@
         heapq.heappush(self.wakes, (wake.due, self.made, wake))
 
     def dial_host(self, lane: Any, address: str) -> None:
-        self.world.due[("dial", self.number, *self.world.about(lane.forward))] = lane
+        self.world.due[("dial", self.number, *self.world.about(lane.attempt))] = lane
 
     def dial_counter(self, wire: Any) -> None:
         self.world.due[("wire", self.number, wire.number)] = wire
@@ -262,23 +270,32 @@
         if shape.warm:
             self.jobs.clear()
             self.now += 10.0  # kept connections rest for a moment
-        for number, task in enumerate(shape.tasks):
-            plan = "c" if task.endswith("!") else "p"
-            self.client(f"t{number}", task.rstrip("!"), number % shape.gateways, plan)
+        for number, request in enumerate(shape.tasks):
+            plan = "c" if request.endswith("!") else "p"
+            self.client(f"t{number}", request.rstrip("!"), number % shape.gateways, plan)
 
     def entries(self, draining: int = -1) -> list[Entry]:
         return [
-            Entry(f"h{n}", f"h{n}:1", 1.0, "", "", 0, 0.0, Status.DRAINING if n == draining else Status.READY)
+            Entry(
+                f"h{n}",
+                f"h{n}:1",
+                1.0,
+                "",
+                "",
+                0,
+                0.0,
+                EndpointStatus.DRAINING if n == draining else EndpointStatus.READY,
+            )
             for n in range(self.shape.hosts)
         ]
 
-    def client(self, name: str, product: str, gateway: int, plan: str) -> None:
-        self.jobs[name] = Job(product, gateway, plan)
+    def client(self, name: str, request_class: str, gateway: int, plan: str) -> None:
+        self.jobs[name] = Job(request_class, gateway, plan)
         self.due[("ask", gateway, name)] = None
 
     @staticmethod
-    def about(forward: Any) -> tuple[str, int]:
-        return forward.task.ask.id.decode(), len(forward.task.forwards)
+    def about(attempt: Any) -> tuple[str, int]:
+        return attempt.request.ask.id.decode(), len(attempt.request.attempts)
 
     # What may happen.
 
@@ -345,12 +362,12 @@
         if not gate.up:
             job.orphan = True
             return
-        text = f"c={job.product},t={job.plan},d={LEFT_MS},units=1,spread={self.shape.gateways},first=0"
+        text = f"c={job.request_class},t={job.plan},d={LEFT_MS},units=1,spread={self.shape.gateways},first=0"
         words = [
-            b"API.READ" if KINDS[job.product] == "safe" else b"API.WRITE",
+            b"API.READ" if KINDS[job.request_class] == "safe" else b"API.WRITE",
             b"%016x" % CUSTOMERS[job.plan],
             name.encode(),
-            (text + ",k=1" * (KINDS[job.product] == "keyed")).encode(),
+            (text + ",k=1" * (KINDS[job.request_class] == "keyed")).encode(),
         ]
         job.sent_at = self.now
         link = Link(gate, "client")
@@ -359,7 +376,7 @@
         parts = command(*words).split(b"\r\n")[:-1]
         gate.tell("asked", link.record, read(words, parts, gate.reducer.limits))
 
-    def on_dial(self, outcome: str, lane: Any, gateway: int, task: str, number: int) -> None:
+    def on_dial(self, outcome: str, lane: Any, gateway: int, request: str, number: int) -> None:
         gate = self.gates[gateway]
         if outcome == "refused":
             gate.tell("host down", lane)
@@ -373,56 +390,56 @@
     def sent(self, gate: Gate, link: Link) -> None:
         """A forward's bytes leave; they arrive whole."""
         lane = link.record
-        task, number = link.carries = self.about(lane.forward)
-        job, host = self.jobs[task], int(lane.place.name[1:])
+        request, number = link.carries = self.about(lane.attempt)
+        job, host = self.jobs[request], int(lane.place.name[1:])
         if job.answers:
-            self.wrong.append(f"rule 1: {task} was sent to h{host} after its answer")
-        self.effects(task, job)
+            self.wrong.append(f"rule 1: {request} was sent to h{host} after its answer")
+        self.effects(request, job)
         told = self.draining.get(gate.number, {}).get(host)
         if told is not None and self.now > told + 1000 * (GRACE_S + SLACK_S):
-            self.wrong.append(f"rule 3: {task} was sent to h{host}, which drains")
-        job.forwards[number] = [host, self.now, None, "out"]
-        self.due[("answer", gate.number, task, number)] = link
+            self.wrong.append(f"rule 3: {request} was sent to h{host}, which drains")
+        job.attempts[number] = [host, self.now, None, "out"]
+        self.due[("answer", gate.number, request, number)] = link
         gate.soon.append(("written", lane))
         self.ceiling()
 
-    def effects(self, task: str, job: Job) -> None:
+    def effects(self, request: str, job: Job) -> None:
         """Rule 2, before another forward of the task goes out."""
-        repeat = KINDS[job.product]
-        for host, at, over, how in job.forwards.values():
+        repeat = KINDS[job.request_class]
+        for host, at, over, how in job.attempts.values():
             if over is None:
-                self.wrong.append(f"rule 2: {task} is out at h{host} already")
+                self.wrong.append(f"rule 2: {request} is out at h{host} already")
             if how == "busy" or repeat == "safe":
                 continue
             if repeat == "unsafe" or self.now > at + REMEMBERED_MS + 1000 * SLACK_S:
-                self.wrong.append(f"rule 2: {task} ({job.product}) may have run at h{host}")
+                self.wrong.append(f"rule 2: {request} ({job.request_class}) may have run at h{host}")
 
     def ceiling(self) -> None:
         """Rule 5: one customer's first forwards, over all gateways."""
         full = CEILING["burst"] + CEILING["slack"] + CEILING["rate"] * CEILING_SLACK_S
         level, before = full, START
-        under = [job for job in self.jobs.values() if job.plan == "c" and job.forwards]
-        firsts = sorted(min(row[1] for row in job.forwards.values()) for job in under)
+        under = [job for job in self.jobs.values() if job.plan == "c" and job.attempts]
+        firsts = sorted(min(row[1] for row in job.attempts.values()) for job in under)
         for at in firsts:
             level, before = min(full, level + CEILING["rate"] * (at - before) / 1000.0) - 1.0, at
             if level < 0:
                 self.wrong.append(f"rule 5: over the ceiling by {-level:.2f} units")
 
-    def over(self, gateway: int, task: str, number: int, how: str) -> None:
+    def over(self, gateway: int, request: str, number: int, how: str) -> None:
         """The forward is out no more: it was answered, or its connection ended."""
-        row = self.jobs[task].forwards[number]
+        row = self.jobs[request].attempts[number]
         if row[2] is None:
             row[2], row[3] = self.now, how
         for pending in (self.due, self.late):
-            pending.pop(("answer", gateway, task, number), None)
+            pending.pop(("answer", gateway, request, number), None)
 
-    def on_answer(self, outcome: str, link: Link, gateway: int, task: str, number: int) -> None:
+    def on_answer(self, outcome: str, link: Link, gateway: int, request: str, number: int) -> None:
         gate = self.gates[gateway]
         if outcome == "reset":
             link.ends(outcome)
             gate.tell("host down", link.record)
         else:
-            self.over(gateway, task, number, outcome)
+            self.over(gateway, request, number, outcome)
             link.carries = None
             gate.tell("host answered", link.record, True, ENDINGS[outcome], VALUE, 0.0, 0)
 
@@ -444,11 +461,11 @@
     def on_total(self, outcome: str, thing: tuple[Any, Any], gateway: int, number: int) -> None:
         gate, (wire, call) = self.gates[gateway], thing
         if outcome == "busy":
-            gate.tell("counter answered", wire, Ending.FULL, 0.0)
+            gate.tell("counter answered", wire, Outcome.OVERLOADED, 0.0)
             return
         self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
         if outcome == "total":
-            gate.tell("counter answered", wire, Ending.DONE, self.totals[call.name])
+            gate.tell("counter answered", wire, Outcome.DONE, self.totals[call.name])
         else:
             wire.link.open = False
             self.forget_totals(wire)
@@ -471,11 +488,11 @@
             self.wrong.append(f"rule 1: {name} was answered {len(job.answers)} times")
         if self.now > job.sent_at + LEFT_MS + 1000 * SLACK_S:
             self.wrong.append(f"rule 1: {name} was answered late")
-        ran = [row for row in job.forwards.values() if row[3] != "busy"]
+        ran = [row for row in job.attempts.values() if row[3] != "busy"]
         if kind == "deferred" and ran:
-            repeat, since = KINDS[job.product], self.now - ran[0][1]
+            repeat, since = KINDS[job.request_class], self.now - ran[0][1]
             if repeat == "unsafe" or (repeat == "keyed" and since > REMEMBERED_MS + 1000 * SLACK_S):
-                self.wrong.append(f"rule 2: {name} ({job.product}) may have run and was deferred")
+                self.wrong.append(f"rule 2: {name} ({job.request_class}) may have run and was deferred")
 
     # Faults.
 
@@ -488,11 +505,11 @@
             if job.gateway != gateway or job.answers:
                 continue
             job.orphan = True
-            for row in job.forwards.values():
+            for row in job.attempts.values():
                 if row[2] is None:
                     row[2], row[3] = self.now, "reset"
-            if KINDS[job.product] != "unsafe" and self.shape.gateways > 1:
-                self.client(f"{name}r", job.product, (gateway + 1) % self.shape.gateways, job.plan)
+            if KINDS[job.request_class] != "unsafe" and self.shape.gateways > 1:
+                self.client(f"{name}r", job.request_class, (gateway + 1) % self.shape.gateways, job.plan)
         for pending in (self.due, self.late):
             for name in [name for name in pending if name[1] == gateway]:
                 del pending[name]
@@ -533,7 +550,7 @@
         return digest(state, jobs, gates, sorted(self.late), pending)
 
 
-still(Limits, Product, Plan, Leave, Cold, Seat)
+still(Limits, RequestClass, Plan, PermittedFeatures, SlowStart, GatewayIdentity)
 maker("gateways", Small)
 
 
--- a/granitedock/model_checking/views.py
+++ b/granitedock/model_checking/views.py
@@ -135,7 +135,7 @@
         for node in self.running():
             if self.now < node.paused_until:
                 continue  # it decides nothing
-            counted = node.part.sharers(self.now, 0, count)
+            counted = node.part.active_members(self.now, 0, count)
             if counted < serving:
                 who = f"g{node.number} divides by {counted} while {serving} of {count} serve"
                 self.wrong.append(f"{who}, at {self.now:.0f} ms")
--- a/granitedock/outlier_detection/judge.py
+++ b/granitedock/outlier_detection/judge.py
@@ -16,10 +16,10 @@
 from typing import Any
 
 from granitedock.outlier_detection.evidence import Evidence, Held, Row
-from granitedock.policy.interface import Ending, Host, Status
+from granitedock.policy.interface import Outcome, Host, EndpointStatus
 
-ANSWERS = (Ending.DONE, Ending.FULL)
-SILENT = (Ending.TIMEOUT, Ending.WITHDRAWN)
+ANSWERS = (Outcome.DONE, Outcome.OVERLOADED)
+SILENT = (Outcome.TIMEOUT, Outcome.CANCELLED)
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
     pace: float = 0.0  # of the quoted time, the newest counting for a fifth
     out: int = 0
     said_at: float = float("-inf")
-    status: Status = Status.READY
+    status: EndpointStatus = EndpointStatus.READY
 
 
 class Judge:
@@ -78,21 +78,23 @@
     def sent(self, host: Host) -> None:
         self.note(host).out += 1
 
-    def ended(self, host: Host, ending: Ending, took_ms: float, quoted_ms: float, now: float) -> None:
+    def ended(
+        self, host: Host, outcome: Outcome, took_ms: float, latency_objective_ms: float, now: float
+    ) -> None:
         """A forward of ours there is over. What says nothing of the host is left out."""
         notes = self.note(host)
         notes.out = max(0, notes.out - 1)
-        if ending is Ending.MOOT:
+        if outcome is Outcome.ABANDONED:
             return
-        if ending in ANSWERS:
+        if outcome in ANSWERS:
             notes.failures = notes.timeouts = 0
             notes.answered_at = now
-            notes.full += ending is Ending.FULL
-            if ending is Ending.DONE:
-                notes.pace += (took_ms / quoted_ms - notes.pace) / 5.0
+            notes.full += outcome is Outcome.OVERLOADED
+            if outcome is Outcome.DONE:
+                notes.pace += (took_ms / latency_objective_ms - notes.pace) / 5.0
         else:
             notes.failures += 1
-            notes.timeouts += ending in SILENT
+            notes.timeouts += outcome in SILENT
             notes.failed_at = now
         self.say(host.name, notes, now)
 
@@ -168,7 +170,7 @@
             min(notes.full, 1000),
             min(int(100 * notes.pace), 10_000),
             notes.out,
-            notes.status is not Status.READY,
+            notes.status is not EndpointStatus.READY,
         )
         had = self.evidence.own(name)
         changed = (
@@ -183,7 +185,7 @@
         weights = self.weights
         self.evidence.sweep(now)
         for name, notes in self.notes.items():
-            holds = notes.status is not Status.READY or (
+            holds = notes.status is not EndpointStatus.READY or (
                 notes.failures and now - notes.failed_at <= weights.fresh_ms
             )
             if holds and now - notes.said_at >= weights.renew_ms:
@@ -203,7 +205,7 @@
         self.judged_at = now
         live = set(self.members())
         self.apart = self.set_apart(live, now)
-        ready = [name for name, host in self.hosts.items() if host.status is Status.READY]
+        ready = [name for name, host in self.hosts.items() if host.status is EndpointStatus.READY]
         weighed = []
         for name in ready:
             why, voices = self.weigh(name, live, now)
--- a/granitedock/platform_settings.py
+++ b/granitedock/platform_settings.py
@@ -5,9 +5,18 @@
 from typing import Any
 
 from granitedock.policy.decisions import Gateway
-from granitedock.policy.interface import Cold, Door, Group, Kind, Leave, Plan, Product, Seat
-
-KINDS = {"safe": Kind.HARMLESS, "keyed": Kind.STAMPED, "unsafe": Kind.ONE_SHOT}
+from granitedock.policy.interface import (
+    SlowStart,
+    EffectHandler,
+    IdempotencyScope,
+    Idempotency,
+    PermittedFeatures,
+    Plan,
+    RequestClass,
+    GatewayIdentity,
+)
+
+KINDS = {"safe": Idempotency.IDEMPOTENT, "keyed": Idempotency.KEYED, "unsafe": Idempotency.NON_IDEMPOTENT}
 PER_MS = 0.001
 
 
@@ -17,23 +26,23 @@
     return 0.0 if value is None else float(value)
 
 
-def product(record: dict[str, Any]) -> Product:
+def request_class(record: dict[str, Any]) -> RequestClass:
     """A request class of the settings."""
-    return Product(
+    return RequestClass(
         name=record["Name"],
         kind=KINDS[record["Repeat"]],
-        group=Group(record.get("DedupScope") or "all"),
-        group_ms=number(record, "WindowMs"),
-        quoted_ms=number(record, "TargetMs"),
-        cutoff_ms=number(record, "GiveUpMs"),
-        benefit=number(record, "Worth"),
-        late_benefit=number(record, "LateWorth"),
+        group=IdempotencyScope(record.get("DedupScope") or "all"),
+        idempotency_window_ms=number(record, "WindowMs"),
+        latency_objective_ms=number(record, "TargetMs"),
+        deadline_ms=number(record, "GiveUpMs"),
+        priority_weight=number(record, "Worth"),
+        late_priority_weight=number(record, "LateWorth"),
         stream=bool(record.get("Stream")),
     )
 
 
-def products(born: dict[str, Any]) -> list[Product]:
-    return [product(record) for record in born["Lanes"]]
+def request_classes(born: dict[str, Any]) -> list[RequestClass]:
+    return [request_class(record) for record in born["Lanes"]]
 
 
 def plan(record: dict[str, Any], window_ms: float = 0.0) -> Plan:
@@ -44,10 +53,10 @@
         name=record["Name"],
         rate=float(field("Refill") or 0.0) * PER_MS,
         burst=float(field("MostAtOnce") or 0.0),
-        most_out=int(field("Concurrency") or 0.0),
-        benefit_factor=float(field("WorthFactor") or 0.0),
-        over_benefit=float(field("OverWorth") or 0.0),
-        over_cost=float(field("ExcessCost") or 0.0),
+        max_in_flight=int(field("Concurrency") or 0.0),
+        priority_factor=float(field("WorthFactor") or 0.0),
+        over_quota_weight=float(field("OverWorth") or 0.0),
+        over_quota_cost=float(field("ExcessCost") or 0.0),
         ceiling_rate=float(field("CeilingRate") or 0.0) * PER_MS,
         ceiling_burst=float(field("CeilingBurst") or 0.0),
         ceiling_slack=float(field("Tolerance") or 0.0),
@@ -59,35 +68,37 @@
     return [plan(record) for record in born["Tariffs"]]
 
 
-def leave(born: dict[str, Any]) -> Leave:
+def leave(born: dict[str, Any]) -> PermittedFeatures:
     allowed = born["Allowed"]
-    return Leave(
-        most_forwards=int(number(allowed, "MaxAttempts")),
-        second_copies=bool(allowed.get("SecondCopies")),
+    return PermittedFeatures(
+        max_attempts=int(number(allowed, "MaxAttempts")),
+        hedged_requests=bool(allowed.get("SecondCopies")),
         withdraw=bool(allowed.get("Cancel")),
         retry_after=bool(allowed.get("RetryAfter")),
-        most_retry_after_ms=number(allowed, "MaxRetryAfterMs"),
+        max_retry_after_ms=number(allowed, "MaxRetryAfterMs"),
     )
 
 
-def cold(born: dict[str, Any]) -> Cold:
+def cold(born: dict[str, Any]) -> SlowStart:
     safety = born["Safety"]
-    return Cold(
-        start_share=number(safety, "ColdFrom"),
-        warm_after_ms=number(safety, "ColdMs"),
+    return SlowStart(
+        initial_capacity_share=number(safety, "ColdFrom"),
+        warm_up_ms=number(safety, "ColdMs"),
         overload_factor=number(safety, "OverloadFactor"),
-        tip_after_ms=number(safety, "TipAfterMs"),
+        overload_interval_ms=number(safety, "TipAfterMs"),
     )
 
 
-def seat(seed: int, born: dict[str, Any]) -> Seat:
-    return Seat(seed, int(number(born, "Me")), max(1, int(number(born, "Balancers"))))
+def seat(seed: int, born: dict[str, Any]) -> GatewayIdentity:
+    return GatewayIdentity(seed, int(number(born, "Me")), max(1, int(number(born, "Balancers"))))
 
 
 def has_counter(born: dict[str, Any]) -> bool:
     return bool((born.get("Specifics") or {}).get("Counter"))
 
 
-def gateway(door: Door, now: float, seed: int, born: dict[str, Any], goods: list[Product]) -> Gateway:
+def gateway(
+    door: EffectHandler, now: float, seed: int, born: dict[str, Any], goods: list[RequestClass]
+) -> Gateway:
     """The decisions of one gateway."""
     return Gateway(door, now, seat(seed, born), goods, leave(born), cold(born), has_counter(born))
--- a/granitedock/policy/interface.py
+++ b/granitedock/policy/interface.py
@@ -13,15 +13,15 @@
 from typing import Any, Protocol
 
 
-class Kind(Enum):
+class Idempotency(Enum):
     """What a repeat of a product's task does."""
 
-    HARMLESS = "harmless"
-    STAMPED = "stamped"
-    ONE_SHOT = "one-shot"
+    IDEMPOTENT = "harmless"
+    KEYED = "stamped"
+    NON_IDEMPOTENT = "one-shot"
 
 
-class Group(Enum):
+class IdempotencyScope(Enum):
     """The hosts that drop repeats of a stamped task."""
 
     ALL = "all"
@@ -29,21 +29,21 @@
     CELL = "cell"
 
 
-class Ending(Enum):
+class Outcome(Enum):
     """How a forward or a call to the counter ended. A call that ended by error was added, and no total came;
     one that ended by reset may have been."""
 
     DONE = "done"
     ERROR = "error"
-    FULL = "full"
+    OVERLOADED = "full"
     TIMEOUT = "timeout"
-    UNREACHED = "unreached"
+    CONNECTION_FAILED = "unreached"
     RESET = "reset"
-    WITHDRAWN = "withdrawn"
-    MOOT = "moot"
+    CANCELLED = "withdrawn"
+    ABANDONED = "moot"
 
 
-class Status(Enum):
+class EndpointStatus(Enum):
     """What the roster says of a host."""
 
     READY = "ready"
@@ -52,15 +52,15 @@
 
 
 @dataclass(frozen=True, eq=False, slots=True)
-class Product:
+class RequestClass:
     name: str
-    kind: Kind
-    group: Group
-    group_ms: float
-    quoted_ms: float
-    cutoff_ms: float
-    benefit: float
-    late_benefit: float
+    kind: Idempotency
+    group: IdempotencyScope
+    idempotency_window_ms: float
+    latency_objective_ms: float
+    deadline_ms: float
+    priority_weight: float
+    late_priority_weight: float
     stream: bool
 
 
@@ -69,10 +69,10 @@
     name: str
     rate: float
     burst: float
-    most_out: int
-    benefit_factor: float
-    over_benefit: float
-    over_cost: float
+    max_in_flight: int
+    priority_factor: float
+    over_quota_weight: float
+    over_quota_cost: float
     ceiling_rate: float
     ceiling_burst: float
     ceiling_slack: float
@@ -80,18 +80,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
+class PermittedFeatures:
     """What the deployment allows a gateway to do."""
 
-    most_forwards: int
-    second_copies: bool
+    max_attempts: int
+    hedged_requests: bool
     withdraw: bool
     retry_after: bool
-    most_retry_after_ms: float
+    max_retry_after_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Seat:
+class GatewayIdentity:
     """A gateway's place among the gateways, and the seed of its chances."""
 
     seed: int
@@ -100,13 +100,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cold:
+class SlowStart:
     """What is known of a host that has just started, and what pushes it over."""
 
-    start_share: float
-    warm_after_ms: float
+    initial_capacity_share: float
+    warm_up_ms: float
     overload_factor: float
-    tip_after_ms: float
+    overload_interval_ms: float
 
 
 @dataclass(eq=False, slots=True)
@@ -116,7 +116,7 @@
     zone: str = ""
     cell: int = 0
     started_at: float = 0.0
-    status: Status = Status.READY
+    status: EndpointStatus = EndpointStatus.READY
     health: Any = None  # the decisions' own notes on this host
     name: str = ""  # the carrier's, to tell other gateways; the decisions make nothing of it
 
@@ -124,58 +124,58 @@
 @dataclass(eq=False, slots=True, weakref_slot=True)
 class Customer:
     key: int
-    book: Any = None  # the decisions' own notes on this customer
+    account: Any = None  # the decisions' own notes on this customer
 
 
 @dataclass(eq=False, slots=True)
-class Task:
-    product: Product
+class Request:
+    request_class: RequestClass
     plan: Plan
     customer: Customer
-    taken_at: float
-    cutoff_at: float
+    received_at: float
+    deadline: float
     units: float
-    spread: int
+    subset_size: int
     state: str = "new"
-    forwards: list[Forward] = field(default_factory=list)
-    out: int = 0
-    call: Call | None = None
-    first: int = 0  # of the customer's set: `spread` gateways in a row from this number on, counted round
+    attempts: list[Attempt] = field(default_factory=list)
+    in_flight: int = 0
+    counter_call: CounterCall | None = None
+    subset_start: int = 0  # the first of the `subset_size` gateways in a row that the customer comes through
 
 
 @dataclass(eq=False, slots=True)
-class Forward:
+class Attempt:
     """One sending of a task to a host; it stands in the task's list at its own number."""
 
-    task: Task
+    request: Request
     host: Host
     sent_at: float
-    queue_at_send: int
-    ending: Ending | None = None
-    begin_by: float = float("inf")  # the latest moment at which its first byte may leave
+    in_flight_at_send: int
+    outcome: Outcome | None = None
+    send_before: float = float("inf")  # the latest moment at which its first byte may leave
 
 
 @dataclass(eq=False, slots=True)
-class Call:
+class CounterCall:
     """One add to a named count."""
 
     customer: Customer
     name: int
     window: int
     amount: float
-    life_ms: float
+    ttl_ms: float
     sent_at: float
-    task: Task | None = None
-    overdue: bool = False
+    request: Request | None = None
+    timed_out: bool = False
     answered: bool = False
-    landed: bool = False
+    applied: bool = False
     # Where uncounted units are shared: those that ride on this add, and its own task's, let in without it.
     carried: float = 0.0
-    lent: float = 0.0
+    recorded_uncounted: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Sighting:
+class EndpointUpdate:
     """One line of the roster."""
 
     host: Host
@@ -184,33 +184,33 @@
     zone: str
     cell: int
     started_at: float
-    status: Status
+    status: EndpointStatus
 
 
-class Peers(Protocol):
+class MembershipPort(Protocol):
     """What the decisions may ask of a view of the other gateways, where there is one."""
 
-    def sharers(self, first: int, spread: int) -> int:
-        """By how many an even share is divided in the set of `spread` gateways from `first` on: all of them,
-        less those proved to have ended; from 1 to `spread`."""
+    def active_members(self, subset_start: int, subset_size: int) -> int:
+        """By how many an even share is divided in the subset of `subset_size` gateways from `subset_start`:
+        all of them, less those proved to have ended; from 1 to `subset_size`."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
-class Quota:
+class SharedQuota:
     """A customer's plan, the set it comes through, and the length of its windows."""
 
     plan: Plan
-    first: int
-    spread: int
+    subset_start: int
+    subset_size: int
     window_ms: float
 
 
-class Shared(Protocol):
+class QuotaSharingPort(Protocol):
     """What the decisions tell and ask of units that gateways let in without the counter, where those are
     shared. Windows are the customer's, by number; units of one window stay in it."""
 
-    def let_in(self, customer: int, window: int, quota: Quota, units: float) -> None:
+    def let_in(self, customer: int, window: int, quota: SharedQuota, units: float) -> None:
         """This gateway let them in, and the counter does not know of them."""
         ...
 
@@ -222,22 +222,24 @@
         """Of those, so many are added to the counter now."""
         ...
 
-    def uncounted(self, customer: int, window: int, quota: Quota, now: float) -> float:
+    def uncounted(self, customer: int, window: int, quota: SharedQuota, now: float) -> float:
         """Units that others let in, or may have, beyond the counter's total; 0 or more."""
         ...
 
-    def answered(self, call: Call, ending: Ending, total: float) -> None:
+    def answered(self, call: CounterCall, outcome: Outcome, total: float) -> None:
         """A call came back; one that was its own says who shows at the counter."""
         ...
 
 
-class Judgement(Protocol):
+class OutlierDetectionPort(Protocol):
     """What the decisions tell and ask of hosts where gateways tell each other what they know of them. It only
     ever takes work away from a host."""
 
     def sent(self, host: Host) -> None: ...
 
-    def ended(self, host: Host, ending: Ending, took_ms: float, quoted_ms: float, now: float) -> None: ...
+    def ended(
+        self, host: Host, outcome: Outcome, took_ms: float, latency_objective_ms: float, now: float
+    ) -> None: ...
 
     def bad(self, host: Host, risky: bool, now: float) -> bool:
         """Whether others' evidence keeps it from a task; `risky` is one that could not be sent again."""
@@ -248,19 +250,19 @@
         ...
 
 
-class Door(Protocol):
+class EffectHandler(Protocol):
     """What a gateway can do to the world."""
 
-    def forward(self, forward: Forward, stop_at: float | None) -> None: ...
+    def send_attempt(self, attempt: Attempt, attempt_deadline: float | None) -> None: ...
 
-    def defer(self, task: Task, come_back_ms: float | None) -> None: ...
+    def reject(self, request: Request, retry_after_ms: float | None) -> None: ...
 
-    def error(self, task: Task) -> None: ...
+    def fail(self, request: Request) -> None: ...
 
-    def withdraw(self, forward: Forward) -> None: ...
+    def cancel(self, attempt: Attempt) -> None: ...
 
-    def count(self, call: Call) -> None: ...
+    def call_counter(self, call: CounterCall) -> None: ...
 
-    def wake(self, after_ms: float, why: object) -> None: ...
+    def start_timer(self, after_ms: float, why: object) -> None: ...
 
-    def log(self, line: str) -> None: ...
+    def log_decision(self, line: str) -> None: ...
--- a/granitedock/quota_sharing/bound.py
+++ b/granitedock/quota_sharing/bound.py
@@ -40,9 +40,9 @@
         return isolated * self.each_isolated + returned * self.each_returned + told * self.each_told
 
 
-def excess(plan: Plan, spread: int, pace: Pace, tell_ms: float, gateways: int = 40) -> Excess:
+def excess(plan: Plan, subset_size: int, pace: Pace, tell_ms: float, gateways: int = 40) -> Excess:
     """The terms for one plan and a set of `spread` in a fleet of `gateways`."""
-    burst, rate = plan.burst / spread, plan.rate / spread
+    burst, rate = plan.burst / subset_size, plan.rate / subset_size
     return Excess(
         burst + rate * detection_ms(pace, gateways), burst + rate * pace.lease_ms, rate * TELLINGS * tell_ms
     )
--- a/granitedock/quota_sharing/state.py
+++ b/granitedock/quota_sharing/state.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from granitedock.membership.part import Part
-from granitedock.policy.interface import Call, Customer, Ending, Quota
+from granitedock.policy.interface import CounterCall, Customer, Outcome, SharedQuota
 from granitedock.quota_sharing.counts import Counts, Row
 
 ROWS_A_DATAGRAM = 16
@@ -51,7 +51,7 @@
 
     # What the decisions ask (interface.Shared).
 
-    def let_in(self, customer: int, window: int, quota: Quota, units: float) -> None:
+    def let_in(self, customer: int, window: int, quota: SharedQuota, units: float) -> None:
         self.counts.let_in(customer, window, quota.window_ms, units)
 
     def paid(self, customer: int, window: int, units: float) -> None:
@@ -79,20 +79,20 @@
         self.rescued = self.rescued or self.counts.held > before
         return self.counts.held - before
 
-    def uncounted(self, customer: int, window: int, quota: Quota, now: float) -> float:
+    def uncounted(self, customer: int, window: int, quota: SharedQuota, now: float) -> float:
         """Units of this window that others of the set let in, or may have, beyond the counter's total."""
         units = self.counts.outstanding(customer, window)
         if self.silent:
-            for n in range(min(quota.spread, self.part.seats.gateways)):
-                seat = (quota.first + n) % self.part.seats.gateways
+            for n in range(min(quota.subset_size, self.part.seats.gateways)):
+                seat = (quota.subset_start + n) % self.part.seats.gateways
                 since = self.silent.get(seat)
                 if since is not None and now > self.present.get(seat, 0.0):
                     units += reserve(quota, window, since, now)
         return units
 
-    def answered(self, call: Call, ending: Ending, total: float) -> None:
+    def answered(self, call: CounterCall, outcome: Outcome, total: float) -> None:
         """A presence call of ours came back: a total above nothing says that the seat was there."""
-        if call.customer is NOBODY and ending is Ending.DONE and total > 0 and call.window != self.seat:
+        if call.customer is NOBODY and outcome is Outcome.DONE and total > 0 and call.window != self.seat:
             self.present[call.window] = call.sent_at + 2 * self.bounds.epoch_ms
 
     # What the carrier gives and takes.
@@ -102,7 +102,7 @@
             if (row.teller, row.born) != (self.counts.teller, self.counts.born):
                 self.counts.merge(row, now)
 
-    def tick(self, now: float, steady: float) -> tuple[list[tuple[str, tuple[Row, ...]]], list[Call]]:
+    def tick(self, now: float, steady: float) -> tuple[list[tuple[str, tuple[Row, ...]]], list[CounterCall]]:
         """Rows for others, by address, and calls for the counter, that are due now."""
         self.look(now, steady)
         self.counts.sweep(now)
@@ -131,7 +131,7 @@
             else:
                 self.silent.pop(seat, None)
 
-    def calls(self, now: float) -> list[Call]:
+    def calls(self, now: float) -> list[CounterCall]:
         """Presence at the counter. Guards against a cut between gateways that all still reach the counter:
         each side would hold back the other's shares although the totals hold all it lets in. We show
         ourselves while anybody is silent to us, and while others hold us for silent, which we hear as what we
@@ -153,11 +153,11 @@
             calls += [self.presence(seat, epoch - back, 0.0, now) for back in (0, 1)]
         return calls
 
-    def presence(self, seat: int, epoch: int, amount: float, now: float) -> Call:
+    def presence(self, seat: int, epoch: int, amount: float, now: float) -> CounterCall:
         """The name is made of seat and epoch, apart from those of customers' windows; a call's `window` is
         used for the seat."""
         name = (seat * 0x9E3779B97F4A7C15 + epoch * 0xD6E8FEB86659FD93 + 0x5E47) % 2**63
-        return Call(NOBODY, name, seat, amount, 3 * self.bounds.epoch_ms, now)
+        return CounterCall(NOBODY, name, seat, amount, 3 * self.bounds.epoch_ms, now)
 
     def shown(self, now: float) -> dict[str, Any]:
         return {
@@ -169,10 +169,10 @@
         }
 
 
-def reserve(quota: Quota, window: int, since: float, now: float) -> float:
+def reserve(quota: SharedQuota, window: int, since: float, now: float) -> float:
     """What a silent gateway of the set may have let in of this window: its even share of the rate since it
     was last heard, and of the burst where it fell silent within the window."""
     starts = window * quota.window_ms
     within = max(0.0, min(now, starts + quota.window_ms) - max(since, starts))
     burst = quota.plan.burst if starts <= since < starts + quota.window_ms else 0.0
-    return (quota.plan.rate * within + burst) / quota.spread
+    return (quota.plan.rate * within + burst) / quota.subset_size
--- a/granitedock/rolling_window.py
+++ b/granitedock/rolling_window.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Ring:
+class RollingWindow:
     """Pairs of sums over the last span."""
 
     def __init__(self, span_ms: float, buckets: int = 8) -> None:
--- a/granitedock/service/client_protocol.py
+++ b/granitedock/service/client_protocol.py
@@ -36,15 +36,15 @@
     """A task as a client words it, and its bytes round the time it gives."""
 
     id: bytes
-    product: str
+    request_class: str
     plan: str
     customer: int
     harmless: bool  # by the command it came as
     stamped: bool
     left_ms: float
     units: float
-    spread: int
-    first: int
+    subset_size: int
+    subset_start: int
     before: bytes
     head: bytes
     tail: bytes
@@ -73,12 +73,13 @@
         fields = dict(pairs)
         if len(fields) != len(pairs):
             raise ValueError("a name stands twice")
-        left, units, spread, first = (fields[name] for name in (b"d", b"units", b"spread", b"first"))
-        if not (DECIMAL(left) and DECIMAL(units) and WHOLE(spread) and WHOLE(first)):
+        left, units = fields[b"d"], fields[b"units"]
+        subset_size, subset_start = fields[b"spread"], fields[b"first"]
+        if not (DECIMAL(left) and DECIMAL(units) and WHOLE(subset_size) and WHOLE(subset_start)):
             raise ValueError("no such number")
         if not 0.0 < float(units) <= limits.units:
             raise ValueError("no such units")
-        if not (0 < int(spread) <= limits.gateways and int(first) < limits.gateways):
+        if not (0 < int(subset_size) <= limits.gateways and int(subset_start) < limits.gateways):
             raise ValueError("no such set")
         at = 0 if text.startswith(b"d=") else text.index(b",d=") + 1
         end = text.find(b",", at)
@@ -91,8 +92,8 @@
             bool(fields.get(b"k")),
             float(left),
             float(units),
-            int(spread),
-            int(first),
+            int(subset_size),
+            int(subset_start),
             whole(parts[:7]),
             text[: at + 2],
             text[end:] if end >= 0 else b"",
--- a/granitedock/service/counter_protocol.py
+++ b/granitedock/service/counter_protocol.py
@@ -9,7 +9,7 @@
 import re
 from typing import Any
 
-from granitedock.policy.interface import Ending
+from granitedock.policy.interface import Outcome
 from granitedock.service.limits import Limits
 from granitedock.service.resp import Fault, RespReceiver, command
 
@@ -24,8 +24,8 @@
     return b"0" if text in (b"-0", b"") else text
 
 
-def tally(name: int, number: float, life_ms: float) -> bytes:
-    return command(b"TALLY", b"%d" % name, amount(number), b"%d" % max(1, round(life_ms)))
+def tally(name: int, number: float, ttl_ms: float) -> bytes:
+    return command(b"TALLY", b"%d" % name, amount(number), b"%d" % max(1, round(ttl_ms)))
 
 
 class CounterLink(RespReceiver):
@@ -50,13 +50,15 @@
     def received(self, value: Any, parts: list[bytes]) -> None:
         word = value.text.split(b" ", 1)[0] if type(value) is Fault else b""
         if type(value) is bytes and TOTAL(value):
-            self.tell("counter answered", self.record, Ending.DONE, float(value))
+            self.tell("counter answered", self.record, Outcome.DONE, float(value))
         elif value == "PONG":
-            self.tell("counter answered", self.record, Ending.DONE, None)
+            self.tell("counter answered", self.record, Outcome.DONE, None)
         elif word == b"BUSY":
-            self.tell("counter answered", self.record, Ending.FULL, 0.0)
+            self.tell("counter answered", self.record, Outcome.OVERLOADED, 0.0)
         elif word == b"ERR":
-            self.tell("counter answered", self.record, Ending.UNREACHED, 0.0)  # no such call: nothing added
+            self.tell(
+                "counter answered", self.record, Outcome.CONNECTION_FAILED, 0.0
+            )  # no such call: nothing added
         else:
             self.spoil("no answer to a call")
 
--- a/granitedock/service/discovery_protocol.py
+++ b/granitedock/service/discovery_protocol.py
@@ -13,11 +13,15 @@
 import orjson
 from twisted.internet.protocol import Protocol
 
-from granitedock.policy.interface import Status
+from granitedock.policy.interface import EndpointStatus
 from granitedock.service.limits import Limits
 from granitedock.service.resp import unread
 
-STATUSES = {"in_service": Status.READY, "terminating": Status.DRAINING, "terminated": Status.GONE}
+STATUSES = {
+    "in_service": EndpointStatus.READY,
+    "terminating": EndpointStatus.DRAINING,
+    "terminated": EndpointStatus.GONE,
+}
 
 INDENTS = (b" ", b"\t", b"\r", b"")  # how a line begins that is not looked at by itself
 STRINGS = re.compile(rb'"(?:[^"\\]|\\.)*"')
@@ -39,7 +43,7 @@
     zone: str
     cell: int
     started_at: float
-    status: Status
+    status: EndpointStatus
 
 
 class Listing(NamedTuple):
--- a/granitedock/service/event_loop.py
+++ b/granitedock/service/event_loop.py
@@ -30,7 +30,7 @@
 from granitedock.service.discovery_protocol import Listing, WatchLink, listing
 from granitedock.service.host_protocol import HostLink
 from granitedock.service.limits import Limits
-from granitedock.event_log import Log
+from granitedock.event_log import EventLog
 from granitedock.service.reducer import Reducer
 from granitedock.platform_file import ToldError, load
 
@@ -225,7 +225,7 @@
             limits = self.operators().over(limits)
         self.limits = limits
         self.reactor, self.clock = reactor, reactor.wakes.clock
-        self.log = Log(told["name"], self.clock, limits.log_lines)
+        self.log = EventLog(told["name"], self.clock, limits.log_lines)
         reactor.wakes.tell = self.tell
         self.doors = Doors(reactor, self.tell, reactor.wakes, *parties(told), limits)
         known = known_list(told, path)
--- a/granitedock/service/host_protocol.py
+++ b/granitedock/service/host_protocol.py
@@ -11,7 +11,7 @@
 from socket import SHUT_WR
 from typing import Any
 
-from granitedock.policy.interface import Ending
+from granitedock.policy.interface import Outcome
 from granitedock.service.limits import Limits
 from granitedock.service.resp import Fault, RespReceiver, unread, whole
 
@@ -73,11 +73,11 @@
         if self.answer is not None:
             self.spoil("more than one answer")
         elif type(value) is list and len(value) == 3 and type(value[0]) is bytes:
-            self.answer = Ending.DONE, whole(parts), *figures(value[1], self.most_units)
+            self.answer = Outcome.DONE, whole(parts), *figures(value[1], self.most_units)
         elif type(value) is Fault and BUSY(value.text):
-            self.answer = Ending.FULL, b"", 0.0, 0
+            self.answer = Outcome.OVERLOADED, b"", 0.0, 0
         elif type(value) is Fault and FAILED(value.text):
-            self.answer = Ending.ERROR, b"", 0.0, 0
+            self.answer = Outcome.ERROR, b"", 0.0, 0
         else:
             self.spoil("no answer to a task")
 
--- a/granitedock/service/lifecycle.py
+++ b/granitedock/service/lifecycle.py
@@ -47,7 +47,7 @@
         owner, before = self.owner, self.state
         advance(STATES, self, signal, self)
         if self.state != before:
-            owner.diary.event("mode", was=before, now=self.state, tasks=len(owner.errands))
+            owner.diary.event("mode", was=before, now=self.state, requests=len(owner.errands))
 
     def begin(self) -> None:
         """Bound on the start: nine in ten restarted processes have to be ready within 10 s of their start."""
@@ -101,7 +101,7 @@
         SIGKILL."""
         owner = self.owner
         for errand in list(owner.errands):
-            owner.error(errand)
+            owner.fail(errand)
         for caller in list(owner.callers):
             owner.offer_end(caller)
         return self.look_round(self)
--- a/granitedock/service/limits.py
+++ b/granitedock/service/limits.py
@@ -26,7 +26,7 @@
     # Counts.
     items: int  # of one array
     depth: int  # of arrays in arrays
-    tasks: int  # held at once
+    requests: int  # held at once
     queue: int  # commands of one client's connection that wait for answers
     client_links: int  # beyond this one that waits for nothing is closed
     client_most: int  # beyond this none is taken in
@@ -95,7 +95,7 @@
             unread=256 * KIB,
             items=64,
             depth=4,
-            tasks=min(int(allowed.get("MostHeld") or 20000), int(memory / (32 * KIB))),
+            requests=min(int(allowed.get("MostHeld") or 20000), int(memory / (32 * KIB))),
             queue=64,
             client_links=int(links * 0.45),
             client_most=int(links * 0.5),
--- a/granitedock/service/reducer.py
+++ b/granitedock/service/reducer.py
@@ -15,7 +15,17 @@
 
 from granitedock import platform_settings
 from granitedock.policy.decisions import advance
-from granitedock.policy.interface import Call, Customer, Ending, Forward, Host, Kind, Sighting, Status, Task
+from granitedock.policy.interface import (
+    CounterCall,
+    Customer,
+    Outcome,
+    Attempt,
+    Host,
+    Idempotency,
+    EndpointUpdate,
+    EndpointStatus,
+    Request,
+)
 from granitedock.service.client_protocol import Ask
 from granitedock.service.counter_protocol import PING, tally
 from granitedock.service.discovery_protocol import Listing
@@ -49,7 +59,7 @@
     ("out", "overfull"): ("gone", "abort"),  # more came than the answer
     ("out", "malformed"): ("gone", "broke_off"),
     ("out", "down"): ("gone", "broken"),
-    ("out", "late"): ("gone", "overdue"),
+    ("out", "late"): ("gone", "timed_out"),
     ("out", "withdrawn"): ("gone", "called_off"),
     ("idle", "needed"): ("writing", "write"),
     ("idle", "answered"): ("gone", "drop"),  # nothing was asked of it
@@ -117,7 +127,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Errand(Task):
+class Errand(Request):
     """A task with the client's connection it came on and the bytes it came in."""
 
     caller: Caller | None = None
@@ -141,8 +151,8 @@
 
     place: Place
     state: str
-    forward: Forward | None
-    stop_at: float
+    attempt: Attempt | None
+    attempt_deadline: float
     link: Any = None
     idle_since: float = 0.0
     alarm: Wake | None = None
@@ -156,7 +166,7 @@
     number: int
     state: str = "dialling"
     link: Any = None
-    waiting: deque[Call | None] = field(default_factory=deque)
+    waiting: deque[CounterCall | None] = field(default_factory=deque)
     heard_at: float = 0.0
     asked_at: float = 0.0
     old_since: float = 0.0
@@ -183,7 +193,9 @@
         self.effects: list[tuple] = []
         self.inbox: deque[tuple] = deque()
         self.lifecycle = Lifecycle(self)
-        self.products = {product.name: product for product in platform_settings.products(born)}
+        self.request_classes = {
+            request_class.name: request_class for request_class in platform_settings.request_classes(born)
+        }
         self.plans = {plan.name: plan for plan in platform_settings.plans(born)}
         self.customers: WeakValueDictionary[int, Customer] = WeakValueDictionary()
         self.callers: dict[Caller, None] = {}
@@ -193,7 +205,7 @@
         self.unheard: list[Errand] = []  # taken while starting, for the decisions once a list has come
         self.held, self.full = 0, False
         self.places: dict[str, Place] = {}
-        self.lanes: dict[Forward, Lane] = {}
+        self.lanes: dict[Attempt, Lane] = {}
         self.wakes: dict[object, Wake] = {}
         self.host_links, self.cut_at = 0, float("-inf")  # open and dialled; when a kept one was cut in use
         self.wires: list[Wire | None] = [None] * limits.counter_links
@@ -206,14 +218,14 @@
             None  # told of the list of hosts, where gateways tell each other what they know of them
         )
         self.shown: dict[bytes, Any] = {}  # further commands that only show something, and who words it
-        self.gateway = platform_settings.gateway(self, now, seed, born, list(self.products.values()))
+        self.gateway = platform_settings.gateway(self, now, seed, born, list(self.request_classes.values()))
 
     def reduce(self, now: float, name: str, *what: Any, since: float | None = None) -> list[tuple]:
         """One input, with all that follows from it here. `since`, in Unix ms, is the earliest moment at which
         what this input brings may have come; None is now."""
         self.now = now
         self.since = now if since is None else min(since, now)
-        self.gateway.at(now)
+        self.gateway.advance_clock(now)
         INPUTS[name](self, *what)
         while self.inbox:
             later, *what = self.inbox.popleft()
@@ -268,7 +280,7 @@
         unheard, self.unheard = self.unheard, []
         for errand in unheard:
             if errand in self.errands:
-                (self.refuse if self.lifecycle.refusing else self.gateway.take)(errand)
+                (self.refuse if self.lifecycle.refusing else self.gateway.handle_request)(errand)
 
     # Clients.
 
@@ -317,7 +329,7 @@
     def take_in(self, on: bool) -> None:
         self.full = not on
         self.do(self.doors.take_in, on)
-        self.diary.event("taking in" if on else "full", clients=len(self.callers), tasks=len(self.errands))
+        self.diary.event("taking in" if on else "full", clients=len(self.callers), requests=len(self.errands))
 
     def client_down(self, caller: Caller) -> None:
         caller.state = "gone"
@@ -328,7 +340,7 @@
             if isinstance(waiting, Errand) and waiting.answer is None:
                 waiting.answer = b""
                 self.counts["client_gone"] += 1
-                self.gateway.client_gone(waiting)
+                self.gateway.client_disconnected(waiting)
                 self.forget(waiting)
             elif waiting.answer is not None:
                 self.held -= len(waiting.answer)
@@ -415,12 +427,14 @@
         if caller.state != "up" or self.crowded(caller):
             return
         caller.spoke = True
-        product, plan = self.products.get(ask.product), self.plans.get(ask.plan)
-        if product is None or plan is None:
+        request_class, plan = self.request_classes.get(ask.request_class), self.plans.get(ask.plan)
+        if request_class is None or plan is None:
             self.malformed(caller, "unknown product or plan")
             return
-        kind = product.kind
-        if ask.harmless != (kind is Kind.HARMLESS) or (kind is Kind.STAMPED and not ask.stamped):
+        kind = request_class.kind
+        if ask.harmless != (kind is Idempotency.IDEMPOTENT) or (
+            kind is Idempotency.KEYED and not ask.stamped
+        ):
             self.malformed(caller, "not a command of this product")
             return
         if ask.id in self.ids:
@@ -430,23 +444,28 @@
         customer = self.customers.get(ask.customer)
         if customer is None:
             customer = self.customers[ask.customer] = Customer(ask.customer)
-        left_ms = min(ask.left_ms, product.cutoff_ms)  # guards against tasks that are held for hours
+        left_ms = min(ask.left_ms, request_class.deadline_ms)  # guards against tasks that are held for hours
         # Guards against time that ran before we read the task: its time counts from the client's last byte,
         # which may have waited for a turn of our loop, or, while we start, for the process to listen and
         # read at all (0.6 to 0.9 s after a restart, all of which had run; lost tasks on herd+mass). Its
         # cut-off, and so the backstop below, count from the earliest moment it may have come. Should meet
         # the client's own end whatever kept it waiting; hurts by as much time, from tasks read at start.
         came_at = self.began_at if self.state == "starting" else self.since
-        cutoff_at = max(self.now, came_at + max(left_ms / 2, left_ms - self.limits.margin_ms))
-        errand = Errand(product, plan, customer, self.now, cutoff_at, ask.units, ask.spread)
-        errand.caller, errand.ask, errand.size, errand.first = caller, ask, ask.size(), ask.first
+        deadline = max(self.now, came_at + max(left_ms / 2, left_ms - self.limits.margin_ms))
+        errand = Errand(request_class, plan, customer, self.now, deadline, ask.units, ask.subset_size)
+        errand.caller, errand.ask, errand.size, errand.subset_start = (
+            caller,
+            ask,
+            ask.size(),
+            ask.subset_start,
+        )
         caller.queue.append(errand)
         self.errands[errand] = None
         self.ids[ask.id] = errand
         self.held += errand.size
         if (
             self.lifecycle.refusing
-            or len(self.errands) > self.limits.tasks
+            or len(self.errands) > self.limits.requests
             or self.held > self.limits.held
             or len(caller.queue) > self.limits.queue
         ):
@@ -456,23 +475,23 @@
             return
         # Guards against whatever leaves a task with nothing that will bring it back, as a fault in a decision
         # does: an error promises nothing, and comes in time.
-        errand.alarm = self.wake_at(cutoff_at + self.limits.margin_ms / 2, "forgotten", errand)
+        errand.alarm = self.wake_at(deadline + self.limits.margin_ms / 2, "forgotten", errand)
         if self.state == "starting":
             self.unheard.append(errand)
         else:
-            self.gateway.take(errand)
+            self.gateway.handle_request(errand)
 
     def refuse(self, errand: Errand) -> None:
         """The decisions give it up, as one never forwarded."""
-        self.gateway.book(errand).turn(self.now)
+        self.gateway.account(errand).turn(self.now)
         errand.state = "over"
         self.gateway.give_up(errand)
 
     def forgotten(self, errand: Errand) -> None:
         self.counts["forgotten"] += 1
-        self.diary.event("forgotten", state=errand.state, forwards=len(errand.forwards))
+        self.diary.event("forgotten", state=errand.state, attempts=len(errand.attempts))
         errand.state = "over"
-        self.error(errand)
+        self.fail(errand)
 
     def choked(self, caller: Caller) -> None:
         caller.choked = True
@@ -523,27 +542,30 @@
 
     # The door of the decisions.
 
-    def forward(self, forward: Forward, stop_at: float | None) -> None:
-        place, errand = forward.host, forward.task
-        stop_at = min(stop_at or errand.cutoff_at, errand.cutoff_at)
+    def send_attempt(self, attempt: Attempt, attempt_deadline: float | None) -> None:
+        place, errand = attempt.host, attempt.request
+        attempt_deadline = min(attempt_deadline or errand.deadline, errand.deadline)
         self.counts["forwards"] += 1
         # Guards against kept connections that are cut at their next use: a task that may not be sent again
         # gets one of its own while that has been seen of late. Hurts by a handshake. Else the longest at rest
         # goes first: who closes on us does so soon after an answer.
-        wary = errand.product.kind is Kind.ONE_SHOT and self.now - self.cut_at < self.limits.wary_ms
+        wary = (
+            errand.request_class.kind is Idempotency.NON_IDEMPOTENT
+            and self.now - self.cut_at < self.limits.wary_ms
+        )
         for lane in () if wary else place.idle:
             if self.limits.settle_ms <= self.now - lane.idle_since < self.limits.host_idle_ms:
                 place.idle.remove(lane)
-                lane.forward, lane.stop_at, lane.kept = forward, stop_at, True
-                self.lanes[forward] = lane
-                lane.alarm = self.wake_at(stop_at, "late", lane, forward)
+                lane.attempt, lane.attempt_deadline, lane.kept = attempt, attempt_deadline, True
+                self.lanes[attempt] = lane
+                lane.alarm = self.wake_at(attempt_deadline, "late", lane, attempt)
                 advance(HOST_LINK, lane, "needed", self)
                 return
-        self.dial(place, forward, stop_at)
+        self.dial(place, attempt, attempt_deadline)
 
-    def dial(self, place: Place, forward: Forward, stop_at: float) -> None:
-        lane = self.lanes[forward] = Lane(place, "dialling", forward, stop_at)
-        lane.alarm = self.wake_at(stop_at, "late", lane, forward)
+    def dial(self, place: Place, attempt: Attempt, attempt_deadline: float) -> None:
+        lane = self.lanes[attempt] = Lane(place, "dialling", attempt, attempt_deadline)
+        lane.alarm = self.wake_at(attempt_deadline, "late", lane, attempt)
         if self.host_links >= self.limits.host_links and not self.spare_link():
             self.inbox.append((self.host, lane, "no room"))
         else:
@@ -551,36 +573,36 @@
             self.counts["host_dials"] += 1
             self.do(self.doors.dial_host, lane, place.address)
 
-    def defer(self, errand: Errand, come_back_ms: float | None) -> None:
+    def reject(self, errand: Errand, retry_after_ms: float | None) -> None:
         self.counts["deferred"] += 1
-        back = b"-BUSY %d\r\n" % max(1, round(come_back_ms)) if come_back_ms else b"-BUSY\r\n"
+        back = b"-BUSY %d\r\n" % max(1, round(retry_after_ms)) if retry_after_ms else b"-BUSY\r\n"
         self.finish(errand, back)
 
-    def error(self, errand: Errand) -> None:
+    def fail(self, errand: Errand) -> None:
         self.counts["errored"] += 1
         self.finish(errand, ERRORED)
 
-    def withdraw(self, forward: Forward) -> None:
-        lane = self.lanes.get(forward)
+    def cancel(self, attempt: Attempt) -> None:
+        lane = self.lanes.get(attempt)
         if lane is not None:
             self.counts["withdrawn"] += 1
             self.inbox.append((self.host, lane, "withdrawn"))
 
-    def count(self, call: Call) -> None:
+    def call_counter(self, call: CounterCall) -> None:
         self.counts["calls"] += 1
         wire = self.wire(call.name % self.limits.counter_links)
         if not wire.waiting:
             wire.asked_at = self.now
         wire.waiting.append(call)
         if wire.state == "up":
-            self.do(wire.link.send, tally(call.name, call.amount, call.life_ms))
+            self.do(wire.link.send, tally(call.name, call.amount, call.ttl_ms))
 
-    def wake(self, after_ms: float, why: object) -> None:
+    def start_timer(self, after_ms: float, why: object) -> None:
         self.wakes[why] = self.wake_at(self.now + after_ms, "woke", why)
 
     def woke(self, why: object) -> None:
         self.wakes.pop(why, None)
-        self.gateway.woke(why)
+        self.gateway.timer_fired(why)
 
     def call_off(self, why: object) -> None:
         """The module would ignore this wake now, so nobody need be woken for it."""
@@ -588,7 +610,7 @@
         if wake is not None:
             wake.off()
 
-    def log(self, line: str) -> None:
+    def log_decision(self, line: str) -> None:
         self.diary.event("decision", line=line)
 
     # Hosts.
@@ -606,16 +628,18 @@
         advance(HOST_LINK, lane, "up", self)
 
     def host_answered(
-        self, lane: Lane, clean: bool, ending: Ending, data: bytes, units: float, used: int
+        self, lane: Lane, clean: bool, outcome: Outcome, data: bytes, units: float, used: int
     ) -> None:
-        forward, before = lane.forward, lane.state
+        attempt, before = lane.attempt, lane.state
         if not clean:
             self.counts["overfull"] += 1
         advance(HOST_LINK, lane, "answered" if clean else "overfull", self)
         if before == "out":
-            self.ended(forward, ending, data, units, used)
+            self.ended(attempt, outcome, data, units, used)
         elif before == "writing":  # as a host does that has too many connections
-            self.part(lane, Ending.FULL if ending is Ending.FULL else Ending.UNREACHED)
+            self.part(
+                lane, Outcome.OVERLOADED if outcome is Outcome.OVERLOADED else Outcome.CONNECTION_FAILED
+            )
 
     def host_malformed(self, lane: Lane, why: str) -> None:
         self.diary.event("host malformed", host=lane.place.address, why=why)
@@ -624,54 +648,58 @@
     def host_begun(self, lane: Lane) -> None:
         """Guards against answers that begin and never end. It counts from the last bytes that came, as long
         answers on slow lines take their time; the whole is bounded, against answers that only trickle."""
-        if lane.forward is not None:
+        if lane.attempt is not None:
             after = self.now + self.limits.answer_ms
-            self.wake_at(after, "stalled", lane, lane.forward, lane.link.got, self.now)
+            self.wake_at(after, "stalled", lane, lane.attempt, lane.link.got, self.now)
         self.host(lane, "begun")
 
-    def stalled(self, lane: Lane, forward: Forward, got: int, begun_at: float) -> None:
-        if lane.forward is not forward or not lane.link.half():
+    def stalled(self, lane: Lane, attempt: Attempt, got: int, begun_at: float) -> None:
+        if lane.attempt is not attempt or not lane.link.half():
             return
         if lane.link.got == got or self.now - begun_at > self.limits.answer_most_ms:
             self.host_malformed(lane, "answer not ended")
         else:
-            self.wake_at(self.now + self.limits.answer_ms, "stalled", lane, forward, lane.link.got, begun_at)
+            self.wake_at(self.now + self.limits.answer_ms, "stalled", lane, attempt, lane.link.got, begun_at)
 
     def dial_anew(self, lane: Lane) -> None:
         self.counts["host_stale"] += 1
         self.do(lane.link.abort)
         lane.alarm.off()
-        forward, lane.forward = lane.forward, None
-        self.dial(lane.place, forward, lane.stop_at)
+        attempt, lane.attempt = lane.attempt, None
+        self.dial(lane.place, attempt, lane.attempt_deadline)
 
-    def late(self, lane: Lane, forward: Forward) -> None:
-        if lane.forward is forward:
+    def late(self, lane: Lane, attempt: Attempt) -> None:
+        if lane.attempt is attempt:
             advance(HOST_LINK, lane, "late", self)
 
     def ended(
-        self, forward: Forward, ending: Ending, data: bytes = b"", units: float = 0.0, used: int = 0
+        self, attempt: Attempt, outcome: Outcome, data: bytes = b"", units: float = 0.0, used: int = 0
     ) -> None:
         """A forward has its one outcome. An answer for a task that is over goes nowhere."""
-        self.lanes.pop(forward).alarm.off()
-        self.call_off(forward)
-        errand = forward.task
-        self.counts["forward_" + ending.value] += 1
+        self.lanes.pop(attempt).alarm.off()
+        self.call_off(attempt)
+        errand = attempt.request
+        self.counts["forward_" + outcome.value] += 1
         over = errand.answer is not None
-        if ending is Ending.DONE and not over:
+        if outcome is Outcome.DONE and not over:
             self.counts["done"] += 1
             self.finish(errand, data)
             over = True
-        self.gateway.ended(forward, ending, self.now - forward.sent_at, over, units, used)
+        self.gateway.attempt_finished(attempt, outcome, self.now - attempt.sent_at, over, units, used)
 
     def write(self, lane: Lane) -> str | None:
         """Guards against what changed while the connection came up: the client left or has its answer, the
         host began to drain, or the time is over in which a keyed request may be repeated. Nothing is sent
         then."""
-        forward, place = lane.forward, lane.place
-        errand, left_ms = forward.task, lane.stop_at - self.now
-        if errand.answer is not None or place.status is not Status.READY or self.now >= forward.begin_by:
+        attempt, place = lane.attempt, lane.place
+        errand, left_ms = attempt.request, lane.attempt_deadline - self.now
+        if (
+            errand.answer is not None
+            or place.status is not EndpointStatus.READY
+            or self.now >= attempt.send_before
+        ):
             return "unwanted"
-        self.do(lane.link.send, errand.ask.within(left_ms), len(errand.forwards) == 1)
+        self.do(lane.link.send, errand.ask.within(left_ms), len(errand.attempts) == 1)
         return None
 
     def unsent(self, lane: Lane) -> None:
@@ -680,46 +708,46 @@
         self.never_sent(lane)
 
     def rest(self, lane: Lane) -> str | None:
-        lane.forward, lane.idle_since = None, self.now
-        if lane.place.status is Status.READY and self.state != "ended":
+        lane.attempt, lane.idle_since = None, self.now
+        if lane.place.status is EndpointStatus.READY and self.state != "ended":
             lane.place.idle.append(lane)
             return None
         return "aged"
 
     def never_ran(self, lane: Lane) -> None:
-        self.part(lane, Ending.UNREACHED)
+        self.part(lane, Outcome.CONNECTION_FAILED)
 
     def never_sent(self, lane: Lane) -> None:
         """Its time was over, or we had no connection for it: that says nothing of the host."""
-        self.part(lane, Ending.MOOT)
+        self.part(lane, Outcome.ABANDONED)
 
     def cut_short(self, lane: Lane) -> None:
         """Its last byte was not written, and now never will be."""
         self.do(lane.link.abort)
-        self.part(lane, Ending.UNREACHED)
+        self.part(lane, Outcome.CONNECTION_FAILED)
 
     def broken(self, lane: Lane) -> None:
         if lane.kept:
             self.cut_at = self.now
-        self.part(lane, Ending.RESET)
+        self.part(lane, Outcome.RESET)
 
     def broke_off(self, lane: Lane) -> None:
         self.do(lane.link.abort)
-        self.part(lane, Ending.RESET)
+        self.part(lane, Outcome.RESET)
 
-    def overdue(self, lane: Lane) -> None:
+    def timed_out(self, lane: Lane) -> None:
         self.do(lane.link.abort)
-        self.part(lane, Ending.TIMEOUT)
+        self.part(lane, Outcome.TIMEOUT)
         self.suspect(lane.place)
 
     def called_off(self, lane: Lane) -> None:
         self.do(lane.link.abort)
-        self.part(lane, Ending.WITHDRAWN)
+        self.part(lane, Outcome.CANCELLED)
         self.suspect(lane.place)
 
-    def part(self, lane: Lane, ending: Ending) -> None:
-        forward, lane.forward = lane.forward, None
-        self.inbox.append((self.ended, forward, ending))
+    def part(self, lane: Lane, outcome: Outcome) -> None:
+        attempt, lane.attempt = lane.attempt, None
+        self.inbox.append((self.ended, attempt, outcome))
 
     def suspect(self, place: Place) -> None:
         """Guards against connections that look open and lead nowhere, as after a machine vanished: those that
@@ -759,10 +787,10 @@
             self.do(self.doors.dial_counter, wire)
         return wire
 
-    def calls(self, calls: list[Call]) -> None:
+    def calls(self, calls: list[CounterCall]) -> None:
         """Calls that no task asked for (presence at the counter)."""
         for call in calls:
-            self.count(call)
+            self.call_counter(call)
 
     def counter(self, wire: Wire, signal: str) -> None:
         advance(COUNTER_LINK, wire, signal, self)
@@ -771,16 +799,16 @@
         wire.link = link
         advance(COUNTER_LINK, wire, "up", self)
 
-    def counter_answered(self, wire: Wire, ending: Ending, total: float | None) -> None:
+    def counter_answered(self, wire: Wire, outcome: Outcome, total: float | None) -> None:
         if not wire.waiting or (wire.waiting[0] is None) != (total is None):
             self.counter_spoilt(wire, "answer out of turn")
             return
         wire.heard_at = self.now
         call = wire.waiting.popleft()
         if call is not None:
-            self.counts["call_" + ending.value] += 1
+            self.counts["call_" + outcome.value] += 1
             self.call_off(call)
-            self.gateway.counted(call, ending, total)
+            self.gateway.counter_call_finished(call, outcome, total)
         if not wire.waiting:
             advance(COUNTER_LINK, wire, "emptied", self)
 
@@ -804,20 +832,20 @@
         if call is not None:
             self.counts["call_spoilt"] += 1
             self.call_off(call)
-            self.inbox.append((self.gateway.counted, call, Ending.ERROR, 0.0))
-        self.lost(wire, Ending.RESET)
+            self.inbox.append((self.gateway.counter_call_finished, call, Outcome.ERROR, 0.0))
+        self.lost(wire, Outcome.RESET)
 
     def flush(self, wire: Wire) -> None:
         wire.heard_at = self.now
-        calls = [tally(call.name, call.amount, call.life_ms) for call in wire.waiting]
+        calls = [tally(call.name, call.amount, call.ttl_ms) for call in wire.waiting]
         if calls:
             self.do(wire.link.send, b"".join(calls))
 
     def never_added(self, wire: Wire) -> None:
-        self.lost(wire, Ending.UNREACHED)
+        self.lost(wire, Outcome.CONNECTION_FAILED)
 
     def unknown(self, wire: Wire) -> None:
-        self.lost(wire, Ending.RESET)
+        self.lost(wire, Outcome.RESET)
 
     def close_old(self, wire: Wire) -> None:
         self.old_wires.pop(wire, None)
@@ -825,14 +853,14 @@
 
     def unknown_abort(self, wire: Wire) -> None:
         self.do(wire.link.abort)
-        self.lost(wire, Ending.RESET)
+        self.lost(wire, Outcome.RESET)
 
-    def lost(self, wire: Wire, ending: Ending) -> None:
+    def lost(self, wire: Wire, outcome: Outcome) -> None:
         for call in wire.waiting:
             if call is not None:
-                self.counts["call_" + ending.value] += 1
+                self.counts["call_" + outcome.value] += 1
                 self.call_off(call)
-                self.inbox.append((self.gateway.counted, call, ending, 0.0))
+                self.inbox.append((self.gateway.counter_call_finished, call, outcome, 0.0))
         wire.waiting.clear()
         self.old_wires.pop(wire, None)
         if self.wires[wire.number] is wire:
@@ -886,22 +914,22 @@
         for entry in listing.entries:
             place = self.places.get(entry.name)
             if place is None:
-                if entry.status is Status.GONE:
+                if entry.status is EndpointStatus.GONE:
                     continue
                 place = self.places[entry.name] = Place(address=entry.address, name=entry.name)
             if entry.started_at > place.started_at or (entry.address and entry.address != place.address):
                 place.address = entry.address or place.address
                 self.suspect(place)  # connections to a process that is no more
             sightings.append(
-                Sighting(
+                EndpointUpdate(
                     place, entry.size, entry.make, entry.zone, entry.cell, entry.started_at, entry.status
                 )
             )
-        self.gateway.roster(sightings, listing.whole)
+        self.gateway.update_endpoints(sightings, listing.whole)
         for name, place in list(self.places.items()):
-            if place.idle and place.status is not Status.READY:
+            if place.idle and place.status is not EndpointStatus.READY:
                 self.suspect(place)
-            if place.status is Status.GONE and not place.health.outs:
+            if place.status is EndpointStatus.GONE and not place.health.outs:
                 del self.places[name]  # guards the memory, as hosts come and go under new names
         if self.judge is not None:
             self.judge.listed(self.places, self.now)
@@ -964,8 +992,8 @@
             if now - caller.spoilt_since > limits.spoilt_ms:
                 for waiting in list(caller.queue):
                     if isinstance(waiting, Errand) and waiting.answer is None:
-                        self.gateway.client_gone(waiting)
-                        self.error(waiting)
+                        self.gateway.client_disconnected(waiting)
+                        self.fail(waiting)
         elif caller.choked:
             caller.half_since = 0.0  # what it sent waits until it reads: no half command, and no rest
         elif self.lifecycle.shutting and not caller.queue:
--- a/granitedock/simulator_adapter/pipe.py
+++ b/granitedock/simulator_adapter/pipe.py
@@ -15,29 +15,29 @@
 
 from granitedock import platform_settings
 from granitedock.policy.interface import (
-    Call,
+    CounterCall,
     Customer,
-    Ending,
-    Forward,
+    Outcome,
+    Attempt,
     Host,
     Plan,
-    Product,
-    Sighting,
-    Status,
-    Task,
+    RequestClass,
+    EndpointUpdate,
+    EndpointStatus,
+    Request,
 )
 
 ENDINGS = {
-    0: Ending.DONE,
-    5: Ending.ERROR,
-    11: Ending.FULL,
-    110: Ending.TIMEOUT,
-    111: Ending.UNREACHED,
-    104: Ending.RESET,
-    125: Ending.WITHDRAWN,
-    114: Ending.MOOT,
+    0: Outcome.DONE,
+    5: Outcome.ERROR,
+    11: Outcome.OVERLOADED,
+    110: Outcome.TIMEOUT,
+    111: Outcome.CONNECTION_FAILED,
+    104: Outcome.RESET,
+    125: Outcome.CANCELLED,
+    114: Outcome.ABANDONED,
 }
-STATUSES = {"IN": Status.READY, "LAME": Status.DRAINING, "OUT": Status.GONE}
+STATUSES = {"IN": EndpointStatus.READY, "LAME": EndpointStatus.DRAINING, "OUT": EndpointStatus.GONE}
 COMPLETE_LISTS = {"FULL": True, "SAVED": True, "INCREMENTAL": False}
 
 
@@ -59,46 +59,48 @@
     def __init__(self, now: float, seed: int, born: dict[str, Any]) -> None:
         self.now = now
         self.commands: list[list[Any]] = []
-        self.products: dict[str, Product] = {p.name: p for p in platform_settings.products(born)}
+        self.request_classes: dict[str, RequestClass] = {
+            p.name: p for p in platform_settings.request_classes(born)
+        }
         self.plans: dict[str, Plan] = {p.name: p for p in platform_settings.plans(born)}
         self.hosts: dict[str, Host] = {}
         self.addresses: dict[Host, str] = {}
-        self.tasks: dict[int, Task] = {}
-        self.jobs: dict[Task, int] = {}
+        self.requests: dict[int, Request] = {}
+        self.jobs: dict[Request, int] = {}
         self.customers: WeakValueDictionary[str, Customer] = WeakValueDictionary()
-        self.calls: dict[int, deque[Call]] = {}
+        self.calls: dict[int, deque[CounterCall]] = {}
         self.wakes: dict[int, object] = {}
         self.last_wake = 0
-        self.gateway = platform_settings.gateway(self, now, seed, born, list(self.products.values()))
+        self.gateway = platform_settings.gateway(self, now, seed, born, list(self.request_classes.values()))
 
     # The door: effects become commands.
 
-    def forward(self, forward: Forward, stop_at: float | None) -> None:
-        job = self.jobs[forward.task]
-        self.commands.append(["Send", job, stop_at or 0, self.addresses[forward.host]])
+    def send_attempt(self, attempt: Attempt, attempt_deadline: float | None) -> None:
+        job = self.jobs[attempt.request]
+        self.commands.append(["Send", job, attempt_deadline or 0, self.addresses[attempt.host]])
 
-    def defer(self, task: Task, come_back_ms: float | None) -> None:
-        self.commands.append(["TurnAway", self.jobs[task], come_back_ms or 0])
-        self.release(task)
+    def reject(self, request: Request, retry_after_ms: float | None) -> None:
+        self.commands.append(["TurnAway", self.jobs[request], retry_after_ms or 0])
+        self.release(request)
 
-    def error(self, task: Task) -> None:
-        self.commands.append(["DropRequest", self.jobs[task]])
-        self.release(task)
+    def fail(self, request: Request) -> None:
+        self.commands.append(["DropRequest", self.jobs[request]])
+        self.release(request)
 
-    def withdraw(self, forward: Forward) -> None:
-        task = forward.task
-        self.commands.append(["Withdraw", self.jobs[task], task.forwards.index(forward)])
+    def cancel(self, attempt: Attempt) -> None:
+        request = attempt.request
+        self.commands.append(["Withdraw", self.jobs[request], request.attempts.index(attempt)])
 
-    def count(self, call: Call) -> None:
+    def call_counter(self, call: CounterCall) -> None:
         self.calls.setdefault(call.name, deque()).append(call)
-        self.commands.append(["Count", call.name, call.amount, call.life_ms])
+        self.commands.append(["Count", call.name, call.amount, call.ttl_ms])
 
-    def wake(self, after_ms: float, why: object) -> None:
+    def start_timer(self, after_ms: float, why: object) -> None:
         self.last_wake += 1
         self.wakes[self.last_wake] = why
         self.commands.append(["Defer", after_ms, self.last_wake])
 
-    def log(self, line: str) -> None:
+    def log_decision(self, line: str) -> None:
         self.commands.append(["Emit", line])
 
     # Events: ids become objects.
@@ -114,7 +116,7 @@
                 host = self.hosts[address] = Host()
                 self.addresses[host] = address
             sightings.append(
-                Sighting(
+                EndpointUpdate(
                     host,
                     1.0 if size is None else float(size),
                     make or "",
@@ -124,36 +126,36 @@
                     known(STATUSES, status, "state of a host"),
                 )
             )
-        self.gateway.roster(sightings, whole)
+        self.gateway.update_endpoints(sightings, whole)
 
     def request(
         self,
         job: int,
-        product: str,
+        request_class: str,
         plan: str,
         key: str,
         left_ms: float,
         units: float | None = None,
-        spread: int | None = None,
+        subset_size: int | None = None,
         _first: int | None = None,
         _options: int | None = None,
     ) -> None:
         customer = self.customers.get(key)
         if customer is None:
             customer = self.customers[key] = Customer(int(key, 16))
-        task = Task(
-            known(self.products, product, "product"),
+        request = Request(
+            known(self.request_classes, request_class, "product"),
             known(self.plans, plan, "plan"),
             customer,
             self.now,
             self.now + left_ms,
             1.0 if units is None else units,
-            spread or 1,
+            subset_size or 1,
         )
-        self.tasks[job] = task
-        self.jobs[task] = job
-        self.gateway.take(task)
-        self.release(task)
+        self.requests[job] = request
+        self.jobs[request] = job
+        self.gateway.handle_request(request)
+        self.release(request)
 
     def completed(
         self,
@@ -163,42 +165,42 @@
         took_ms: float,
         final: bool | None,
         number: int,
-        ending: int,
+        outcome: int,
         units: float | None = None,
         _load: list[float] | None = None,
     ) -> None:
-        task = known(self.tasks, job, "task")
-        forward = task.forwards[number]
-        end = known(ENDINGS, ending, "ending")
-        self.gateway.ended(forward, end, took_ms, bool(final), units or 0.0, used or 0)
-        self.release(task)
+        request = known(self.requests, job, "task")
+        attempt = request.attempts[number]
+        end = known(ENDINGS, outcome, "ending")
+        self.gateway.attempt_finished(attempt, end, took_ms, bool(final), units or 0.0, used or 0)
+        self.release(request)
 
-    def release(self, task: Task) -> None:
+    def release(self, request: Request) -> None:
         """Forget a task once it is over and none of its forwards can come back."""
-        if task.state == "over" and not task.out and task in self.jobs:
-            del self.tasks[self.jobs.pop(task)]
+        if request.state == "over" and not request.in_flight and request in self.jobs:
+            del self.requests[self.jobs.pop(request)]
 
     def started(self, job: int, number: int, _address: str, _took_ms: float) -> None:
-        self.gateway.started(known(self.tasks, job, "task").forwards[number])
+        self.gateway.response_started(known(self.requests, job, "task").attempts[number])
 
     def aborted(self, job: int) -> None:
-        task = self.tasks.get(job)  # may name a task that ended a moment ago
-        if task is not None:
-            self.gateway.client_gone(task)
-            self.release(task)
+        request = self.requests.get(job)  # may name a task that ended a moment ago
+        if request is not None:
+            self.gateway.client_disconnected(request)
+            self.release(request)
 
-    def reckoned(self, ending: int, took_ms: float, name: int, total: float | None) -> None:
+    def reckoned(self, outcome: int, took_ms: float, name: int, total: float | None) -> None:
         waiting = known(self.calls, name, "count")
         call = waiting.popleft()
         if not waiting:
             del self.calls[name]
-        self.gateway.counted(call, known(ENDINGS, ending, "ending"), total or 0.0)
+        self.gateway.counter_call_finished(call, known(ENDINGS, outcome, "ending"), total or 0.0)
 
     def fired(self, tag: int) -> None:
         why = self.wakes.pop(tag, None)
         if why is None:
             return
-        self.gateway.woke(why)
+        self.gateway.timer_fired(why)
 
     def checked(self, *_whole: Any) -> None:
         """No decision asks for probes."""
@@ -278,7 +280,7 @@
     @staticmethod
     def clock(link: Link, now: float) -> None:
         link.now = now
-        link.gateway.at(now)
+        link.gateway.advance_clock(now)
 
 
 def run(source: BinaryIO | None = None, sink: BinaryIO | None = None) -> int:
--- a/tests/helpers/fake_gateway.py
+++ b/tests/helpers/fake_gateway.py
@@ -4,19 +4,19 @@
 
 from granitedock.policy.decisions import Gateway
 from granitedock.policy.interface import (
-    Cold,
+    SlowStart,
     Customer,
-    Ending,
-    Group,
+    Outcome,
+    IdempotencyScope,
     Host,
-    Kind,
-    Leave,
+    Idempotency,
+    PermittedFeatures,
     Plan,
-    Product,
-    Seat,
-    Sighting,
-    Status,
-    Task,
+    RequestClass,
+    GatewayIdentity,
+    EndpointUpdate,
+    EndpointStatus,
+    Request,
 )
 from granitedock.service.client_protocol import ClientLink
 from granitedock.service.counter_protocol import CounterLink
@@ -26,10 +26,12 @@
 from granitedock.service.reducer import Reducer
 from granitedock.service.resp import command
 
-READ = Product("read", Kind.HARMLESS, Group.ALL, 0, 1000, 4000, 1, 0, False)
-STAMPED = Product("stamped", Kind.STAMPED, Group.ALL, 3000, 2000, 5000, 1, 0, False)
-BY_ZONE = Product("by zone", Kind.STAMPED, Group.ZONE, 3000, 2000, 5000, 1, 0, False)
-ONE_SHOT = Product("one-shot", Kind.ONE_SHOT, Group.ALL, 0, 2000, 8000, 1, 0, False)
+READ = RequestClass("read", Idempotency.IDEMPOTENT, IdempotencyScope.ALL, 0, 1000, 4000, 1, 0, False)
+STAMPED = RequestClass("stamped", Idempotency.KEYED, IdempotencyScope.ALL, 3000, 2000, 5000, 1, 0, False)
+BY_ZONE = RequestClass("by zone", Idempotency.KEYED, IdempotencyScope.ZONE, 3000, 2000, 5000, 1, 0, False)
+ONE_SHOT = RequestClass(
+    "one-shot", Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, 0, 2000, 8000, 1, 0, False
+)
 PLAN = Plan("plan", 0.01, 20, 0, 1, 0, 0.5, 0, 0, 0)  # ten units a second, twenty at once
 CAPPED = Plan("capped", 0.01, 20, 0, 1, 0, 0.5, 0.02, 40, 4)
 FEW_OUT = Plan("few out", 0, 0, 4, 1, 0, 0.5, 0, 0, 0)
@@ -38,75 +40,80 @@
 class Story:
     """A gateway, the door it acts on, and what came out of it."""
 
-    def __init__(self, hosts=3, number=0, gateways=2, copies=False, at=100000.0, products=None, **cold):
-        self.forwards, self.deferred, self.errored, self.calls = [], [], [], []
+    def __init__(
+        self, hosts=3, number=0, gateways=2, copies=False, at=100000.0, request_classes=None, **cold
+    ):
+        self.attempts, self.deferred, self.errored, self.calls = [], [], [], []
         self.wakes, self.withdrawn, self.lines, self.stops = [], [], [], []
         self.hosts = [Host() for _ in range(hosts)]
-        leave = Leave(3, copies, True, True, 2000)
-        coldness = Cold(0.2, 10000, 2, 1000)
-        products = products or [READ, STAMPED, BY_ZONE, ONE_SHOT]
-        self.gateway = Gateway(self, at, Seat(7 + number, number, gateways), products, leave, coldness, True)
-        self.roster(Status.READY, *self.hosts, **cold)
+        leave = PermittedFeatures(3, copies, True, True, 2000)
+        coldness = SlowStart(0.2, 10000, 2, 1000)
+        request_classes = request_classes or [READ, STAMPED, BY_ZONE, ONE_SHOT]
+        self.gateway = Gateway(
+            self, at, GatewayIdentity(7 + number, number, gateways), request_classes, leave, coldness, True
+        )
+        self.roster(EndpointStatus.READY, *self.hosts, **cold)
 
     # The door.
-    def forward(self, forward, stop_at):
-        self.forwards.append(forward)
-        self.stops.append(stop_at)
+    def send_attempt(self, attempt, attempt_deadline):
+        self.attempts.append(attempt)
+        self.stops.append(attempt_deadline)
 
-    def defer(self, task, come_back_ms):
-        self.deferred.append((task, come_back_ms))
+    def reject(self, request, retry_after_ms):
+        self.deferred.append((request, retry_after_ms))
 
-    def error(self, task):
-        self.errored.append(task)
+    def fail(self, request):
+        self.errored.append(request)
 
-    def withdraw(self, forward):
-        self.withdrawn.append(forward)
+    def cancel(self, attempt):
+        self.withdrawn.append(attempt)
 
-    def count(self, call):
+    def call_counter(self, call):
         self.calls.append(call)
 
-    def wake(self, after_ms, why):
+    def start_timer(self, after_ms, why):
         self.wakes.append((self.gateway.now + after_ms, why))
 
-    def log(self, line):
+    def log_decision(self, line):
         self.lines.append(line)
 
     # What the world does.
     def roster(self, status, *hosts, started_at=0.0, zones=None, size=1.0):
         sightings = [
-            Sighting(host, size, "m", (zones or {}).get(host, "z"), 0, started_at, status) for host in hosts
+            EndpointUpdate(host, size, "m", (zones or {}).get(host, "z"), 0, started_at, status)
+            for host in hosts
         ]
-        self.gateway.roster(sightings, False)
+        self.gateway.update_endpoints(sightings, False)
 
     def pass_ms(self, ms):
         """Let time pass, with the wakes that fall due on the way."""
         end = self.gateway.now + ms
         while due := sorted((w for w in self.wakes if w[0] <= end), key=lambda w: w[0]):
             self.wakes.remove(due[0])
-            self.gateway.at(due[0][0])
-            self.gateway.woke(due[0][1])
-        self.gateway.at(end)
+            self.gateway.advance_clock(due[0][0])
+            self.gateway.timer_fired(due[0][1])
+        self.gateway.advance_clock(end)
 
-    def ask(self, product=READ, plan=PLAN, customer=None, units=1.0, spread=2, left=None):
+    def ask(self, request_class=READ, plan=PLAN, customer=None, units=1.0, subset_size=2, left=None):
         now = self.gateway.now
-        left = product.cutoff_ms if left is None else left
-        task = Task(product, plan, customer or Customer(99), now, now + left, units, spread)
-        self.gateway.take(task)
-        return task
+        left = request_class.deadline_ms if left is None else left
+        request = Request(request_class, plan, customer or Customer(99), now, now + left, units, subset_size)
+        self.gateway.handle_request(request)
+        return request
 
-    def counter(self, ending=Ending.DONE, total=None, call=None):
+    def counter(self, outcome=Outcome.DONE, total=None, call=None):
         """The counter answers the latest call, or the one given."""
         call = call or self.calls[-1]
-        self.gateway.counted(call, ending, call.amount if total is None else total)
+        self.gateway.counter_call_finished(call, outcome, call.amount if total is None else total)
 
-    def admitted(self, product=READ, **more):
-        task = self.ask(product, **more)
+    def admitted(self, request_class=READ, **more):
+        request = self.ask(request_class, **more)
         self.counter(total=1)
-        return task
+        return request
 
-    def ends(self, ending, took=50.0, forward=None):
-        forward = forward or self.forwards[-1]
-        self.gateway.ended(forward, ending, took, ending is Ending.DONE, 0, 0)
+    def ends(self, outcome, took=50.0, attempt=None):
+        attempt = attempt or self.attempts[-1]
+        self.gateway.attempt_finished(attempt, outcome, took, outcome is Outcome.DONE, 0, 0)
 
 
 BORN = {
@@ -247,9 +254,9 @@
         link.connectionMade()
         return line
 
-    def ask(self, line, product="read", d=3000, more=b"", body=(), customer=0xA1):
-        text = b"c=%b,t=p,d=%d,units=1,spread=1,first=0%b" % (product.encode(), d, more)
-        name = b"API.READ" if product == "read" else b"API.WRITE"
+    def ask(self, line, request_class="read", d=3000, more=b"", body=(), customer=0xA1):
+        text = b"c=%b,t=p,d=%d,units=1,spread=1,first=0%b" % (request_class.encode(), d, more)
+        name = b"API.READ" if request_class == "read" else b"API.WRITE"
         line.link.dataReceived(command(name, b"%016x" % customer, b"%016x" % self.next_id, text, *body))
         self.next_id += 1
 
--- a/tests/helpers/slow_start_simulation.py
+++ b/tests/helpers/slow_start_simulation.py
@@ -8,30 +8,30 @@
 
 from granitedock.policy.decisions import Gateway
 from granitedock.policy.interface import (
-    Cold,
+    SlowStart,
     Customer,
-    Ending,
-    Group,
+    Outcome,
+    IdempotencyScope,
     Host,
-    Kind,
-    Leave,
+    Idempotency,
+    PermittedFeatures,
     Plan,
-    Product,
-    Seat,
-    Sighting,
-    Status,
-    Task,
+    RequestClass,
+    GatewayIdentity,
+    EndpointUpdate,
+    EndpointStatus,
+    Request,
 )
 
-COLD = Cold(0.18, 12000.0, 2.0, 1000.0)
+COLD = SlowStart(0.18, 12000.0, 2.0, 1000.0)
 OPEN = Plan("open", 0, 0, 0, 1, 0, 0, 0, 0, 0)  # no quota: the counter has no part in it
-SAFE = Product("safe", Kind.HARMLESS, Group.ALL, 0, 1200, 3000, 1, 0, False)
-UNSAFE = Product("unsafe", Kind.ONE_SHOT, Group.ALL, 0, 1200, 3000, 1, 0, False)
+SAFE = RequestClass("safe", Idempotency.IDEMPOTENT, IdempotencyScope.ALL, 0, 1200, 3000, 1, 0, False)
+UNSAFE = RequestClass("unsafe", Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, 0, 1200, 3000, 1, 0, False)
 CAPACITY = 0.02  # requests in a ms that a warm host can do
 FELL, BACK, END = 6000.0, 9000.0, 16000.0
 
 
-class Door:
+class EffectHandler:
     """A gateway's door: its sends go to the world, its other effects nowhere."""
 
     def __init__(self, world, number):
@@ -42,8 +42,8 @@
         """A process, new or restarted: nothing is left of what it knew but the list, as told."""
         world = self.world
         self.skew = world.random.uniform(-400.0, 400.0)
-        seat = Seat(world.random.getrandbits(32), self.number, world.gateways)
-        leave = Leave(3, False, True, True, 2000)
+        seat = GatewayIdentity(world.random.getrandbits(32), self.number, world.gateways)
+        leave = PermittedFeatures(3, False, True, True, 2000)
         self.gateway = Gateway(self, world.now + self.skew, seat, [SAFE, UNSAFE], leave, world.cold, False)
         self.hosts = [Host() for _ in range(world.hosts)]
         self.numbers = {host: number for number, host in enumerate(self.hosts)}
@@ -53,45 +53,49 @@
     def told(self, hosts):
         """The list as it stands now, of these hosts."""
         world = self.world
-        self.gateway.at(world.now + self.skew)
+        self.gateway.advance_clock(world.now + self.skew)
         sightings = [
-            Sighting(self.hosts[n], 1.0, "m", "z", 0, world.started[n], world.status[n]) for n in hosts
+            EndpointUpdate(self.hosts[n], 1.0, "m", "z", 0, world.started[n], world.status[n]) for n in hosts
         ]
-        self.gateway.roster(sightings, False)
+        self.gateway.update_endpoints(sightings, False)
 
-    def forward(self, forward, stop_at):
-        self.world.arrived(self, self.numbers[forward.host], forward)
+    def send_attempt(self, attempt, attempt_deadline):
+        self.world.arrived(self, self.numbers[attempt.host], attempt)
 
-    def defer(self, task, come_back_ms):
+    def reject(self, request, retry_after_ms):
         self.world.refused += 1
 
-    def error(self, task):
+    def fail(self, request):
         self.world.refused += 1
 
-    def withdraw(self, forward):
-        self.world.at(self.world.now, self.ended, self.gateway, forward, Ending.WITHDRAWN)
+    def cancel(self, attempt):
+        self.world.at(self.world.now, self.ended, self.gateway, attempt, Outcome.CANCELLED)
 
-    def wake(self, after_ms, why):
+    def start_timer(self, after_ms, why):
         if hasattr(why, "host"):
             self.world.at(self.world.now + after_ms, self.woke, self.gateway, why)
 
     def woke(self, gateway, why):
         if gateway is self.gateway:
-            gateway.at(self.world.now + self.skew)
-            gateway.woke(why)
+            gateway.advance_clock(self.world.now + self.skew)
+            gateway.timer_fired(why)
 
-    def log(self, line):
+    def log_decision(self, line):
         pass
 
-    def ended(self, gateway, forward, ending):
-        if gateway is self.gateway and forward.ending is None:
-            gateway.at(self.world.now + self.skew)
-            gateway.ended(forward, ending, gateway.now - forward.sent_at, ending is Ending.DONE, 0, 0)
+    def ended(self, gateway, attempt, outcome):
+        if gateway is self.gateway and attempt.outcome is None:
+            gateway.advance_clock(self.world.now + self.skew)
+            gateway.attempt_finished(
+                attempt, outcome, gateway.now - attempt.sent_at, outcome is Outcome.DONE, 0, 0
+            )
 
-    def take(self, product):
-        self.gateway.at(self.world.now + self.skew)
+    def take(self, request_class):
+        self.gateway.advance_clock(self.world.now + self.skew)
         now = self.gateway.now
-        self.gateway.take(Task(product, OPEN, self.customer, now, now + product.cutoff_ms, 1.0, 1))
+        self.gateway.handle_request(
+            Request(request_class, OPEN, self.customer, now, now + request_class.deadline_ms, 1.0, 1)
+        )
 
 
 class World:
@@ -101,12 +105,12 @@
     def __init__(self, seed, gateways, hosts, load, share, cold=COLD, uneven=1.0):
         self.random, self.now, self.queue, self.made = Random(seed), 100000.0, [], 0
         self.zero, self.gateways, self.hosts, self.cold = self.now, gateways, hosts, cold
-        self.started, self.status = [0.0] * hosts, [Status.READY] * hosts
+        self.started, self.status = [0.0] * hosts, [EndpointStatus.READY] * hosts
         self.free_at, self.up = [self.now] * hosts, [True] * hosts
         self.came = [[] for _ in range(hosts)]
         self.refused = self.offered = 0
         self.falling = range(round(share * hosts))
-        self.doors = [Door(self, number) for number in range(gateways)]
+        self.doors = [EffectHandler(self, number) for number in range(gateways)]
         weights = [self.random.lognormvariate(0.0, uneven) for _ in range(gateways)]
         reach, rate = list(accumulate(weights)), load * hosts * CAPACITY
         t = self.now
@@ -135,13 +139,13 @@
 
     def fall(self):
         for host in self.falling:
-            self.up[host], self.status[host] = False, Status.GONE
+            self.up[host], self.status[host] = False, EndpointStatus.GONE
         for door in self.doors:
             self.at(self.now + self.random.uniform(200.0, 1500.0), door.told, self.falling)
 
     def back(self):
         for host in self.falling:
-            self.up[host], self.status[host], self.started[host] = True, Status.READY, self.now
+            self.up[host], self.status[host], self.started[host] = True, EndpointStatus.READY, self.now
             self.free_at[host] = self.now
         for door in self.doors:
             self.at(self.now + self.random.uniform(0.0, 800.0), door.told, self.falling)
@@ -149,13 +153,13 @@
     def warmth(self, host, when):
         if not self.started[host]:
             return 1.0
-        age = (when - self.started[host]) / self.cold.warm_after_ms
-        return min(1.0, self.cold.start_share + (1.0 - self.cold.start_share) * age)
+        age = (when - self.started[host]) / self.cold.warm_up_ms
+        return min(1.0, self.cold.initial_capacity_share + (1.0 - self.cold.initial_capacity_share) * age)
 
-    def arrived(self, door, host, forward):
+    def arrived(self, door, host, attempt):
         gateway = door.gateway
         if not self.up[host]:
-            self.at(self.now + 1.0, door.ended, gateway, forward, Ending.UNREACHED)
+            self.at(self.now + 1.0, door.ended, gateway, attempt, Outcome.CONNECTION_FAILED)
             return
         if self.started[host]:
             self.came[host].append(self.now)
@@ -163,14 +167,14 @@
         self.free_at[host] = max(self.free_at[host], self.now) + took
         if self.free_at[host] > self.now + 1500.0:
             self.free_at[host] -= took
-            self.at(self.now + 2.0, door.ended, gateway, forward, Ending.FULL)
+            self.at(self.now + 2.0, door.ended, gateway, attempt, Outcome.OVERLOADED)
         else:
-            self.at(self.free_at[host] + 60.0, door.ended, gateway, forward, Ending.DONE)
+            self.at(self.free_at[host] + 60.0, door.ended, gateway, attempt, Outcome.DONE)
 
     def worst(self):
         """What the worst window of a cold host got, in parts of its bound, N + 2 x root of N + 2; N is what
         the settings allow, from the capacity at the window's beginning."""
-        worst, tip = 0.0, self.cold.tip_after_ms
+        worst, tip = 0.0, self.cold.overload_interval_ms
         for host in self.falling:
             came = self.came[host]
             for first, at in enumerate(came):
--- a/tests/membership/test_membership_simulated.py
+++ b/tests/membership/test_membership_simulated.py
@@ -43,7 +43,7 @@
 
     def shares(self):
         serving = [node for node in self.running() if self.now >= node.paused_until]
-        return sum(1 / node.part.sharers(self.now, 0, 6) for node in serving)
+        return sum(1 / node.part.active_members(self.now, 0, 6) for node in serving)
 
     def bound(self):
         """One, and a sixth for each that came back within a lease: others may still hold its share."""
@@ -193,29 +193,32 @@
     for n in (1, 2, 3):
         seats.changed(0, Change(member(n), None))
     seats.changed(1000, Change(member(3, State.DEAD), State.ALIVE))
-    assert seats.sharers(9000, 0, 4) == 4 and not seats.knocks(9000)  # a silence proves nothing
+    assert seats.active_members(9000, 0, 4) == 4 and not seats.knocks(9000)  # a silence proves nothing
     seats.changed(9000, Change(member(3, State.GONE), State.DEAD))
-    assert seats.sharers(60_000, 0, 4) == 4  # and neither does what others say
+    assert seats.active_members(60_000, 0, 4) == 4  # and neither does what others say
     assert seats.knocks(60_000) == [member(3).address]
     seats.refused(60_010, member(3).address)
     assert (
-        seats.sharers(60_020, 0, 4) == 3 and seats.sharers(60_020, 0, 2) == 2
+        seats.active_members(60_020, 0, 4) == 3 and seats.active_members(60_020, 0, 2) == 2
     )  # sets without it keep theirs
-    assert seats.sharers(60_020, 2, 2) == 1
-    assert seats.sharers(60_010 + PACE.lease_ms + 1, 0, 4) == 4  # the proof is old
+    assert seats.active_members(60_020, 2, 2) == 1
+    assert seats.active_members(60_010 + PACE.lease_ms + 1, 0, 4) == 4  # the proof is old
     seats.refused(70_000, member(3).address)
     seats.changed(70_001, Change(member(3, born=9), State.GONE))
-    assert seats.sharers(70_002, 0, 4) == 4  # it is back
+    assert seats.active_members(70_002, 0, 4) == 4  # it is back
     seats.changed(70_003, Change(member(3, State.LEFT, born=9), State.ALIVE))
     seats.refused(70_010, member(3).address)
-    assert seats.sharers(70_020, 0, 4) == 4 and seats.sharers(70_003 + PACE.settle_ms, 0, 4) == 4 - 1
+    assert (
+        seats.active_members(70_020, 0, 4) == 4
+        and seats.active_members(70_003 + PACE.settle_ms, 0, 4) == 4 - 1
+    )
     seats.slept(72_100)
     seats.refused(72_110, member(3).address)
-    assert seats.sharers(72_120, 0, 4) == 4  # our own clock had a gap
+    assert seats.active_members(72_120, 0, 4) == 4  # our own clock had a gap
     seats.refused(74_200, member(3).address)
-    assert seats.sharers(74_210, 0, 4) == 3
+    assert seats.active_members(74_210, 0, 4) == 3
     seats.changed(74_220, Change(member(2, settings_=7), State.ALIVE))
-    assert seats.sharers(74_230, 0, 4) == 4  # others count by other settings
+    assert seats.active_members(74_230, 0, 4) == 4  # others count by other settings
 
 
 def test_datagrams_stay_within_their_size_and_what_is_not_one_of_ours_is_refused():
--- a/tests/model_checking/test_model_checking.py
+++ b/tests/model_checking/test_model_checking.py
@@ -18,8 +18,8 @@
 from granitedock.model_checking.gateways import Shape, Small
 from granitedock.model_checking.views import Fleet, Views
 from granitedock.policy import decisions
-from granitedock.policy.decisions import Book, Bucket
-from granitedock.policy.interface import Call, Customer, Kind, Plan, Status
+from granitedock.policy.decisions import QuotaAccount, TokenBucket
+from granitedock.policy.interface import CounterCall, Customer, Idempotency, Plan, EndpointStatus
 from granitedock.service.reducer import INPUTS, Reducer
 
 
@@ -51,8 +51,8 @@
             met.add((move[0], move[1] if move[0] == "due" else ""))
         for job in world.jobs.values():
             met |= {("answer", kind) for _, kind in job.answers}
-            met.add(("forwards", len(job.forwards)))
-            met |= {("ended", row[3]) for row in job.forwards.values()}
+            met.add(("forwards", len(job.attempts)))
+            met |= {("ended", row[3]) for row in job.attempts.values()}
         for move in world.moves() if len(trace) < 9 else ():
             after = Small(Shape(2, 2, ("mark", "once"), 1))
             for step in [*trace, move]:
@@ -78,32 +78,32 @@
 
 
 def sent_again(monkeypatch):
-    monkeypatch.setitem(decisions.MAY_HAVE_RUN, Kind.ONE_SHOT, ("yes", "no"))
+    monkeypatch.setitem(decisions.MAY_HAVE_RUN, Idempotency.NON_IDEMPOTENT, ("yes", "no"))
 
 
 def deferred_though_it_ran(monkeypatch):
-    monkeypatch.setitem(decisions.MAY_HAVE_RUN, Kind.ONE_SHOT, ("no", "yes"))
+    monkeypatch.setitem(decisions.MAY_HAVE_RUN, Idempotency.NON_IDEMPOTENT, ("no", "yes"))
 
 
 def never_brought_back(monkeypatch):
-    monkeypatch.setitem(INPUTS, "late", lambda self, lane, forward: None)
+    monkeypatch.setitem(INPUTS, "late", lambda self, lane, attempt: None)
     monkeypatch.setitem(INPUTS, "forgotten", lambda self, errand: None)
 
 
 def sent_to_those_that_drain(monkeypatch):
-    roster = decisions.Fleet.roster
+    roster = decisions.LoadBalancer.roster
 
     @wraps(roster)  # a bound method is pickled by its name
     def listed(self, sightings, whole):
         for sighting in sightings:
-            object.__setattr__(sighting, "status", Status.READY)
+            object.__setattr__(sighting, "status", EndpointStatus.READY)
         roster(self, sightings, whole)
 
-    monkeypatch.setattr(decisions.Fleet, "roster", listed)
+    monkeypatch.setattr(decisions.LoadBalancer, "roster", listed)
 
 
 def ceiling_not_kept(monkeypatch):
-    monkeypatch.setattr(Bucket, "take", lambda self, units, now: True)
+    monkeypatch.setattr(TokenBucket, "take", lambda self, units, now: True)
 
 
 def two_copies(monkeypatch):
@@ -199,30 +199,32 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.floats(0, 500), st.floats(0.1, 3)), max_size=40), st.integers(1, 8))
-def test_local_buckets_of_a_whole_set_never_let_in_more_than_rate_and_burst_and_a_task_each(steps, sharers):
+def test_local_buckets_of_a_whole_set_never_let_in_more_than_rate_and_burst_and_a_task_each(
+    steps, active_members
+):
     """Each holds an even share; a share smaller than a task lets one in and owes it."""
     plan, now, let_in = Plan("p", 0.01, 5.0, 0, 1, 0, 0, 0, 0, 0), 0.0, 0.0
-    books = [Book(plan, sharers, now) for _ in range(sharers)]
+    accounts = [QuotaAccount(plan, active_members, now) for _ in range(active_members)]
     for n, (wait, units) in enumerate(steps):
         now += wait
-        let_in += units * books[n % sharers].lets_in(units, now, sharers)
-    assert let_in <= plan.burst + plan.rate * now + 3.0 * sharers + 1e-6
+        let_in += units * accounts[n % active_members].lets_in(units, now, active_members)
+    assert let_in <= plan.burst + plan.rate * now + 3.0 * active_members + 1e-6
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.floats(0, 400), st.integers(1, 3)), min_size=1, max_size=40))
 def test_the_two_window_count_of_one_gateway_lets_in_no_more_than_rate_times_length_and_burst(steps):
     plan, now, used, totals = Plan("p", 0.01, 10.0, 0, 1, 0, 0, 0, 0, 0), 1_000_000.0, 0.0, {}
-    book, customer = Book(plan, 1, now), Customer(161)
+    account, customer = QuotaAccount(plan, 1, now), Customer(161)
     for wait, units in steps:
         now += wait
-        book.turn(now)
-        call = Call(customer, 1, book.window, units - book.debt, 4000.0, now)
-        book.debt = 0.0
-        totals[book.window] = totals.get(book.window, 0.0) + call.amount
-        book.told(call, totals[book.window], now)
-        if book.over(now):
-            book.debt += units  # a refused task's units go back, on the next add to the name
+        account.turn(now)
+        call = CounterCall(customer, 1, account.window, units - account.debt, 4000.0, now)
+        account.debt = 0.0
+        totals[account.window] = totals.get(account.window, 0.0) + call.amount
+        account.told(call, totals[account.window], now)
+        if account.over(now):
+            account.debt += units  # a refused task's units go back, on the next add to the name
         else:
             used += units
     assert used <= plan.burst + plan.rate * (now - 1_000_000.0) + 0.5 + 1e-6
@@ -237,7 +239,7 @@
 def test_settings_decode_to_the_same_plan_whatever_is_left_out(told):
     plan = platform_settings.plans({"Tariffs": [{"Name": "p"} | told]})[0]
     assert plan.rate * 1000 == told.get("Refill", 0.0) or abs(plan.rate * 1000 - told["Refill"]) < 1e-6
-    assert plan.burst == told.get("MostAtOnce", 0.0) and plan.most_out == int(told.get("Concurrency", 0))
+    assert plan.burst == told.get("MostAtOnce", 0.0) and plan.max_in_flight == int(told.get("Concurrency", 0))
 
 
 def test_the_digest_tells_states_apart_by_content_and_not_by_identity():
--- a/tests/outlier_detection/test_outlier_detection.py
+++ b/tests/outlier_detection/test_outlier_detection.py
@@ -16,7 +16,7 @@
 from granitedock.lab.load import broken, load_on
 from granitedock.lab.rig import FLEET_PORT, Rig
 from granitedock.lab.scenario import parse
-from granitedock.policy.interface import Ending, Host, Status
+from granitedock.policy.interface import Outcome, Host, EndpointStatus
 
 WORLD = """
 seed = 3
@@ -223,7 +223,7 @@
     one, places = judge(live=("g0", "g1", "g2", "g3", "g4"))
     assert not out(one, 1000.0, row("g1"), row("g2"), for_it, row("g4", failures=0, failed=-1, answered=50))
     one, places = judge()
-    one.ended(places["h0"], Ending.DONE, 10.0, 1000.0, 900.0)
+    one.ended(places["h0"], Outcome.DONE, 10.0, 1000.0, 900.0)
     assert not out(one, 1000.0, row("g1"), row("g2"))  # our own fresh answer outweighs them
     assert out(one, 3000.0) == {"h0": "failing"}
     one, places = judge()
@@ -263,11 +263,11 @@
 def test_a_drain_is_told_at_once_and_ends_with_the_word_that_it_is_over():
     one, places = judge()
     other, others = judge("g1")
-    others["h0"].status = Status.DRAINING
+    others["h0"].status = EndpointStatus.DRAINING
     other.listed(others, 1000.0)
     assert out(one, 1200.0, *other.due(1100.0, 9)) == {"h0": "draining"}
     assert one.bad(places["h0"], False, 1200.0)
-    others["h0"].status = Status.READY
+    others["h0"].status = EndpointStatus.READY
     other.listed(others, 3000.0)
     assert not out(one, 3300.0, *other.due(3200.0, 9))
 
--- a/tests/policy/test_fleet_quotas.py
+++ b/tests/policy/test_fleet_quotas.py
@@ -13,16 +13,16 @@
 
 from granitedock.policy.decisions import Gateway
 from granitedock.policy.interface import (
-    Cold,
+    SlowStart,
     Customer,
-    Ending,
+    Outcome,
     Host,
-    Leave,
+    PermittedFeatures,
     Plan,
-    Seat,
-    Sighting,
-    Status,
-    Task,
+    GatewayIdentity,
+    EndpointUpdate,
+    EndpointStatus,
+    Request,
 )
 
 PLAN = Plan("plan", 0.004, 16, 0, 1, 0, 0.5, 0, 0, 0)
@@ -89,21 +89,29 @@
 
     def __init__(self, fleet, number, gateways, customers):
         self.fleet, self.gateways, self.sent = fleet, gateways, []
-        seat = Seat(fleet.random.getrandbits(32), number, gateways)
+        seat = GatewayIdentity(fleet.random.getrandbits(32), number, gateways)
         self.gateway = Gateway(
-            self, 0.0, seat, [READ], Leave(3, False, True, True, 2000), Cold(1, 0, 2, 1000), True
+            self,
+            0.0,
+            seat,
+            [READ],
+            PermittedFeatures(3, False, True, True, 2000),
+            SlowStart(1, 0, 2, 1000),
+            True,
         )
-        hosts = [Sighting(Host(), 1.0, "m", "z", 0, 0.0, Status.READY) for _ in range(20)]
-        self.gateway.roster(hosts, True)
+        hosts = [EndpointUpdate(Host(), 1.0, "m", "z", 0, 0.0, EndpointStatus.READY) for _ in range(20)]
+        self.gateway.update_endpoints(hosts, True)
         self.customers = [Customer(n) for n in range(customers)]
 
     def take(self, customer):
         now = self.fleet.now
-        self.gateway.at(now)
-        task = Task(READ, PLAN, self.customers[customer], now, now + READ.cutoff_ms, 1.0, self.gateways)
-        self.gateway.take(task)
+        self.gateway.advance_clock(now)
+        request = Request(
+            READ, PLAN, self.customers[customer], now, now + READ.deadline_ms, 1.0, self.gateways
+        )
+        self.gateway.handle_request(request)
 
-    def count(self, call):
+    def call_counter(self, call):
         fleet = self.fleet
         fleet.at(fleet.now + fleet.random.uniform(0.5, 3.0), self.land, call)
 
@@ -113,35 +121,35 @@
         fleet.at(fleet.now + fleet.random.uniform(0.5, 3.0), self.told, call, total)
 
     def told(self, call, total):
-        self.gateway.at(self.fleet.now)
-        self.gateway.counted(call, Ending.DONE, total)
+        self.gateway.advance_clock(self.fleet.now)
+        self.gateway.counter_call_finished(call, Outcome.DONE, total)
 
-    def forward(self, forward, stop_at):
+    def send_attempt(self, attempt, attempt_deadline):
         fleet = self.fleet
-        if len(forward.task.forwards) == 1:
-            self.sent.append(forward)
-            fleet.stores[forward.task.customer.key].take(fleet.now)
-        fleet.at(fleet.now + fleet.random.expovariate(1 / 40), self.done, forward)
+        if len(attempt.request.attempts) == 1:
+            self.sent.append(attempt)
+            fleet.stores[attempt.request.customer.key].take(fleet.now)
+        fleet.at(fleet.now + fleet.random.expovariate(1 / 40), self.done, attempt)
 
-    def done(self, forward):
-        if forward.ending is None:
-            self.gateway.at(self.fleet.now)
-            self.gateway.ended(forward, Ending.DONE, self.fleet.now - forward.sent_at, True, 0, 0)
+    def done(self, attempt):
+        if attempt.outcome is None:
+            self.gateway.advance_clock(self.fleet.now)
+            self.gateway.attempt_finished(attempt, Outcome.DONE, self.fleet.now - attempt.sent_at, True, 0, 0)
 
-    def wake(self, after_ms, why):
+    def start_timer(self, after_ms, why):
         self.fleet.at(self.fleet.now + after_ms, self.woke, why)
 
     def woke(self, why):
-        self.gateway.at(self.fleet.now)
-        self.gateway.woke(why)
+        self.gateway.advance_clock(self.fleet.now)
+        self.gateway.timer_fired(why)
 
-    def withdraw(self, forward):
-        self.fleet.at(self.fleet.now, self.done, forward)
+    def cancel(self, attempt):
+        self.fleet.at(self.fleet.now, self.done, attempt)
 
-    def defer(self, task, come_back_ms):
+    def reject(self, request, retry_after_ms):
         pass
 
-    error = log = lambda self, *what: None
+    fail = log_decision = lambda self, *what: None
 
 
 @pytest.mark.parametrize("gateways", [1, 4, 20, 30, 200])
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("factor, start", [(1.5, 0.15), (3.0, 0.47)])
 def test_the_ramp_follows_what_the_settings_allow(factor, start):
-    cold = replace(COLD, start_share=start, overload_factor=factor)
+    cold = replace(COLD, initial_capacity_share=start, overload_factor=factor)
     for seed in range(4):
         world = World(seed, 20, 30, 0.9, (0.5, 1.0)[seed % 2], cold=cold).run()
         assert world.worst() <= 1.0 and world.used() >= 0.2, seed
--- a/tests/quota_sharing/test_quota_sharing.py
+++ b/tests/quota_sharing/test_quota_sharing.py
@@ -17,7 +17,7 @@
 from granitedock.lab.load import broken, done_units, load_on
 from granitedock.lab.rig import Rig, on_loop
 from granitedock.lab.sharesim import Offer, ShareFleet, admitted
-from granitedock.policy.interface import Ending, Plan, Quota
+from granitedock.policy.interface import Outcome, Plan, SharedQuota
 from granitedock.quota_sharing.bound import excess
 from granitedock.quota_sharing.counts import Counts
 from granitedock.quota_sharing.snapshot import Refused, pack, unpack
@@ -267,7 +267,7 @@
 
 # The merge and the reserves, on their own.
 
-QUOTA = Quota(PLAN, 0, SET, 2000.0)
+QUOTA = SharedQuota(PLAN, 0, SET, 2000.0)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -375,7 +375,7 @@
     assert held(11_800.0) == 0  # our own proof is
     assert held(11_700.0 + Pace().lease_ms + 100) > 0  # for as long as it is fresh
     call = next(call for call in shared.tick(16_000.0, 16_000.0)[1] if call.window == 3)
-    shared.answered(call, Ending.DONE, 1.0)
+    shared.answered(call, Outcome.DONE, 1.0)
     assert held(16_500.0) == 0  # it counts where we do
     assert held(31_000.0) > 0
     assert held(since + 60_000 + 500) == 0  # its time is up
--- a/tests/service/test_gateway_process.py
+++ b/tests/service/test_gateway_process.py
@@ -39,10 +39,10 @@
     return wired.comes_up()
 
 
-def quick(wired, lines, client, tasks=60):
+def quick(wired, lines, client, requests=60):
     """Hosts that answer in a millisecond, so that they may be given many at once; their lines, idle again."""
     hosts = []
-    for _ in range(tasks):
+    for _ in range(requests):
         wired.ask(client)
         counted(wired, lines)
         if wired.dials:
@@ -56,7 +56,9 @@
 
 def test_a_task_goes_on_as_it_came_but_for_the_time_and_its_value_comes_back_as_the_host_made_it():
     wired, lines, client = begun()
-    host = forwarded(wired, lines, client, product="once", more=b",k=5c0f6e1a2b3d4c59", body=(b"\r\n*1",))
+    host = forwarded(
+        wired, lines, client, request_class="once", more=b",k=5c0f6e1a2b3d4c59", body=(b"\r\n*1",)
+    )
     words = host.took()
     assert b"$9\r\nAPI.WRITE\r\n$16\r\n00000000000000a1\r\n$16\r\n0123456789abcdef\r\n" in words
     assert b"c=once,t=p,d=1000,units=1,spread=1,first=0,k=5c0f6e1a2b3d4c59\r\n$4\r\n\r\n*1\r\n" in words
@@ -73,7 +75,7 @@
     wired, lines, client = begun(hosts=1)
     host = None
     for _ in range(3):
-        wired.ask(client, product="once")
+        wired.ask(client, request_class="once")
         counted(wired, lines)
         host = host or wired.comes_up()
         host.link.dataReceived(b"-ERR failed\r\n")
@@ -122,7 +124,7 @@
 
 def test_a_stop_errs_what_it_cannot_wait_for():
     wired, lines, client = begun()
-    forwarded(wired, lines, client, product="once", d=60000)
+    forwarded(wired, lines, client, request_class="once", d=60000)
     wired.tell("mode", "ending")
     wired.pass_ms(3600)
     assert client.took() == b"-ERR failed\r\n" and wired.left
@@ -172,7 +174,7 @@
         client.link.dataReceived(data)
         assert client.took().startswith(b"-ERR ") and client.closed == "closed", data
     wired, _, client = begun()
-    wired.ask(client, product="unheard")
+    wired.ask(client, request_class="unheard")
     assert client.took().startswith(b"-ERR ") and client.closed
     wired, _, client = begun()
     client.link.dataReceived(b"x" * 2000)
@@ -181,7 +183,7 @@
 
 def test_a_connection_that_ends_before_the_last_byte_proves_that_nothing_ran():
     wired, lines, client = begun()
-    wired.ask(client, product="once")
+    wired.ask(client, request_class="once")
     counted(wired, lines)
     host = wired.comes_up(stuck=True)
     host.link.connectionLost()
@@ -194,13 +196,13 @@
 def test_what_may_not_run_twice_takes_no_kept_connection_after_one_was_cut_in_use():
     wired, lines, client = begun(hosts=1)
     [kept] = quick(wired, lines, client, 1)
-    wired.ask(client, product="once")
+    wired.ask(client, request_class="once")
     counted(wired, lines)
     kept.link.connectionLost()
     assert client.took() == b"-ERR failed\r\n"
     for wait, anew in (10, True), (10, True), (4990, False):
         wired.now += wait
-        wired.ask(client, product="once")
+        wired.ask(client, request_class="once")
         counted(wired, lines)
         assert bool(wired.dials) == anew
         kept = wired.comes_up() if anew else kept
@@ -210,7 +212,7 @@
 
 def test_a_refused_dial_sends_the_task_on_and_all_refused_defer_it():
     wired, lines, client = begun()
-    wired.ask(client, product="once")
+    wired.ask(client, request_class="once")
     counted(wired, lines)
     wired.fails()
     wired.fails()
@@ -220,7 +222,7 @@
 
 def test_a_host_s_busy_reaches_no_client_of_a_task_that_may_have_run():
     wired, lines, client = begun()
-    host = forwarded(wired, lines, client, product="once")
+    host = forwarded(wired, lines, client, request_class="once")
     host.link.dataReceived(b"-BUSY inflight=7,queue=2\r\n")
     assert client.took() == b"" and wired.dials  # turned away unseen: another host gets it
     host = wired.comes_up()
@@ -275,7 +277,7 @@
     )
     for data in (*said, VALUE[:9]):
         wired, lines, client = begun()
-        host = forwarded(wired, lines, client, product="once")
+        host = forwarded(wired, lines, client, request_class="once")
         host.link.dataReceived(data)
         wired.pass_ms(300)  # it begins and does not end
         assert client.took() == b"-ERR failed\r\n" and host.closed == "aborted", data
@@ -315,7 +317,7 @@
         wired, lines, client = begun()
         value = b"*3\r\n$5\r\nvalue\r\n" + more
         forwarded(wired, lines, client).link.dataReceived(value)
-        assert client.took() == value and next(iter(wired.reducer.gateway.books)).book.debt == 0
+        assert client.took() == value and next(iter(wired.reducer.gateway.accounts)).account.debt == 0
 
 
 def test_a_silent_counter_is_replaced_and_its_late_totals_still_count():
@@ -324,9 +326,9 @@
     old = next(line for line in lines if line.written)
     wired.pass_ms(2000)
     assert not old.closed and any(event == "counter replaced" for event, _ in wired.lines)
-    book = wired.reducer.gateway.books and next(iter(wired.reducer.gateway.books)).book
+    account = wired.reducer.gateway.accounts and next(iter(wired.reducer.gateway.accounts)).account
     old.link.dataReceived(b"$2\r\n17\r\n")
-    assert book.current == 17 and old.closed == "aborted"
+    assert account.current == 17 and old.closed == "aborted"
 
 
 def test_a_counter_s_answer_without_a_number_was_added_and_ends_its_connection():
@@ -335,10 +337,10 @@
         wired.ask(client)
         wired.ask(client)
         old = next(line for line in lines if line.written)
-        book = next(iter(wired.reducer.gateway.books)).book
+        account = next(iter(wired.reducer.gateway.accounts)).account
         old.link.dataReceived(said)
         wired.pass_ms(50)
-        assert old.closed == "aborted" and book.current == 1 and book.debt == 0, said
+        assert old.closed == "aborted" and account.current == 1 and account.debt == 0, said
         assert wired.counts["call_spoilt"] == wired.counts["call_reset"] == 1  # the one behind: not known
         wired.pass_ms(600)
         assert any(dial[2] == "counter down" for dial in wired.dials)
@@ -355,7 +357,7 @@
     moved = [wired.comes_up(0) for _ in range(len(wired.dials))]
     assert sum(not line.closed for line in moved) == 1 + len(lines)
     old.link.dataReceived(b"$2\r\n17\r\n")  # what was added there still counts
-    assert next(iter(wired.reducer.gateway.books)).book.current == 17 and old.closed == "aborted"
+    assert next(iter(wired.reducer.gateway.accounts)).account.current == 17 and old.closed == "aborted"
     assert not wired.reducer.old_wires
     wired.comes_up().link.dataReceived(VALUE)
     assert client.took() == VALUE
@@ -433,7 +435,7 @@
 def test_more_than_the_memory_holds_is_deferred_and_more_than_the_sockets_hold_makes_room():
     wired, lines, client = begun(memory_mb=27)
     for _ in range(15):
-        wired.ask(client, product="once", body=(60000 * b"x",))
+        wired.ask(client, request_class="once", body=(60000 * b"x",))
     assert client.took() == b""  # it waits behind the first ones
     assert wired.counts["deferred"] == 1
     wired, lines, client = begun(sockets=20)
@@ -525,7 +527,7 @@
     for _ in range(100):
         wired.pass_ms(1000)
         wired.ask(wired.client(), customer=wired.next_id % 1000)
-    assert len(reducer.gateway.books) < 15 and len(reducer.customers) < 25
+    assert len(reducer.gateway.accounts) < 15 and len(reducer.customers) < 25
 
 
 def test_who_says_nothing_or_half_of_it_hears_of_it_within_three_seconds():
@@ -579,7 +581,7 @@
             if what < 3 and len(asked) < 10:
                 line = wired.client()
                 asked[line] = wired.now + 3000
-                wired.ask(line, product=chance.choice(("read", "once")))
+                wired.ask(line, request_class=chance.choice(("read", "once")))
             elif what == 3 and wired.dials:
                 chance.choice((wired.fails, wired.comes_up))(chance.randrange(len(wired.dials)))
             elif what == 4 and open_hosts:
@@ -599,7 +601,7 @@
                 line = wired.comes_up()
                 if isinstance(line.link, HostLink):
                     hosts.append(line)
-            out = Counter(forward.task for forward in wired.reducer.lanes)
+            out = Counter(attempt.request for attempt in wired.reducer.lanes)
             assert not out or max(out.values()) == 1  # never two out
             for line in [line for line in asked if line.written]:
                 assert line.written_at <= asked.pop(line)
--- a/tests/service/test_platform_file.py
+++ b/tests/service/test_platform_file.py
@@ -13,7 +13,7 @@
 from loopback import VALUE, Live
 
 from granitedock import platform_settings
-from granitedock.policy.interface import Group, Kind
+from granitedock.policy.interface import IdempotencyScope, Idempotency
 from granitedock.service.limits import Limits
 from granitedock.platform_file import ToldError, faults, load
 
@@ -235,13 +235,16 @@
     site = tomllib.loads(path.read_text())
     told = TOLD | {"settings": settings_of(site)}
     assert faults(told) == []
-    products = platform_settings.products(told["settings"])
-    assert [(it.name, it.quoted_ms, it.cutoff_ms) for it in products] == [
+    request_classes = platform_settings.request_classes(told["settings"])
+    assert [(it.name, it.latency_objective_ms, it.deadline_ms) for it in request_classes] == [
         (it["name"], it["aim_ms"], it["deadline_ms"]) for it in site["class"]
     ]
-    assert {it.kind for it in products} == set(Kind)
-    keyed = next(it for it in products if it.kind is Kind.STAMPED)
-    assert keyed.group_ms <= 1500 and keyed.group in (Group.ALL, Group.ZONE)
+    assert {it.kind for it in request_classes} == set(Idempotency)
+    keyed = next(it for it in request_classes if it.kind is Idempotency.KEYED)
+    assert keyed.idempotency_window_ms <= 1500 and keyed.group in (
+        IdempotencyScope.ALL,
+        IdempotencyScope.ZONE,
+    )
     assert [plan.name for plan in platform_settings.plans(told["settings"])] == [
         it["name"] for it in site["tenant"]
     ]
@@ -253,14 +256,14 @@
     )
     try:
         client = gate.client()
-        for number, product in enumerate(products):
-            word, key = ("READ", "") if product.kind is Kind.HARMLESS else ("WRITE", ",k=5c")
-            text = f"c={product.name},t={site['tenant'][-1]['name']},d={product.cutoff_ms:g}"
-            text += f",units=1,spread=1,first=0{key if product.kind is Kind.STAMPED else ''}"
+        for number, request_class in enumerate(request_classes):
+            word, key = ("READ", "") if request_class.kind is Idempotency.IDEMPOTENT else ("WRITE", ",k=5c")
+            text = f"c={request_class.name},t={site['tenant'][-1]['name']},d={request_class.deadline_ms:g}"
+            text += f",units=1,spread=1,first=0{key if request_class.kind is Idempotency.KEYED else ''}"
             words = [f"API.{word}", f"{161 + number:016x}", f"{77 + number:016x}", text]
             client.send(b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(it), it.encode()) for it in words))
             host = gate.at_host()
-            assert product.name.encode() in host.read()
+            assert request_class.name.encode() in host.read()
             host.send(VALUE)
             gate.turn()
             host.close()
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -42,7 +42,7 @@
     return VALUE
 
 
-def task(body):
+def request(body):
     text = b"c=once,t=p,d=3000,k=1,units=1,spread=1,first=0"
     return command(b"API.WRITE", b"00000000000000a1", b"0123456789abcdef", text, body)
 
@@ -75,7 +75,7 @@
         client.sendall(command(b"PING"))
         said = client.makefile("rb")
         assert said.readline() == b"+PONG\r\n"  # discovery has spoken, so there is a host
-        client.sendall(task(b"fast"))
+        client.sendall(request(b"fast"))
         assert said.read(len(VALUE)) == VALUE
         counters = subprocess.run([*run, "counters", told["listen"]], capture_output=True, timeout=10)
         assert b"done:1" in counters.stdout.split() and counters.returncode == 0
@@ -87,11 +87,11 @@
             process.send_signal(signal.SIGHUP)
             while most and not calls:  # a slow machine hears the signal later
                 time.sleep(0.1)
-                client.sendall(task(b"fast"))
+                client.sendall(request(b"fast"))
                 assert said.read(len(VALUE)) == VALUE
                 most -= 1
         assert [words[0] for words in calls] == [b"TALLY"]
-        client.sendall(task(b"slow"))
+        client.sendall(request(b"slow"))
         time.sleep(0.2)
         process.send_signal(signal.SIGTERM)
         assert said.read(len(VALUE)) == VALUE and said.read() == b""
--- a/tests/test_small_functions.py
+++ b/tests/test_small_functions.py
@@ -127,9 +127,9 @@
 
 
 def test_ring_ring():
-    from granitedock.rolling_window import Ring
+    from granitedock.rolling_window import RollingWindow
 
-    ring = Ring(800.0)
+    ring = RollingWindow(800.0)
     ring.add(0.0, 30.0, 1.0)
     ring.add(700.0, 50.0, 1.0)
     assert (ring.sums(700.0), ring.sums(1400.0), ring.sums(1600.0)) == ((80.0, 2.0), (50.0, 1.0), (0, 0))
@@ -145,7 +145,7 @@
     words = [b"API.READ", b"00000000000000a1", b"9b1f03aa5c7e2d41", text]
     limits = Limits.told({"settings": {"Balancers": 4, "Lanes": []}})
     ask = read(words, command(*words).split(b"\r\n")[:-1], limits)
-    assert (ask.product, ask.customer, ask.left_ms, ask.spread, ask.head, ask.tail) == (
+    assert (ask.request_class, ask.customer, ask.left_ms, ask.subset_size, ask.head, ask.tail) == (
         "r",
         161,
         480.0,
@@ -162,11 +162,11 @@
 
 
 def test_service_discovery_listing():
-    from granitedock.service.discovery_protocol import Entry, Status, listing
+    from granitedock.service.discovery_protocol import Entry, EndpointStatus, listing
 
     instance = {"instanceId": "s-1", "hostPort": "127.0.0.1:1", "lifecycle": "terminating"}
     listed = listing({"generation": 4, "reset": True, "instances": [instance]})
-    assert listed.entries[0] == Entry("s-1", "127.0.0.1:1", 1.0, "", "", 0, 0.0, Status.DRAINING)
+    assert listed.entries[0] == Entry("s-1", "127.0.0.1:1", 1.0, "", "", 0, 0.0, EndpointStatus.DRAINING)
 
 
 def test_service_hosts_figures():
@@ -241,11 +241,11 @@
 
 
 def test_shared_state_reserve():
-    from granitedock.quota_sharing.state import Quota, reserve
+    from granitedock.quota_sharing.state import SharedQuota, reserve
 
     from granitedock.policy.interface import Plan
 
-    quota = Quota(Plan("p", 0.04, 40, 0, 1, 0, 0, 0, 0, 0), 0, 4, 2000.0)
+    quota = SharedQuota(Plan("p", 0.04, 40, 0, 1, 0, 0, 0, 0, 0), 0, 4, 2000.0)
     assert (reserve(quota, 5, 11000.0, 11500.0), reserve(quota, 5, 3000.0, 11500.0)) == (15.0, 15.0)
 
 
