--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -24,9 +24,9 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
+from granitedock.lab.fleetsim import World, plain  # noqa: E402
 from granitedock.membership.member import LIVE  # noqa: E402
 from granitedock.membership.pace import Pace  # noqa: E402
-from granitedock.lab.fleetsim import World, plain  # noqa: E402
 
 SIZES = (10, 40, 200, 1000)
 PACES = {"view": Pace(), "view without Lifeguard's parts": plain(Pace())}
--- a/benchmarks/judgement.py
+++ b/benchmarks/judgement.py
@@ -19,7 +19,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from granitedock.lab.sharesim import Offer, ShareFleet  # noqa: E402
-from granitedock.policy.interface import Plan  # noqa: E402
+from granitedock.policy.types import Plan  # noqa: E402
 
 PLOTS = Path(__file__).parent.parent / "docs" / "plots"
 PLAN = Plan("p", 100, 100_000, 0, 1, 0, 0.5, 0, 0, 0)
--- a/benchmarks/shared_counts.py
+++ b/benchmarks/shared_counts.py
@@ -22,7 +22,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from granitedock.lab.sharesim import Offer, ShareFleet, admitted, worst_over  # noqa: E402
-from granitedock.policy.interface import Plan  # noqa: E402
+from granitedock.policy.types import Plan  # noqa: E402
 from granitedock.quota_sharing.counts import Counts  # noqa: E402
 
 PLOTS = Path(__file__).parent.parent / "docs" / "plots"
@@ -181,7 +181,7 @@
     before = tracemalloc.get_traced_memory()[0]
     counts = Counts("g", 1, 100_000)
     for customer in range(10_000):
-        counts.let_in(customer, 1, 2000, 1)
+        counts.record_uncounted(customer, 1, 2000, 1)
     counts.to_tell.clear()
     size = (tracemalloc.get_traced_memory()[0] - before) / 10_000
     tracemalloc.stop()
--- a/granitedock/commands/gateway.py
+++ b/granitedock/commands/gateway.py
@@ -66,9 +66,9 @@
     import orjson
 
     from granitedock import platform_settings
-    from granitedock.service.limits import Limits
     from granitedock.platform_file import ToldError
     from granitedock.platform_file import load as load_told
+    from granitedock.service.limits import Limits
     from granitedock.toml_file import FileError
 
     try:
--- a/granitedock/configuration/attach.py
+++ b/granitedock/configuration/attach.py
@@ -9,10 +9,17 @@
 import orjson
 
 from granitedock.configuration.copy_file import CopyFile
-from granitedock.configuration.document import ConfigurationError, Contents, Edit, Prepared, Record, Section
-from granitedock.configuration.document import digest_text
-from granitedock.configuration.follower import Follower, Pace
+from granitedock.configuration.document import (
+    ConfigurationError,
+    Contents,
+    Edit,
+    Prepared,
+    Record,
+    Section,
+    digest_text,
+)
 from granitedock.configuration.followed import FollowedDocument
+from granitedock.configuration.follower import Follower, Pace
 from granitedock.configuration.gateway import Entry, GatewayConfiguration
 from granitedock.configuration.link import FollowerLink
 from granitedock.configuration.messages import VersionedChange
--- a/granitedock/configuration/follower.py
+++ b/granitedock/configuration/follower.py
@@ -26,7 +26,7 @@
     VersionedChange,
     decoded,
 )
-from granitedock.policy.decisions import advance
+from granitedock.state_table import advance
 
 # `asked`: up, and no line has come. `gone`: given up, another connection takes its place.
 STATES = {
--- a/granitedock/configuration/gateway.py
+++ b/granitedock/configuration/gateway.py
@@ -14,7 +14,7 @@
 from granitedock.configuration.messages import VersionedChange
 from granitedock.configuration.transition import Transitions, carried
 from granitedock.configuration.windows import window_of
-from granitedock.policy.interface import Plan, RequestClass
+from granitedock.policy.types import Plan, RequestClass
 
 CLASS_FIELDS = attrgetter(*RequestClass.__slots__)
 PLAN_FIELDS = attrgetter(*(name for name in Plan.__slots__ if name != "window_ms"))
--- a/granitedock/configuration/transition.py
+++ b/granitedock/configuration/transition.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from granitedock.policy.decisions import LONGEST_NAME_MS, QuotaAccount
-from granitedock.policy.interface import Plan
+from granitedock.policy.types import Plan
 
 COUNTED = ("window", "current", "previous", "debt", "journal", "added", "raw", "lapse", "still")
 HEARD = ("heard", "before")
--- a/granitedock/configuration/windows.py
+++ b/granitedock/configuration/windows.py
@@ -11,7 +11,7 @@
 from granitedock.configuration.change_form import WINDOW
 from granitedock.configuration.document import Record
 from granitedock.policy.decisions import LONGEST_NAME_MS, NAMES_LAST, WINDOW_OF_BURST
-from granitedock.policy.interface import Plan
+from granitedock.policy.types import Plan
 
 LEAST_WINDOW_MS = 1000.0
 LONGEST_WINDOW_MS = LONGEST_NAME_MS / NAMES_LAST
--- a/granitedock/lab/plansim.py
+++ b/granitedock/lab/plansim.py
@@ -13,8 +13,7 @@
 from granitedock.configuration.gateway import GatewayConfiguration
 from granitedock.lab.fleetsim import Node
 from granitedock.lab.sharesim import Desk, Offer, ShareFleet
-from granitedock.policy.interface import Customer, Plan, Request
-
+from granitedock.policy.types import Customer, Plan, Request
 
 SPAN_STEP_MS = 250
 
--- a/granitedock/lab/sharesim.py
+++ b/granitedock/lab/sharesim.py
@@ -14,21 +14,21 @@
 from typing import Any
 
 from granitedock import platform_settings
-from granitedock.membership.pace import Pace
-from granitedock.membership.wire import Kind, Message
-from granitedock.outlier_detection.judge import Judge, Weights
 from granitedock.lab.fleetsim import EPOCH, Node, World
 from granitedock.lab.scenario import parse
 from granitedock.lab.settings import born
-from granitedock.policy.interface import (
+from granitedock.membership.pace import Pace
+from granitedock.membership.wire import Kind, Message
+from granitedock.outlier_detection.judge import Judge, Weights
+from granitedock.policy.types import (
+    Attempt,
     CounterCall,
     Customer,
-    Outcome,
-    Attempt,
+    EndpointStatus,
+    EndpointUpdate,
     Host,
+    Outcome,
     Plan,
-    EndpointUpdate,
-    EndpointStatus,
     Request,
 )
 from granitedock.quota_sharing.state import Bounds, Shared
--- a/granitedock/model_checking/canon.py
+++ b/granitedock/model_checking/canon.py
@@ -14,7 +14,7 @@
 from types import FunctionType, MethodType
 from typing import Any
 
-from granitedock.policy.interface import Plan, RequestClass
+from granitedock.policy.types import Plan, RequestClass
 from granitedock.rolling_window import RollingWindow
 
 BY_NAME = frozenset({RequestClass, Plan})
--- a/granitedock/model_checking/gateways.py
+++ b/granitedock/model_checking/gateways.py
@@ -18,14 +18,14 @@
 from granitedock.model_checking.canon import digest
 from granitedock.model_checking.explore import Move
 from granitedock.model_checking.still import keep, maker, still
-from granitedock.policy.interface import (
-    SlowStart,
+from granitedock.policy.types import (
+    EndpointStatus,
+    GatewayIdentity,
     Outcome,
     PermittedFeatures,
     Plan,
     RequestClass,
-    GatewayIdentity,
-    EndpointStatus,
+    SlowStart,
 )
 from granitedock.service.client_protocol import read
 from granitedock.service.discovery_protocol import Entry, Listing
--- a/granitedock/model_checking/views.py
+++ b/granitedock/model_checking/views.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 from typing import Any
 
+from granitedock.lab.fleetsim import Node, World
 from granitedock.membership.member import State
 from granitedock.membership.pace import Pace
-from granitedock.lab.fleetsim import Node, World
 from granitedock.model_checking.canon import digest
 from granitedock.model_checking.explore import Move
 
--- a/granitedock/outlier_detection/judge.py
+++ b/granitedock/outlier_detection/judge.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from granitedock.outlier_detection.evidence import Evidence, Held, Row
-from granitedock.policy.interface import Outcome, Host, EndpointStatus
+from granitedock.policy.types import EndpointStatus, Host, Outcome
 
 ANSWERS = (Outcome.DONE, Outcome.OVERLOADED)
 SILENT = (Outcome.TIMEOUT, Outcome.CANCELLED)
@@ -75,10 +75,10 @@
 
     # What the decisions say and ask (interface.Judgement).
 
-    def sent(self, host: Host) -> None:
+    def attempt_started(self, host: Host) -> None:
         self.note(host).out += 1
 
-    def ended(
+    def attempt_finished(
         self, host: Host, outcome: Outcome, took_ms: float, latency_objective_ms: float, now: float
     ) -> None:
         """A forward of ours there is over. What says nothing of the host is left out."""
@@ -98,7 +98,7 @@
             notes.failed_at = now
         self.say(host.name, notes, now)
 
-    def bad(self, host: Host, risky: bool, now: float) -> bool:
+    def is_ejected(self, host: Host, risky: bool, now: float) -> bool:
         """Whether it is kept from a task now by what others say. One that fails is asked by whoever's turn it
         is, but not with a task that could not be sent again."""
         self.judge(now)
@@ -107,7 +107,7 @@
             return False
         return risky or why == "draining" or not self.ours(host.name, now)
 
-    def turn(self, host: Host, now: float) -> bool:
+    def may_probe(self, host: Host, now: float) -> bool:
         """Whether we may ask a host that we set aside: in our turn, or once another had an answer."""
         if self.ours(host.name, now):
             return True
--- a/granitedock/platform_settings.py
+++ b/granitedock/platform_settings.py
@@ -5,15 +5,15 @@
 from typing import Any
 
 from granitedock.policy.decisions import Gateway
-from granitedock.policy.interface import (
-    SlowStart,
-    EffectHandler,
-    IdempotencyScope,
+from granitedock.policy.ports import EffectHandler
+from granitedock.policy.types import (
+    GatewayIdentity,
     Idempotency,
+    IdempotencyScope,
     PermittedFeatures,
     Plan,
     RequestClass,
-    GatewayIdentity,
+    SlowStart,
 )
 
 KINDS = {"safe": Idempotency.IDEMPOTENT, "keyed": Idempotency.KEYED, "unsafe": Idempotency.NON_IDEMPOTENT}
--- a/granitedock/policy/decisions.py
+++ b/granitedock/policy/decisions.py
@@ -2,7 +2,7 @@
 
 How it is called: a carrier makes one Gateway per api gateway, sets its clock with `at` before each batch, and
 calls roster, take, ended, started, client_gone, counted and woke; what is decided goes out through the Door.
-Interface: granitedock/policy/interface.py. What is kept of the design, what changed and why: docs/design.md.
+Interface: granitedock/policy/types.py and ports.py. What is kept of the design, what changed and why: docs/design.md.
 """
 
 from __future__ import annotations
@@ -11,30 +11,27 @@
 from bisect import bisect
 from itertools import accumulate
 
-from granitedock.policy.interface import (
+from granitedock.policy.ports import EffectHandler, MembershipPort, OutlierDetectionPort, QuotaSharingPort
+from granitedock.policy.types import (
+    Attempt,
     CounterCall,
-    SlowStart,
     Customer,
-    EffectHandler,
-    Outcome,
-    Attempt,
-    IdempotencyScope,
+    EndpointStatus,
+    EndpointUpdate,
+    GatewayIdentity,
     Host,
-    OutlierDetectionPort,
-)
-from granitedock.policy.interface import (
     Idempotency,
+    IdempotencyScope,
+    Outcome,
     PermittedFeatures,
-    MembershipPort,
     Plan,
+    Request,
     RequestClass,
     SharedQuota,
-    GatewayIdentity,
-    QuotaSharingPort,
-    EndpointUpdate,
+    SlowStart,
 )
-from granitedock.policy.interface import EndpointStatus, Request
 from granitedock.rolling_window import RollingWindow
+from granitedock.state_table import advance
 
 BUDGET_MS = 20.0  # the design's budget of a call to the counter
 BUDGET_MEANS, BUDGET_MOST = 3.0, 0.25  # mean times, where that is more; of the quoted time
@@ -105,16 +102,6 @@
 }
 
 
-def advance(table: dict, thing, signal: str | None, acts) -> None:
-    """Read the table until an effect gives no further input; an input without a row changes nothing."""
-    while signal is not None:
-        row = table.get((thing.state, signal))
-        if row is None:
-            return
-        thing.state, effect = row
-        signal = getattr(acts, effect)(thing) if effect else None
-
-
 class TokenBucket:
     """A store of units that fills at a rate up to its depth."""
 
@@ -427,11 +414,11 @@
         if self.now < health.refuses.get(request.plan, 0.0):
             return False
         risky, judged = request.request_class.kind is Idempotency.NON_IDEMPOTENT, self.judged
-        if judged is not None and not self.shared and judged.bad(host, risky, self.now):
+        if judged is not None and not self.shared and judged.is_ejected(host, risky, self.now):
             return False
         if health.state == "aside" and not self.shared:
             trial = self.now >= health.until and not risky
-            return trial and (judged is None or judged.turn(host, self.now))
+            return trial and (judged is None or judged.may_probe(host, self.now))
         return self.shared or (health.state == "trusted" and not self.silent(host))
 
     def pick(self, request: Request, hosts: list[Host], longest: float) -> Host | None:
@@ -459,7 +446,7 @@
         advance(HOST, health, "quarantine over", self)
         health.outs[attempt] = None
         if self.judged is not None:
-            self.judged.sent(attempt.host)
+            self.judged.attempt_started(attempt.host)
         free = [other.outcome in NEVER_RAN for other in attempt.request.attempts[:-1]]
         self.sends.add(self.now, float(not free), float(not all(free)))
 
@@ -469,7 +456,7 @@
         outcome, before, request = attempt.outcome, health.state, attempt.request
         size = self.size(request.request_class, round(request.units))
         if self.judged is not None:
-            self.judged.ended(
+            self.judged.attempt_finished(
                 attempt.host, outcome, took_ms, request.request_class.latency_objective_ms, self.now
             )
         signal = "answered" if outcome in (Outcome.DONE, Outcome.OVERLOADED) else "failed"
@@ -574,11 +561,11 @@
         call.answered, told = True, outcome is Outcome.DONE
         call.applied = told or outcome is Outcome.ERROR  # error: added, but no total came
         if self.shared is not None:
-            self.shared.answered(call, outcome, total or 0.0)
+            self.shared.counter_call_finished(call, outcome, total or 0.0)
             if told and account is not None and account.stale(call, total):
                 told, call.applied = False, True
             elif told and account is not None:
-                key, ask = call.customer.key, self.shared.uncounted
+                key, ask = call.customer.key, self.shared.uncounted_elsewhere
                 uncounted = [ask(key, call.window - n, account.quota, self.now) for n in (0, 1)]
                 total = account.whole(call, total, *uncounted)
             self.square(call, outcome)
@@ -646,7 +633,7 @@
         if not self.has_counter or not self.breaker.lets_call():
             return "unanswered"
         if self.shared is not None:
-            account.journal += self.shared.inherit(request.customer.key, account.window)
+            account.journal += self.shared.carry_over(request.customer.key, account.window)
         amount, account.debt = request.units - account.debt + account.journal, 0.0
         carried, account.journal = account.journal, 0.0
         request.counter_call = self.call(request.customer, amount)
@@ -689,7 +676,7 @@
         the name. Of an add whose end is not known they stay told, and are not added again: it may have
         landed; counting twice refuses some, where not counting would let more in than the quota."""
         call, account, units = request.counter_call, request.customer.account, request.units
-        self.shared.let_in(request.customer.key, account.window, account.quota, units)
+        self.shared.record_uncounted(request.customer.key, account.window, account.quota, units)
         if call is None or call.recorded_uncounted < 0:  # never sent, or proved not added
             account.journal += units
         else:
@@ -700,7 +687,7 @@
         on the next one."""
         account, units = call.customer.account, call.carried + call.recorded_uncounted
         if call.applied and units:
-            self.shared.paid(call.customer.key, call.window, units)
+            self.shared.reconcile(call.customer.key, call.window, units)
         elif outcome in NEVER_RAN:
             if account is not None and call.window == account.window:
                 account.journal += units
--- a/granitedock/policy/interface.py
+++ b/granitedock/policy/types.py
@@ -1,16 +1,14 @@
-"""The types between the decisions and whatever carries them, and the door's protocol.
+"""The types that the policy and its callers exchange.
 
-A carrier (the bench's adapter today, a service on sockets later) makes one `Gateway` of
-`granitedock.policy.decisions` per api gateway, calls its methods with these objects, and does what
-the gateway asks of its `Door`. Times are milliseconds with fractions, rates are per millisecond.
-Objects point to each other; ids are the carrier's own affair.
+Times are milliseconds with fractions (Unix time where a moment is meant), rates are units a millisecond. The
+objects refer to each other; ids on any wire are the caller's own affair.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any, Protocol
+from typing import Any
 
 
 class Idempotency(Enum):
@@ -187,15 +185,6 @@
     status: EndpointStatus
 
 
-class MembershipPort(Protocol):
-    """What the decisions may ask of a view of the other gateways, where there is one."""
-
-    def active_members(self, subset_start: int, subset_size: int) -> int:
-        """By how many an even share is divided in the subset of `subset_size` gateways from `subset_start`:
-        all of them, less those proved to have ended; from 1 to `subset_size`."""
-        ...
-
-
 @dataclass(frozen=True, slots=True)
 class SharedQuota:
     """A customer's plan, the set it comes through, and the length of its windows."""
@@ -204,65 +193,3 @@
     subset_start: int
     subset_size: int
     window_ms: float
-
-
-class QuotaSharingPort(Protocol):
-    """What the decisions tell and ask of units that gateways let in without the counter, where those are
-    shared. Windows are the customer's, by number; units of one window stay in it."""
-
-    def let_in(self, customer: int, window: int, quota: SharedQuota, units: float) -> None:
-        """This gateway let them in, and the counter does not know of them."""
-        ...
-
-    def inherit(self, customer: int, window: int) -> float:
-        """What this gateway let in uncounted before it started again, given once."""
-        ...
-
-    def paid(self, customer: int, window: int, units: float) -> None:
-        """Of those, so many are added to the counter now."""
-        ...
-
-    def uncounted(self, customer: int, window: int, quota: SharedQuota, now: float) -> float:
-        """Units that others let in, or may have, beyond the counter's total; 0 or more."""
-        ...
-
-    def answered(self, call: CounterCall, outcome: Outcome, total: float) -> None:
-        """A call came back; one that was its own says who shows at the counter."""
-        ...
-
-
-class OutlierDetectionPort(Protocol):
-    """What the decisions tell and ask of hosts where gateways tell each other what they know of them. It only
-    ever takes work away from a host."""
-
-    def sent(self, host: Host) -> None: ...
-
-    def ended(
-        self, host: Host, outcome: Outcome, took_ms: float, latency_objective_ms: float, now: float
-    ) -> None: ...
-
-    def bad(self, host: Host, risky: bool, now: float) -> bool:
-        """Whether others' evidence keeps it from a task; `risky` is one that could not be sent again."""
-        ...
-
-    def turn(self, host: Host, now: float) -> bool:
-        """Whether this gateway is among those who ask a host that was set aside."""
-        ...
-
-
-class EffectHandler(Protocol):
-    """What a gateway can do to the world."""
-
-    def send_attempt(self, attempt: Attempt, attempt_deadline: float | None) -> None: ...
-
-    def reject(self, request: Request, retry_after_ms: float | None) -> None: ...
-
-    def fail(self, request: Request) -> None: ...
-
-    def cancel(self, attempt: Attempt) -> None: ...
-
-    def call_counter(self, call: CounterCall) -> None: ...
-
-    def start_timer(self, after_ms: float, why: object) -> None: ...
-
-    def log_decision(self, line: str) -> None: ...
--- a/granitedock/quota_sharing/bound.py
+++ b/granitedock/quota_sharing/bound.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from granitedock.membership.pace import Pace
-from granitedock.policy.interface import Plan
+from granitedock.policy.types import Plan
 
 TELLINGS = 5  # rounds in which news reaches all, as measured at up to 1,000 members
 
--- a/granitedock/quota_sharing/counts.py
+++ b/granitedock/quota_sharing/counts.py
@@ -59,10 +59,10 @@
 
     # Ours.
 
-    def let_in(self, customer: int, window: int, window_ms: float, units: float) -> None:
+    def record_uncounted(self, customer: int, window: int, window_ms: float, units: float) -> None:
         self.grow(customer, window, window_ms, round(units * PER_UNIT), 0)
 
-    def paid(self, customer: int, window: int, units: float) -> None:
+    def reconcile(self, customer: int, window: int, units: float) -> None:
         had = self.rows.get((customer, window), {}).get((self.teller, self.born))
         if had is not None:
             self.grow(customer, window, had.window_ms, 0, round(units * PER_UNIT))
--- a/granitedock/quota_sharing/state.py
+++ b/granitedock/quota_sharing/state.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from granitedock.membership.part import Part
-from granitedock.policy.interface import CounterCall, Customer, Outcome, SharedQuota
+from granitedock.policy.types import CounterCall, Customer, Outcome, SharedQuota
 from granitedock.quota_sharing.counts import Counts, Row
 
 ROWS_A_DATAGRAM = 16
@@ -51,15 +51,15 @@
 
     # What the decisions ask (interface.Shared).
 
-    def let_in(self, customer: int, window: int, quota: SharedQuota, units: float) -> None:
-        self.counts.let_in(customer, window, quota.window_ms, units)
+    def record_uncounted(self, customer: int, window: int, quota: SharedQuota, units: float) -> None:
+        self.counts.record_uncounted(customer, window, quota.window_ms, units)
 
-    def paid(self, customer: int, window: int, units: float) -> None:
+    def reconcile(self, customer: int, window: int, units: float) -> None:
         if self.taken.pop((customer, window), None):
             units = self.counts.pay_inherited(customer, window, units)
-        self.counts.paid(customer, window, units)
+        self.counts.reconcile(customer, window, units)
 
-    def inherit(self, customer: int, window: int) -> float:
+    def carry_over(self, customer: int, window: int) -> float:
         """What a file says we let in before a restart: it rides on the next add, once. A process that ends
         between that add and the next snapshot adds it again; counting twice refuses some until the window is
         over, and lets nothing more in."""
@@ -79,7 +79,7 @@
         self.rescued = self.rescued or self.counts.held > before
         return self.counts.held - before
 
-    def uncounted(self, customer: int, window: int, quota: SharedQuota, now: float) -> float:
+    def uncounted_elsewhere(self, customer: int, window: int, quota: SharedQuota, now: float) -> float:
         """Units of this window that others of the set let in, or may have, beyond the counter's total."""
         units = self.counts.outstanding(customer, window)
         if self.silent:
@@ -90,7 +90,7 @@
                     units += reserve(quota, window, since, now)
         return units
 
-    def answered(self, call: CounterCall, outcome: Outcome, total: float) -> None:
+    def counter_call_finished(self, call: CounterCall, outcome: Outcome, total: float) -> None:
         """A presence call of ours came back: a total above nothing says that the seat was there."""
         if call.customer is NOBODY and outcome is Outcome.DONE and total > 0 and call.window != self.seat:
             self.present[call.window] = call.sent_at + 2 * self.bounds.epoch_ms
--- a/granitedock/service/counter_protocol.py
+++ b/granitedock/service/counter_protocol.py
@@ -9,7 +9,7 @@
 import re
 from typing import Any
 
-from granitedock.policy.interface import Outcome
+from granitedock.policy.types import Outcome
 from granitedock.service.limits import Limits
 from granitedock.service.resp import Fault, RespReceiver, command
 
--- a/granitedock/service/discovery_protocol.py
+++ b/granitedock/service/discovery_protocol.py
@@ -13,7 +13,7 @@
 import orjson
 from twisted.internet.protocol import Protocol
 
-from granitedock.policy.interface import EndpointStatus
+from granitedock.policy.types import EndpointStatus
 from granitedock.service.limits import Limits
 from granitedock.service.resp import unread
 
--- a/granitedock/service/discovery_watch.py
+++ b/granitedock/service/discovery_watch.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from granitedock.policy.decisions import advance
 from granitedock.service.limits import Limits
+from granitedock.state_table import advance
 
 # `asked`: up, and no line has come. `left`: given up, another has taken its place.
 STATES = {
--- a/granitedock/service/event_loop.py
+++ b/granitedock/service/event_loop.py
@@ -24,15 +24,15 @@
 from twisted.python.failure import Failure
 
 from granitedock import BEGAN_MS
+from granitedock.event_log import EventLog
+from granitedock.platform_file import ToldError, load
 from granitedock.service.client_protocol import ClientDoor
-from granitedock.service.counter_protocol import CounterLink
 from granitedock.service.connector import Dialler
+from granitedock.service.counter_protocol import CounterLink
 from granitedock.service.discovery_protocol import Listing, WatchLink, listing
 from granitedock.service.host_protocol import HostLink
 from granitedock.service.limits import Limits
-from granitedock.event_log import EventLog
 from granitedock.service.reducer import Reducer
-from granitedock.platform_file import ToldError, load
 
 
 class SteadyReactor(EPollReactor):
--- a/granitedock/service/host_protocol.py
+++ b/granitedock/service/host_protocol.py
@@ -11,11 +11,10 @@
 from socket import SHUT_WR
 from typing import Any
 
-from granitedock.policy.interface import Outcome
+from granitedock.policy.types import Outcome
 from granitedock.service.limits import Limits
 from granitedock.service.resp import Fault, RespReceiver, unread, whole
 
-
 BUSY = re.compile(rb"BUSY( [!-~]*)?").fullmatch
 FAILED = re.compile(rb"ERR failed( [!-~]*)?").fullmatch
 COST = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?").fullmatch
--- a/granitedock/service/lifecycle.py
+++ b/granitedock/service/lifecycle.py
@@ -8,7 +8,7 @@
 
 from typing import Any
 
-from granitedock.policy.decisions import advance
+from granitedock.state_table import advance
 
 STATES = {
     ("starting", "listed"): ("serving", "open_up"),
--- a/granitedock/service/reducer.py
+++ b/granitedock/service/reducer.py
@@ -14,25 +14,25 @@
 from weakref import WeakValueDictionary
 
 from granitedock import platform_settings
-from granitedock.policy.decisions import advance
-from granitedock.policy.interface import (
+from granitedock.policy.types import (
+    Attempt,
     CounterCall,
     Customer,
-    Outcome,
-    Attempt,
+    EndpointStatus,
+    EndpointUpdate,
     Host,
     Idempotency,
-    EndpointUpdate,
-    EndpointStatus,
+    Outcome,
     Request,
 )
 from granitedock.service.client_protocol import Ask
 from granitedock.service.counter_protocol import PING, tally
 from granitedock.service.discovery_protocol import Listing
+from granitedock.service.discovery_watch import DiscoveryWatch, Watch
 from granitedock.service.lifecycle import Lifecycle
 from granitedock.service.limits import Limits
 from granitedock.service.resp import bulk
-from granitedock.service.discovery_watch import DiscoveryWatch, Watch
+from granitedock.state_table import advance
 
 PONG = b"+PONG\r\n"
 CLOSING = b"-ERR closing\r\n"
--- a/granitedock/simulator_adapter/pipe.py
+++ b/granitedock/simulator_adapter/pipe.py
@@ -14,17 +14,17 @@
 import orjson
 
 from granitedock import platform_settings
-from granitedock.policy.interface import (
+from granitedock.policy.types import (
+    Attempt,
     CounterCall,
     Customer,
-    Outcome,
-    Attempt,
+    EndpointStatus,
+    EndpointUpdate,
     Host,
+    Outcome,
     Plan,
-    RequestClass,
-    EndpointUpdate,
-    EndpointStatus,
     Request,
+    RequestClass,
 )
 
 ENDINGS = {
--- a/tests/configuration/test_plan_changes.py
+++ b/tests/configuration/test_plan_changes.py
@@ -8,7 +8,7 @@
 from granitedock.lab.plansim import PlanChange, PlanFleet, worst_part
 from granitedock.lab.sharesim import Offer
 from granitedock.policy.decisions import QuotaAccount, TokenBucket
-from granitedock.policy.interface import Customer, Outcome, Plan
+from granitedock.policy.types import Customer, Outcome, Plan
 
 FROM_MS, HEARD_MS, AFTER_MS = 15_000.0, 5_000.0, 12_000.0
 
--- a/tests/helpers/fake_gateway.py
+++ b/tests/helpers/fake_gateway.py
@@ -3,20 +3,20 @@
 from collections import Counter
 
 from granitedock.policy.decisions import Gateway
-from granitedock.policy.interface import (
-    SlowStart,
+from granitedock.policy.types import (
     Customer,
-    Outcome,
-    IdempotencyScope,
+    EndpointStatus,
+    EndpointUpdate,
+    GatewayIdentity,
     Host,
     Idempotency,
+    IdempotencyScope,
+    Outcome,
     PermittedFeatures,
     Plan,
-    RequestClass,
-    GatewayIdentity,
-    EndpointUpdate,
-    EndpointStatus,
     Request,
+    RequestClass,
+    SlowStart,
 )
 from granitedock.service.client_protocol import ClientLink
 from granitedock.service.counter_protocol import CounterLink
--- a/tests/helpers/loopback.py
+++ b/tests/helpers/loopback.py
@@ -13,8 +13,8 @@
 
 from fake_gateway import BORN
 
-from granitedock.service.resp import command
 from granitedock.service.event_loop import Clock, Service, SteadyReactor, Wakes
+from granitedock.service.resp import command
 
 # Of this process, so that no outgoing connection of another one, on 127.0.0.1, takes the port meanwhile.
 OWN_ADDRESS = f"127.{100 + os.getpid() // 250 % 100}.{os.getpid() % 250}.1"
--- a/tests/helpers/slow_start_simulation.py
+++ b/tests/helpers/slow_start_simulation.py
@@ -7,20 +7,20 @@
 from random import Random
 
 from granitedock.policy.decisions import Gateway
-from granitedock.policy.interface import (
-    SlowStart,
+from granitedock.policy.types import (
     Customer,
-    Outcome,
-    IdempotencyScope,
+    EndpointStatus,
+    EndpointUpdate,
+    GatewayIdentity,
     Host,
     Idempotency,
+    IdempotencyScope,
+    Outcome,
     PermittedFeatures,
     Plan,
-    RequestClass,
-    GatewayIdentity,
-    EndpointUpdate,
-    EndpointStatus,
     Request,
+    RequestClass,
+    SlowStart,
 )
 
 COLD = SlowStart(0.18, 12000.0, 2.0, 1000.0)
--- a/tests/lab/test_life.py
+++ b/tests/lab/test_life.py
@@ -3,7 +3,6 @@
 from pathlib import Path
 from random import Random
 
-
 from granitedock.lab.life import condition, faults_of, reply
 from granitedock.lab.scenario import Fault, Service, load
 
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -6,6 +6,7 @@
 
 import pytest
 
+from granitedock import platform_file as told
 from granitedock.lab.scale import calls, command, documents, fleet, hosts, plans, requests, view
 from granitedock.lab.scale.capacity import capacity_sections, over_budget, role_rows
 from granitedock.lab.scale.platform import host_list, platform_file
@@ -13,7 +14,6 @@
 from granitedock.lab.scale.results import Machine, Results, form, read, slope
 from granitedock.lab.scale.sizes import FULL, OperatorSize
 from granitedock.lab.scale.tables import filled
-from granitedock import platform_file as told
 from granitedock.service.discovery_protocol import listing
 
 
--- a/tests/membership/test_membership_simulated.py
+++ b/tests/membership/test_membership_simulated.py
@@ -7,6 +7,7 @@
 from hypothesis import strategies as st
 from pytest import raises
 
+from granitedock.lab.fleetsim import World, plain
 from granitedock.membership.machine import Change, View
 from granitedock.membership.member import LIVE, Member, News, State
 from granitedock.membership.news import NewsQueue, most_told
@@ -14,7 +15,6 @@
 from granitedock.membership.seats import Seats
 from granitedock.membership.settings import parse
 from granitedock.membership.wire import MOST_BYTES, Kind, Malformed, Message, cost, decode, encode, room
-from granitedock.lab.fleetsim import World, plain
 from granitedock.toml_file import FileError
 
 PACE = Pace()
--- a/tests/model_checking/test_model_checking.py
+++ b/tests/model_checking/test_model_checking.py
@@ -19,7 +19,7 @@
 from granitedock.model_checking.views import Fleet, Views
 from granitedock.policy import decisions
 from granitedock.policy.decisions import QuotaAccount, TokenBucket
-from granitedock.policy.interface import CounterCall, Customer, Idempotency, Plan, EndpointStatus
+from granitedock.policy.types import CounterCall, Customer, EndpointStatus, Idempotency, Plan
 from granitedock.service.reducer import INPUTS, Reducer
 
 
--- a/tests/outlier_detection/test_outlier_detection.py
+++ b/tests/outlier_detection/test_outlier_detection.py
@@ -6,17 +6,17 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from pytest import mark, raises
 from process_fleet import WITHIN_S
+from pytest import mark, raises
 
+from granitedock.lab.load import broken, load_on
+from granitedock.lab.rig import FLEET_PORT, Rig
+from granitedock.lab.scenario import parse
 from granitedock.membership.member import Member, State
 from granitedock.membership.wire import MOST_BYTES, Kind, Message, decode, encode
 from granitedock.outlier_detection.evidence import Evidence, Row
 from granitedock.outlier_detection.judge import Judge, Weights
-from granitedock.lab.load import broken, load_on
-from granitedock.lab.rig import FLEET_PORT, Rig
-from granitedock.lab.scenario import parse
-from granitedock.policy.interface import Outcome, Host, EndpointStatus
+from granitedock.policy.types import EndpointStatus, Host, Outcome
 
 WORLD = """
 seed = 3
@@ -223,7 +223,7 @@
     one, places = judge(live=("g0", "g1", "g2", "g3", "g4"))
     assert not out(one, 1000.0, row("g1"), row("g2"), for_it, row("g4", failures=0, failed=-1, answered=50))
     one, places = judge()
-    one.ended(places["h0"], Outcome.DONE, 10.0, 1000.0, 900.0)
+    one.attempt_finished(places["h0"], Outcome.DONE, 10.0, 1000.0, 900.0)
     assert not out(one, 1000.0, row("g1"), row("g2"))  # our own fresh answer outweighs them
     assert out(one, 3000.0) == {"h0": "failing"}
     one, places = judge()
@@ -253,8 +253,8 @@
         for one, places in judges:
             told = [row(f"g{n}", number=second + 1) for n in range(4) if f"g{n}" != one.me]
             assert out(one, now, *told) == {"h0": "failing"}
-            assert one.bad(places["h0"], True, now)
-            may += [one.me] * (not one.bad(places["h0"], False, now))
+            assert one.is_ejected(places["h0"], True, now)
+            may += [one.me] * (not one.is_ejected(places["h0"], False, now))
         assert len(may) == 1
         asked += may
     assert sorted(asked) == sorted(live * 2)
@@ -266,7 +266,7 @@
     others["h0"].status = EndpointStatus.DRAINING
     other.listed(others, 1000.0)
     assert out(one, 1200.0, *other.due(1100.0, 9)) == {"h0": "draining"}
-    assert one.bad(places["h0"], False, 1200.0)
+    assert one.is_ejected(places["h0"], False, 1200.0)
     others["h0"].status = EndpointStatus.READY
     other.listed(others, 3000.0)
     assert not out(one, 3300.0, *other.due(3200.0, 9))
--- a/tests/policy/test_fleet_quotas.py
+++ b/tests/policy/test_fleet_quotas.py
@@ -12,17 +12,17 @@
 from fake_gateway import READ
 
 from granitedock.policy.decisions import Gateway
-from granitedock.policy.interface import (
-    SlowStart,
+from granitedock.policy.types import (
     Customer,
-    Outcome,
+    EndpointStatus,
+    EndpointUpdate,
+    GatewayIdentity,
     Host,
+    Outcome,
     PermittedFeatures,
     Plan,
-    GatewayIdentity,
-    EndpointUpdate,
-    EndpointStatus,
     Request,
+    SlowStart,
 )
 
 PLAN = Plan("plan", 0.004, 16, 0, 1, 0, 0.5, 0, 0, 0)
--- a/tests/policy/test_request_decisions.py
+++ b/tests/policy/test_request_decisions.py
@@ -4,7 +4,7 @@
 
 from fake_gateway import BY_ZONE, CAPPED, FEW_OUT, ONE_SHOT, PLAN, READ, STAMPED, Story
 
-from granitedock.policy.interface import Customer, Outcome, EndpointStatus
+from granitedock.policy.types import Customer, EndpointStatus, Outcome
 
 
 def test_a_task_inside_its_allowance_is_counted_once_and_forwarded():
--- a/tests/quota_sharing/test_quota_sharing.py
+++ b/tests/quota_sharing/test_quota_sharing.py
@@ -6,18 +6,18 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from pytest import mark, raises
 from process_fleet import WITHIN_S, world
+from pytest import mark, raises
 
-from granitedock.membership.machine import Change
-from granitedock.membership.member import Member, State
-from granitedock.membership.pace import Pace
-from granitedock.membership.part import Part
 from granitedock.lab.counter import Counts as CounterCounts
 from granitedock.lab.load import broken, done_units, load_on
 from granitedock.lab.rig import Rig, on_loop
 from granitedock.lab.sharesim import Offer, ShareFleet, admitted
-from granitedock.policy.interface import Outcome, Plan, SharedQuota
+from granitedock.membership.machine import Change
+from granitedock.membership.member import Member, State
+from granitedock.membership.pace import Pace
+from granitedock.membership.part import Part
+from granitedock.policy.types import Outcome, Plan, SharedQuota
 from granitedock.quota_sharing.bound import excess
 from granitedock.quota_sharing.counts import Counts
 from granitedock.quota_sharing.snapshot import Refused, pack, unpack
@@ -281,10 +281,10 @@
     for n, customer, units, pays in steps:
         if pays:
             units = min(units, tellers[n].own(customer, 1))
-            tellers[n].paid(customer, 1, units)
+            tellers[n].reconcile(customer, 1, units)
             truth[n, customer] = truth.get((n, customer), 0) - units
         else:
-            tellers[n].let_in(customer, 1, 2000, units)
+            tellers[n].record_uncounted(customer, 1, 2000, units)
             truth[n, customer] = truth.get((n, customer), 0) + units
         told += tellers[n].take(9, 3)
     final = [row for teller in tellers for rows in teller.rows.values() for row in rows.values()]
@@ -302,13 +302,13 @@
     reader = Counts("reader", 1, 3)
     for born, units in ((5, 4), (9, 1)):
         teller = Counts("g1", born, 100)
-        teller.let_in(161, 7, 2000, units)
+        teller.record_uncounted(161, 7, 2000, units)
         for row in teller.take(9, 3):
             reader.merge(row, 13_000.0)
     assert reader.outstanding(161, 7) == 5  # both incarnations'
     many = Counts("g2", 1, 100)
     for customer in range(10):
-        many.let_in(customer, 7, 2000, 1)
+        many.record_uncounted(customer, 7, 2000, 1)
     for row in many.take(50, 3):
         reader.merge(row, 13_000.0)
     assert reader.held == 3 and reader.counts["rows_not_held"] == 9
@@ -322,22 +322,22 @@
 
 def test_an_inheritance_is_paid_once_whatever_the_order_and_old_or_foreign_files_give_nothing():
     part, before = shared_of_four()
-    before.let_in(161, 7, QUOTA, 5.0)
-    before.let_in(161, 8, QUOTA, 3.0)
-    before.paid(161, 8, 1.0)
+    before.record_uncounted(161, 7, QUOTA, 5.0)
+    before.record_uncounted(161, 8, QUOTA, 3.0)
+    before.reconcile(161, 8, 1.0)
     rows = unpack("g0", pack("g0", before.counts.mine()))
     me = Member("g0", "10.0.0.0:7946", 9, 0, State.ALIVE, 0, 1)
     after = Shared(Part(me, Pace(), (), 4, 0.0, Random(1), "c"), Bounds())
     assert after.rescue(rows, 16_500.0) == 2 and after.rescue(rows, 99_000.0) == 0
-    assert after.uncounted(161, 8, QUOTA, 16_500.0) == 2.0  # until it is paid, we count it too
-    after.let_in(161, 8, QUOTA, 4.0)
-    assert after.inherit(161, 8) == 2.0 and after.inherit(161, 8) == 0.0
-    after.paid(161, 8, 6.0)
-    assert after.uncounted(161, 8, QUOTA, 16_500.0) == 0.0 and after.counts.own(161, 8) == 0.0
-    assert after.inherit(161, 8) == 0.0
+    assert after.uncounted_elsewhere(161, 8, QUOTA, 16_500.0) == 2.0  # until it is paid, we count it too
+    after.record_uncounted(161, 8, QUOTA, 4.0)
+    assert after.carry_over(161, 8) == 2.0 and after.carry_over(161, 8) == 0.0
+    after.reconcile(161, 8, 6.0)
+    assert after.uncounted_elsewhere(161, 8, QUOTA, 16_500.0) == 0.0 and after.counts.own(161, 8) == 0.0
+    assert after.carry_over(161, 8) == 0.0
     other = Shared(Part(member(1), Pace(), (), 4, 0.0, Random(1), "c"), Bounds())
     other.heard(tuple(rows) + tuple(after.counts.take(9, 3)), 16_500.0)
-    assert other.uncounted(161, 8, QUOTA, 16_500.0) == 0.0  # the raised row wins, in any order
+    assert other.uncounted_elsewhere(161, 8, QUOTA, 16_500.0) == 0.0  # the raised row wins, in any order
     with raises(Refused, match="another gateway"):
         unpack("g1", pack("g0", rows))
     with raises(Refused, match="torn"):
@@ -360,7 +360,7 @@
 
     def held(now):
         shared.tick(now, now)
-        return round(shared.uncounted(161, int(now // 2000), QUOTA, now), 6)
+        return round(shared.uncounted_elsewhere(161, int(now // 2000), QUOTA, now), 6)
 
     assert held(10_000.0) == 0
     part.seats.changed(10_000.0, Change(member(3, State.DEAD), State.SUSPECT))
@@ -375,7 +375,7 @@
     assert held(11_800.0) == 0  # our own proof is
     assert held(11_700.0 + Pace().lease_ms + 100) > 0  # for as long as it is fresh
     call = next(call for call in shared.tick(16_000.0, 16_000.0)[1] if call.window == 3)
-    shared.answered(call, Outcome.DONE, 1.0)
+    shared.counter_call_finished(call, Outcome.DONE, 1.0)
     assert held(16_500.0) == 0  # it counts where we do
     assert held(31_000.0) > 0
     assert held(since + 60_000 + 500) == 0  # its time is up
@@ -390,9 +390,9 @@
     _, shared = shared_of_four()
     for let_in, paid in ((0, 9), (5, 9), (9, 5)):
         teller = Counts("g2", let_in + paid, 100)
-        teller.let_in(161, 7, 2000, let_in)
-        teller.paid(161, 7, paid)
+        teller.record_uncounted(161, 7, 2000, let_in)
+        teller.reconcile(161, 7, paid)
         shared.heard(tuple(teller.take(9, 3)), 14_000.0)
-        assert shared.uncounted(161, 7, QUOTA, 14_000.0) >= 0
+        assert shared.uncounted_elsewhere(161, 7, QUOTA, 14_000.0) >= 0
     with raises(StopIteration):  # and nothing is told of what nobody let in
         next(iter(Counts("g3", 1, 9).take(9, 3)))
--- a/tests/service/test_discovery_watch.py
+++ b/tests/service/test_discovery_watch.py
@@ -6,8 +6,8 @@
 import pytest
 from fake_gateway import BORN, Wired
 
-from granitedock.service.limits import Limits
 from granitedock.service.discovery_watch import told_within
+from granitedock.service.limits import Limits
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 SHED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
--- a/tests/service/test_gateway_process.py
+++ b/tests/service/test_gateway_process.py
@@ -8,9 +8,9 @@
 
 from granitedock.service.counter_protocol import PING
 from granitedock.service.discovery_protocol import listing
-from granitedock.service.resp import command
-from granitedock.service.host_protocol import HostLink
 from granitedock.service.event_loop import Clock
+from granitedock.service.host_protocol import HostLink
+from granitedock.service.resp import command
 
 NOTHING_NEW = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
 VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
--- a/tests/service/test_platform_file.py
+++ b/tests/service/test_platform_file.py
@@ -13,9 +13,9 @@
 from loopback import VALUE, Live
 
 from granitedock import platform_settings
-from granitedock.policy.interface import IdempotencyScope, Idempotency
-from granitedock.service.limits import Limits
 from granitedock.platform_file import ToldError, faults, load
+from granitedock.policy.types import Idempotency, IdempotencyScope
+from granitedock.service.limits import Limits
 
 SITES = sorted((Path(__file__).parents[2] / "deploy" / "sites").glob("*.toml"))
 TOLD = {
--- a/tests/test_small_functions.py
+++ b/tests/test_small_functions.py
@@ -138,7 +138,6 @@
 
 def test_service_clients_read():
     from granitedock.service.client_protocol import Limits, read
-
     from granitedock.service.resp import command
 
     text = b"c=r,t=p,d=480,units=2,spread=3,first=1"
@@ -162,7 +161,7 @@
 
 
 def test_service_discovery_listing():
-    from granitedock.service.discovery_protocol import Entry, EndpointStatus, listing
+    from granitedock.service.discovery_protocol import EndpointStatus, Entry, listing
 
     instance = {"instanceId": "s-1", "hostPort": "127.0.0.1:1", "lifecycle": "terminating"}
     listed = listing({"generation": 4, "reset": True, "instances": [instance]})
@@ -241,10 +240,9 @@
 
 
 def test_shared_state_reserve():
+    from granitedock.policy.types import Plan
     from granitedock.quota_sharing.state import SharedQuota, reserve
 
-    from granitedock.policy.interface import Plan
-
     quota = SharedQuota(Plan("p", 0.04, 40, 0, 1, 0, 0, 0, 0, 0), 0, 4, 2000.0)
     assert (reserve(quota, 5, 11000.0, 11500.0), reserve(quota, 5, 3000.0, 11500.0)) == (15.0, 15.0)
 
