--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,314 @@
+"""Files that an earlier text of the program wrote (tests/data/README.md) hold what was put in.
+
+Each reader of the program is reached through one helper at the top; all that is compared below it is plain
+values, so that a renamed module changes these helpers only. Files are copied before they are opened.
+"""
+
+import json
+import shutil
+from dataclasses import astuple
+from pathlib import Path
+
+import pytest
+
+DATA = Path(__file__).parent / "data"
+MAX_UNITS = 2**53 - 1  # the largest number of thousandths of a unit that a row may hold
+
+
+# The program's readers and writers.
+
+
+def read_quota_snapshot(name, data):
+    """The rows of a quota snapshot of gateway `name`, as tuples."""
+    from granitedock.shared.snapshot import unpack
+
+    return [astuple(row) for row in unpack(name, data)]
+
+
+def write_quota_snapshot(name, rows):
+    from granitedock.shared.counts import Row
+    from granitedock.shared.snapshot import pack
+
+    return pack(name, [Row(*row) for row in rows])
+
+
+def quota_snapshot_error():
+    from granitedock.shared.snapshot import Refused
+
+    return Refused
+
+
+def open_control(path, cluster):
+    """A control process (writer) over the store at `path`; closed by `close_control`."""
+    from granitedock.configuration.control import Control
+    from granitedock.configuration.store import Store
+
+    return Control(Store(path, cluster), True, lambda: 0.0, lambda followers: None)
+
+
+def close_control(control):
+    control.store.close()
+
+
+def shown_document(control):
+    """The whole document in the operators' words."""
+    return control.shown()
+
+
+def logged_changes(control):
+    """The log of changes, each as the line that followers get."""
+    from granitedock.configuration.messages import encoded
+
+    return [json.loads(encoded(change)) for change in control.store.changes()]
+
+
+def snapshot_lines(control):
+    return [json.loads(line) for line in control.snapshot()]
+
+
+def apply_change(control, told):
+    from granitedock.configuration.change_form import change_of
+
+    return control.apply(change_of(told, "test"), "test")
+
+
+def configuration_error():
+    from granitedock.configuration.document import ConfigurationError
+
+    return ConfigurationError
+
+
+def read_configuration_copy(path, cluster):
+    """(entries as (section, record), version, digest) of a gateway's copy."""
+    from granitedock.configuration.copy_file import CopyFile
+
+    entries, version, digest = CopyFile(path, cluster, pytest.fail).read()
+    return [(section.value, record) for section, record in entries], version, digest
+
+
+def read_run(folder):
+    """(name, length in s, faults, rows as tuples) of a kept laboratory run."""
+    from granitedock.lab.report import read
+
+    run = read(folder)
+    return run.name, run.length_s, run.faults, [astuple(row) for row in run.rows]
+
+
+def write_run(folder, name, length_s, faults, rows):
+    from granitedock.lab.load import Row
+    from granitedock.lab.report import keep
+
+    keep(folder, name, length_s, faults, [Row(*row) for row in rows])
+
+
+def read_capacity(path):
+    from granitedock.lab.scale.results import read
+
+    return read(path)
+
+
+def capacity_figures(results):
+    """Each role's figures: [total, budget] at the operators' size, as their shortest decimal text."""
+    from granitedock.lab.scale.capacity import role_rows
+    from granitedock.lab.scale.sizes import OperatorSize
+
+    rows = role_rows(results, OperatorSize())
+    return {role: [[repr(row.total), repr(row.budget)] for row in found] for role, found in rows.items()}
+
+
+def replay_trace(path):
+    """(lines said, exit code or the reason why the trace cannot go on) of `check-model --replay`."""
+    from granitedock.model import command
+
+    said = []
+    try:
+        return said, str(command.replay(str(path), said.append))
+    except command.TraceError as error:
+        return said, str(error).removeprefix(f"{path}: ")
+
+
+def find_trace(told, path):
+    """Explore the world that is told, as `check-model --trace` does; its exit code."""
+    from granitedock.model import command
+
+    return command.check(told, 20_000, 1, str(path), lambda line: None)
+
+
+def planted_faults():
+    """What plants each fault, by the name of its trace."""
+    from test_model import PLANTED, silence_taken_for_proof
+
+    return {
+        "one_shot_again": PLANTED["one-shot again"][0],
+        "two_copies": PLANTED["two copies"][0],
+        "answers_twice": PLANTED["answers twice"][0],
+        "ceiling": PLANTED["ceiling"][0],
+        "views_silence": silence_taken_for_proof,
+    }
+
+
+# What was put in.
+
+QUOTA_ROWS = [  # gateway, its start, customer, window, window in ms, let in, added to the counter since
+    ("g0", 1_700_000_000_000, 161, 28333333, 60000, 2500, 500),
+    ("g0", 1_699_999_000_000, 2**33 - 1, 28333334, 60000, MAX_UNITS, 0),
+]
+READ = {"Name": "read", "Repeat": "safe", "TargetMs": 1000, "GiveUpMs": 4000, "Worth": 1}
+ONCE = {"Name": "once", "Repeat": "unsafe", "TargetMs": 1000, "GiveUpMs": 4000, "Worth": 2}
+FREE = {"Name": "free", "Refill": 10, "MostAtOnce": 20, "WindowMs": 4000.0}
+GOLD_FIRST = {"Name": "gold", "Refill": 50, "MostAtOnce": 100, "WindowMs": 4000.0}
+GOLD = {"Name": "gold", "Refill": 60, "MostAtOnce": 100, "WindowMs": 4000.0}
+SLOW = {"Name": "späte Tür", "Refill": 0.5, "MostAtOnce": 1, "WindowMs": 4000.0}
+DIGESTS = {
+    1: "fdb6e03d99593c7ad68eb94eedc7b7ff",
+    2: "03222e55de3688ab6307bac13db9227c",
+    3: "fc3fe0c5340a11e62eb6e16f7b9fdc80",
+}
+CHANGED_AT_MS = 1_700_000_000_250.0
+RUN_FAULTS = [{"at_s": 2.0, "what": "slow", "target": "east", "off": "", "for_s": 3.0}]
+RUN_ROWS = [
+    (0.125, 0, 161, 1.0, 1000.0, "done", 12.5, 1, "read", False),
+    (0.25, 1, 162, 2.0, 900.0, "deferred", 1.0, 2, "mark", False),
+    (0.5, -1, 162, 1.0, 900.0, "lost", 40.0, 3, "once", True),
+]
+TRACES = json.loads((DATA / "trace_replays.json").read_bytes())
+
+
+def copied(tmp_path, name):
+    return Path(shutil.copy(DATA / name, tmp_path / name))
+
+
+# Quota snapshot.
+
+
+def test_a_stored_quota_snapshot_is_read_and_written_byte_for_byte():
+    data = (DATA / "quota_snapshot.bin").read_bytes()
+    assert read_quota_snapshot("g0", data) == QUOTA_ROWS
+    assert write_quota_snapshot("g0", QUOTA_ROWS) == data
+
+
+def test_a_stored_quota_snapshot_is_refused_where_torn_or_of_another_gateway():
+    data = (DATA / "quota_snapshot.bin").read_bytes()
+    error = quota_snapshot_error()
+    with pytest.raises(error, match="of another gateway: g0"):
+        read_quota_snapshot("g1", data)
+    for torn in (data[:-1], b"\0" + data[1:], b""):
+        with pytest.raises(error, match="torn: its checksum is another"):
+            read_quota_snapshot("g0", torn)
+
+
+# Control store.
+
+
+def change_line(version, **sections):
+    return {
+        "type": "change",
+        "version": version,
+        "digest": DIGESTS[version],
+        "at_ms": CHANGED_AT_MS,
+    } | sections
+
+
+def test_a_stored_control_document_is_served_with_its_log(tmp_path):
+    control = open_control(copied(tmp_path, "control_store.db"), "golden")
+    document = {"version": 3, "digest": DIGESTS[3], "classes": [READ], "plans": [GOLD, SLOW]}
+    assert shown_document(control) == document
+    assert logged_changes(control) == [
+        change_line(1, classes={"upsert": [READ, ONCE]}, plans={"upsert": [FREE, GOLD_FIRST]}),
+        change_line(2, plans={"upsert": [GOLD, SLOW], "remove": ["free"]}),
+        change_line(3, classes={"remove": ["once"]}),
+    ]
+    first, page, last = snapshot_lines(control)
+    assert first == {
+        "type": "snapshot",
+        "cluster": "golden",
+        "version": 3,
+        "digest": DIGESTS[3],
+        "pages": 1,
+    }
+    entries = {"classes": {"upsert": [READ]}, "plans": {"upsert": [GOLD, SLOW]}}
+    assert page == {"type": "page", "number": 0} | entries
+    assert last == {"type": "end", "version": 3, "digest": DIGESTS[3]}
+    close_control(control)
+
+
+def test_a_stored_control_document_takes_a_further_change_and_comes_back_with_it(tmp_path):
+    path = copied(tmp_path, "control_store.db")
+    control = open_control(path, "golden")
+    apply_change(control, {"base": 3, "plans": {"remove": ["späte Tür"]}, "classes": {"upsert": [ONCE]}})
+    before = shown_document(control)
+    close_control(control)
+    control = open_control(path, "golden")
+    assert shown_document(control) == before
+    assert before["version"] == 4 and before["plans"] == [GOLD] and before["classes"] == [ONCE, READ]
+    assert len(logged_changes(control)) == 4
+    close_control(control)
+
+
+def test_a_stored_control_document_of_another_cluster_is_refused(tmp_path):
+    with pytest.raises(configuration_error(), match="the store of cluster 'golden', not 'other'"):
+        open_control(copied(tmp_path, "control_store.db"), "other")
+
+
+# A gateway's copy.
+
+
+def entry_name(entry):
+    section, record = entry
+    return section, record["Name"]
+
+
+def test_a_stored_configuration_copy_of_a_gateway_is_read(tmp_path):
+    path = copied(tmp_path, "configuration_copy.db")
+    entries, version, digest = read_configuration_copy(path, "golden")
+    expected = [("classes", READ), ("classes", ONCE), ("plans", GOLD), ("plans", SLOW)]
+    assert sorted(entries, key=entry_name) == sorted(expected, key=entry_name)
+    assert (version, f"{digest:032x}") == (2, DIGESTS[2])
+
+
+# A laboratory run.
+
+
+def test_a_kept_laboratory_run_is_read_and_written_byte_for_byte(tmp_path):
+    assert read_run(DATA / "run") == ("golden day", 10.0, RUN_FAULTS, RUN_ROWS)
+    write_run(tmp_path, "golden day", 10.0, RUN_FAULTS, RUN_ROWS)
+    for name in ("run.json", "rows.jsonl"):
+        assert (tmp_path / name).read_bytes() == (DATA / "run" / name).read_bytes()
+
+
+# Capacity results.
+
+
+def test_stored_capacity_results_are_read_and_written_byte_for_byte(tmp_path):
+    results = read_capacity(DATA / "capacity.json")
+    results.write(tmp_path / "capacity.json")
+    assert (tmp_path / "capacity.json").read_bytes() == (DATA / "capacity.json").read_bytes()
+
+
+def test_figures_at_the_operators_size_follow_from_the_stored_results_as_before():
+    found = capacity_figures(read_capacity(DATA / "capacity.json"))
+    assert found == json.loads((DATA / "capacity_figures.json").read_bytes())
+
+
+# Traces of the model.
+
+
+@pytest.mark.parametrize("name", TRACES)
+def test_a_stored_trace_replays_to_the_same_violation_under_its_planted_fault(name, monkeypatch):
+    planted_faults()[name](monkeypatch)
+    assert replay_trace(DATA / "traces" / f"{name}.json") == (TRACES[name]["planted"], "1")
+
+
+@pytest.mark.parametrize("name", TRACES)
+def test_a_stored_trace_ends_as_before_without_the_fault(name):
+    found = replay_trace(DATA / "traces" / f"{name}.json")
+    assert found == (TRACES[name]["sound"], TRACES[name]["sound_end"])
+
+
+@pytest.mark.parametrize("name", TRACES)
+def test_the_exploration_finds_and_stores_the_same_trace_again(name, monkeypatch, tmp_path):
+    stored = (DATA / "traces" / f"{name}.json").read_bytes()
+    world = {key: value for key, value in json.loads(stored).items() if key in ("world", "shape")}
+    planted_faults()[name](monkeypatch)
+    assert find_trace(world, tmp_path / "trace.json") == 1
+    assert (tmp_path / "trace.json").read_bytes() == stored
