--- /dev/null
+++ b/tests/test_golden_wire.py
@@ -0,0 +1,472 @@
+"""The wire forms as the text of tests/data/README.md wrote them, in both directions.
+
+Recorded bytes are decoded to the values put in, and these values encoded give the recorded bytes. Each reader
+or writer of the program is reached through one helper at the top, which gives and takes plain values.
+"""
+
+import json
+from dataclasses import astuple
+from pathlib import Path
+from types import SimpleNamespace
+
+import pytest
+
+DATA = Path(__file__).parent / "data"
+CLUSTER = "golden"
+START = SimpleNamespace(version=7)  # what the discovery watch asks on from
+
+
+# Datagrams between gateways.
+
+
+def member_fields(member):
+    return [*astuple(member)[:4], int(member.state), member.seat, member.settings]
+
+
+def member_from(fields):
+    from granitedock.fleet.member import Member, State
+
+    name, address, born, bump, state, seat, settings = fields
+    return Member(name, address, born, bump, State(state), seat, settings)
+
+
+def datagram_fields(data):
+    """What a datagram says, as plain values; raises ValueError (`datagram_error`)."""
+    from granitedock.fleet.wire import decode
+
+    message = decode(CLUSTER, data)
+    return {
+        "kind": int(message.kind),
+        "sender": member_fields(message.sender),
+        "number": message.number,
+        "word": message.word,
+        "news": [
+            {"member": member_fields(item.member), "suspected_by": item.by, "ended_ms_ago": item.age_ms}
+            for item in message.news
+        ],
+        "quota_rows": [list(astuple(row)) for row in message.rows],
+        "host_rows": [list(astuple(row)) for row in message.evidence],
+    }
+
+
+def datagram_from(fields):
+    from granitedock.fleet.member import News
+    from granitedock.fleet.wire import Kind, Message, encode
+    from granitedock.judgement.evidence import Row as HostRow
+    from granitedock.shared.counts import Row
+
+    news = tuple(
+        News(member_from(item["member"]), item["suspected_by"], item["ended_ms_ago"])
+        for item in fields["news"]
+    )
+    message = Message(
+        Kind(fields["kind"]),
+        member_from(fields["sender"]),
+        fields["number"],
+        fields["word"],
+        news,
+        tuple(Row(*row) for row in fields["quota_rows"]),
+        tuple(HostRow(*row) for row in fields["host_rows"]),
+    )
+    return encode(CLUSTER, message)
+
+
+def datagram_error():
+    from granitedock.fleet.wire import Malformed
+
+    return Malformed
+
+
+def datagram_kinds():
+    from granitedock.fleet.wire import Kind
+
+    return {int(kind) for kind in Kind}
+
+
+# Lines of the configuration service.
+
+
+def line_kinds():
+    """Each message by the word of its line."""
+    from granitedock.configuration.messages import KINDS
+
+    return KINDS
+
+
+def line_fields(line):
+    """What a line says: its kind and its fields by name; an edit by section; raises `line_error`."""
+    from granitedock.configuration.messages import NAMES, decoded
+
+    message = decoded(line)
+    fields = {"kind": NAMES[type(message)]}
+    for name in message.__slots__:
+        value = getattr(message, name)
+        fields[name] = edit_fields(value) if name == "edit" else value
+    return fields
+
+
+def edit_fields(edit):
+    return {
+        "upserts": {section.value: list(records) for section, records in edit.upserts.items()},
+        "removals": {section.value: list(names) for section, names in edit.removals.items()},
+    }
+
+
+def edit_from(fields):
+    from granitedock.configuration.document import Edit, Section
+
+    return Edit(
+        {Section(name): tuple(records) for name, records in fields["upserts"].items()},
+        {Section(name): tuple(names) for name, names in fields["removals"].items()},
+    )
+
+
+def line_from(fields):
+    from granitedock.configuration.messages import encoded
+
+    values = {name: value for name, value in fields.items() if name != "kind"}
+    if "edit" in values:
+        values["edit"] = edit_from(values["edit"])
+    return encoded(line_kinds()[fields["kind"]](**values))
+
+
+def line_error():
+    from granitedock.configuration.messages import Malformed
+
+    return Malformed
+
+
+def split_lines(pieces, most):
+    """The lines in a body that comes in pieces; raises `line_error`."""
+    from granitedock.configuration.lines import LineBuffer
+
+    buffer = LineBuffer(most)
+    return [line.decode() for piece in pieces for line in buffer.lines(piece)]
+
+
+def heartbeat_line():
+    from granitedock.configuration.messages import HEARTBEAT
+
+    return HEARTBEAT
+
+
+# RESP.
+
+
+def limits():
+    from fakehost import BORN
+
+    from granitedock.service.limits import Limits
+
+    settings = BORN | {"Specifics": BORN["Specifics"] | {"TruedUp": True}}
+    return Limits.told({"limits": {}, "settings": settings})
+
+
+def resp_values(pieces):
+    """[values, why it is malformed or ""] of a stream that comes in pieces; an error is ["error", its text],
+    bytes are ["bulk", text]."""
+    from granitedock.service.resp import RespReceiver
+
+    receiver = RespReceiver(64, 128, 256, 8, 3)
+    values, faults = [], []
+    receiver.received = lambda value, parts: values.append(plain(value))
+    receiver.malformed = faults.append
+    receiver.makeConnection(transport())
+    for piece in pieces:
+        receiver.dataReceived(piece)
+    return [values, "; ".join(faults)]
+
+
+def plain(value):
+    from granitedock.service.resp import Fault
+
+    if isinstance(value, bytes):
+        return ["bulk", value.decode("latin-1")]
+    if isinstance(value, Fault):
+        return ["error", value.text.decode("latin-1")]
+    if isinstance(value, list):
+        return ["array", [plain(one) for one in value]]
+    return ["text" if isinstance(value, str) else "plain", value]
+
+
+def resp_command(words):
+    from granitedock.service.resp import command
+
+    return command(*words)
+
+
+def client_command(data, forward_ms):
+    """What a client's command says and the bytes that its host gets, or why it is malformed."""
+    from granitedock.service.clients import ClientLink
+
+    told = []
+    link = ClientLink(lambda *happened: told.append(happened), limits())
+    link.makeConnection(transport())
+    link.dataReceived(data)
+    found = []
+    for event, _, *what in told:
+        if event == "asked":
+            found.append(["request", *request_fields(what[0], forward_ms)])
+        elif event in ("command", "malformed"):
+            word = what[0].decode("latin-1") if isinstance(what[0], bytes) else what[0]
+            found.append([event, word])
+    return found
+
+
+def request_fields(ask, forward_ms):
+    return [
+        ask.id.decode(),
+        ask.product,
+        ask.plan,
+        ask.customer,
+        ask.harmless,
+        ask.stamped,
+        ask.left_ms,
+        ask.units,
+        ask.spread,
+        ask.first,
+        ask.within(forward_ms).decode("latin-1"),
+    ]
+
+
+def host_answer(data):
+    """What a host's bytes mean: [kind, whether the connection may be used again, bytes for the client, true
+    units, the customer's use], or ["malformed", why], or [] while more is to come."""
+    from granitedock.service.hosts import HostLink
+
+    told = []
+    link = HostLink(lambda *happened: told.append(happened), limits())
+    link.makeConnection(transport())
+    link.dataReceived(data)
+    for event, _, *what in told:
+        if event == "host answered":
+            clean, ending, answer, units, used = what
+            return [ending.value, clean, answer.decode("latin-1"), units, used]
+        if event == "host malformed":
+            return ["malformed", what[0]]
+    return []
+
+
+def counter_call(name, amount, life_ms):
+    from granitedock.service.counter import tally
+
+    return tally(name, amount, life_ms)
+
+
+def counter_ping():
+    from granitedock.service.counter import PING
+
+    return PING
+
+
+def counter_answers(data):
+    """What the counter's bytes mean: [kind, total] for each answer, ["malformed", why] at the end."""
+    from granitedock.service.counter import CounterLink
+
+    told = []
+    link = CounterLink(lambda *happened: told.append(happened), limits())
+    link.makeConnection(transport())
+    link.dataReceived(data)
+    answers = [[what[0].value, what[1]] for event, _, *what in told if event == "counter answered"]
+    return answers + [["malformed", what[0]] for event, _, *what in told if event == "counter spoilt"]
+
+
+# HTTP.
+
+
+def transport():
+    """A transport that keeps what is written, on which nothing lies unread."""
+    from twisted.internet.testing import StringTransport
+
+    class Transport(StringTransport):
+        connected = True
+        recv = None
+
+        def setTcpNoDelay(self, on):
+            pass
+
+        def doWrite(self):
+            pass
+
+        def getHandle(self):
+            def recv(size, flags):
+                raise BlockingIOError
+
+            return SimpleNamespace(recv=recv)
+
+    return Transport()
+
+
+def discovery_watch(pieces):
+    """(request, list of what was heard) of a watch whose answer comes in pieces: None for an empty line,
+    [version, whole, entries] for a list, a text for what ends the watch."""
+    from granitedock.service.discovery import WatchLink
+
+    told = []
+    link = WatchLink(lambda *happened: told.append(happened), "127.0.0.1:99", limits())
+    link.record = START
+    link.makeConnection(transport())
+    asked = link.transport.value().decode()
+    for piece in pieces:
+        link.dataReceived(piece)
+    heard = []
+    for event, _, *what in told:
+        if event == "listed":
+            heard.append(what[0] and listing_fields(what[0]))
+        elif event == "watch spoilt":
+            heard.append(what[0])
+    return asked, heard
+
+
+def listing_fields(listing):
+    from granitedock.service.discovery import STATUSES
+
+    words = {status: word for word, status in STATUSES.items()}
+    entries = [[*entry[:-1], words[entry.status]] for entry in listing.entries]
+    return [listing.version, listing.whole, entries]
+
+
+def follower_watch_request():
+    """The bytes with which a gateway opens its watch on the configuration, and reports a version."""
+    from granitedock.configuration.link import WatchLink
+    from granitedock.configuration.messages import InForce
+
+    document = SimpleNamespace(version=3, digest=255)
+    follower = SimpleNamespace(
+        name="g0 a", cluster=CLUSTER, document=document, up=lambda connection, link, now: None
+    )
+    carrier = SimpleNamespace(
+        follower=follower, role="gateway", now=lambda: 0.0, counts={"configuration_bytes_out": 0}
+    )
+    link = WatchLink(carrier, SimpleNamespace(address="127.0.0.1:98"))
+    link.makeConnection(transport())
+    link.send(InForce(3, 255))
+    return link.transport.value().decode()
+
+
+def control_answers(tmp_path, requests):
+    """What a control process over the stored document answers to each of the requests."""
+    from test_stored_data import close_control, copied, open_control
+
+    from granitedock.configuration.server import ControlLink, ControlService
+
+    path = copied(tmp_path, "control_store.db")
+    control = open_control(path, CLUSTER)
+    reactor = SimpleNamespace(callLater=lambda delay, act: None)
+    service = ControlService(reactor, control, lambda event, **figures: None)
+    answers = []
+    for request in requests:
+        link = ControlLink(service)
+        link.makeConnection(transport())
+        link.dataReceived(request.encode())
+        answers.append(link.transport.value().decode())
+    close_control(control)
+    return answers
+
+
+# The tests.
+
+
+def recorded(name):
+    return json.loads((DATA / name).read_bytes())
+
+
+DATAGRAMS = recorded("membership_datagrams.json")
+LINES = recorded("configuration_lines.json")
+TEXTS = recorded("protocol_texts.json")
+
+
+@pytest.mark.parametrize("case", DATAGRAMS["messages"], ids=lambda case: case["name"])
+def test_a_recorded_datagram_is_decoded_and_encoded(case):
+    assert datagram_fields(bytes.fromhex(case["hex"])) == case["fields"]
+    assert datagram_from(case["fields"]).hex() == case["hex"]
+
+
+def test_a_datagram_of_every_kind_is_recorded():
+    assert {case["fields"]["kind"] for case in DATAGRAMS["messages"]} == datagram_kinds()
+
+
+@pytest.mark.parametrize("case", DATAGRAMS["malformed"], ids=lambda case: case["why"])
+def test_a_recorded_malformed_datagram_is_refused_with_its_reason(case):
+    with pytest.raises(datagram_error()) as caught:
+        datagram_fields(bytes.fromhex(case["hex"]))
+    assert str(caught.value) == case["why"]
+
+
+@pytest.mark.parametrize("case", LINES["messages"], ids=lambda case: case["name"])
+def test_a_recorded_configuration_line_is_decoded_and_encoded(case):
+    assert line_fields(case["line"].encode()) == case["fields"]
+    assert line_from(case["fields"]).decode() == case["line"]
+
+
+def test_a_configuration_line_of_every_kind_is_recorded():
+    assert {case["fields"]["kind"] for case in LINES["messages"]} == set(line_kinds())
+    assert heartbeat_line() == b"\n"
+
+
+@pytest.mark.parametrize("case", LINES["malformed"], ids=lambda case: case["why"])
+def test_a_recorded_malformed_configuration_line_is_refused_with_its_reason(case):
+    with pytest.raises(line_error()) as caught:
+        line_fields(case["line"].encode())
+    assert str(caught.value) == case["why"]
+
+
+def test_lines_of_a_body_are_found_however_it_is_cut():
+    body = "".join(case["line"] for case in LINES["messages"]) + "\n"
+    expected = body.split("\n")[:-1]
+    data = body.encode()
+    for size in (1, 7, len(data)):
+        assert split_lines([data[at : at + size] for at in range(0, len(data), size)], 4096) == expected
+    with pytest.raises(line_error(), match="a line of more than 4 bytes"):
+        split_lines([b"abc", b"de"], 4)
+
+
+@pytest.mark.parametrize("case", TEXTS["resp"], ids=lambda case: repr(case["data"])[:40])
+def test_a_recorded_resp_stream_gives_its_values_whole_and_byte_by_byte(case):
+    data = case["data"].encode("latin-1")
+    assert resp_values([data]) == case["found"]
+    assert resp_values([data[at : at + 1] for at in range(len(data))]) == case["found"]
+
+
+def test_a_command_is_an_array_of_bulk_strings():
+    assert resp_command([b"A", b"", b"b\r\n"]) == b"*3\r\n$1\r\nA\r\n$0\r\n\r\n$3\r\nb\r\n\r\n"
+
+
+@pytest.mark.parametrize("case", TEXTS["client"], ids=lambda case: repr(case["data"])[-40:])
+def test_a_recorded_command_of_a_client_is_read_and_worded_for_its_host(case):
+    assert client_command(case["data"].encode("latin-1"), case["forward_ms"]) == case["found"]
+
+
+@pytest.mark.parametrize("case", TEXTS["host"], ids=lambda case: repr(case["data"])[:40])
+def test_a_recorded_answer_of_a_host_is_read(case):
+    assert host_answer(case["data"].encode("latin-1")) == case["found"]
+
+
+@pytest.mark.parametrize("case", TEXTS["counter_calls"], ids=lambda case: case["data"][-20:])
+def test_a_recorded_call_of_the_counter_is_worded(case):
+    assert counter_call(*case["values"]) == case["data"].encode()
+
+
+def test_the_counters_connection_is_kept_by_a_ping():
+    assert counter_ping() == b"*1\r\n$4\r\nPING\r\n"
+
+
+@pytest.mark.parametrize("case", TEXTS["counter_answers"], ids=lambda case: repr(case["data"])[:40])
+def test_recorded_answers_of_the_counter_are_read(case):
+    assert counter_answers(case["data"].encode("latin-1")) == case["found"]
+
+
+@pytest.mark.parametrize("case", TEXTS["discovery"], ids=lambda case: case["name"])
+def test_a_recorded_watch_on_discovery_is_asked_for_and_read(case):
+    asked, heard = discovery_watch([piece.encode() for piece in case["pieces"]])
+    assert asked == TEXTS["discovery_request"]
+    assert heard == case["heard"]
+
+
+def test_the_watch_on_the_configuration_is_worded_as_recorded():
+    assert follower_watch_request() == TEXTS["follower_request"]
+
+
+def test_control_answers_recorded_requests_as_recorded(tmp_path):
+    answers = control_answers(tmp_path, [case["request"] for case in TEXTS["control"]])
+    assert answers == [case["answer"] for case in TEXTS["control"]]
