--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -134,6 +134,15 @@
     return command.check(told, 20_000, 1, str(path), lambda line: None)
 
 
+def explored(told):
+    """What an exploration of the world that is told comes to: counts of states, moves and ends, and more."""
+    from granitedock.model import command, explore
+
+    found = explore.explore(command.world_of(told))
+    names = ("states", "moves", "ends", "depth", "complete", "broken")
+    return {name: getattr(found, name) for name in names}
+
+
 def planted_faults():
     """What plants each fault, by the name of its trace."""
     from test_model import PLANTED, silence_taken_for_proof
@@ -172,6 +181,8 @@
     (0.5, -1, 162, 1.0, 900.0, "lost", 40.0, 3, "once", True),
 ]
 TRACES = json.loads((DATA / "trace_replays.json").read_bytes())
+WALKS = json.loads((DATA / "walks.json").read_bytes())
+EXPLORATIONS = json.loads((DATA / "explorations.json").read_bytes())
 
 
 def copied(tmp_path, name):
@@ -312,3 +323,15 @@
     planted_faults()[name](monkeypatch)
     assert find_trace(world, tmp_path / "trace.json") == 1
     assert (tmp_path / "trace.json").read_bytes() == stored
+
+
+@pytest.mark.parametrize("walk", WALKS, ids=lambda walk: walk["trace"]["world"])
+def test_a_stored_walk_through_a_small_world_replays_to_the_same_states(walk, tmp_path):
+    path = tmp_path / "walk.json"
+    path.write_text(json.dumps(walk["trace"]))
+    assert replay_trace(path) == (walk["said"], walk["end"])
+
+
+@pytest.mark.parametrize("case", EXPLORATIONS, ids=lambda case: json.dumps(case["world"]["shape"]))
+def test_a_small_world_has_as_many_states_moves_and_ends_as_recorded(case):
+    assert explored(case["world"]) == case["found"]
