--- a/tests/test_golden_story.py
+++ b/tests/test_golden_story.py
@@ -42,7 +42,7 @@
         self.answers = {number: [VALUE] for number in range(hosts)}  # the last one stands; None: none comes
         self.pending = {}  # host connections whose answer is still to come
         self.totals, self.over, self.silent = {}, set(), False
-        self.beat_at = START_MS
+        self.beat_at, self.discovery_silent = START_MS, False
         lanes = [lane | {"GiveUpMs": 3000} for lane in BORN["Lanes"]]
         super().__init__(tmp_path, hosts=hosts, lanes=lanes)
 
@@ -181,7 +181,12 @@
         end = self.t + ms
         while self.t < end:
             watch = self.watches[-1]
-            if self.t >= self.beat_at and getattr(watch, "headed", False) and watch in self.connections:
+            if (
+                not self.discovery_silent
+                and self.t >= self.beat_at
+                and getattr(watch, "headed", False)
+                and watch in self.connections
+            ):
                 self.beat_at = self.t + 1000.0
                 if not watch.ended:
                     watch.send(chunk(b"\n"))
@@ -283,6 +288,25 @@
     story.pass_ms(1000)
 
 
+def discovery_and_counter_that_fail(story):
+    """An open watch falls silent and is answered anew; the counter's connections are reset with calls out."""
+    story.discovery_silent = True
+    story.pass_ms(4000)
+    story.discovery_silent = False
+    story.lists()
+    story.ask("a", "read")
+    story.release()
+    story.silent = True
+    story.ask("a", "read", "mark", "once")
+    for peer in [peer for peer, known in story.connections.items() if known[0].startswith("counter")]:
+        story.drop(peer)
+    story.turn()
+    story.silent = False
+    for _ in range(5):
+        story.pass_ms(200)
+        story.release()
+
+
 def quotas(story):
     """A customer who is over the quota, many requests at once, and a counter that falls silent."""
     story.opened("c")
@@ -352,6 +376,7 @@
             hosts_that_fail,
             connections_that_come_late,
             lists_that_change,
+            discovery_and_counter_that_fail,
             quotas,
             the_end,
         ):
