--- a/granitedock/policy/decisions.py
+++ b/granitedock/policy/decisions.py
@@ -2,7 +2,8 @@
 
 How it is called: a carrier makes one Gateway per api gateway, sets its clock with `at` before each batch, and
 calls roster, take, ended, started, client_gone, counted and woke; what is decided goes out through the Door.
-Interface: granitedock/policy/types.py and ports.py. What is kept of the design, what changed and why: docs/design.md.
+Interface: granitedock/policy/types.py and ports.py. What is kept and
+what changed: docs/design.md.
 """
 
 from __future__ import annotations
--- a/tests/configuration/test_configuration.py
+++ b/tests/configuration/test_configuration.py
@@ -393,7 +393,7 @@
     """As control sends it that has lost its log and does not know that the follower is ahead."""
     wire = Wire({"a": writer})
     wire.start()
-    older = [line for line in wire.lines()]
+    older = list(wire.lines())
     for line in older:
         wire.hears(line)
     writer.apply(change(1, [PLAN]), "test")
--- a/tests/test_golden_names.py
+++ b/tests/golden/test_golden_names.py
@@ -13,8 +13,8 @@
 import pytest
 from pydantic import BaseModel
 
-DATA = Path(__file__).parent / "data"
-PROGRAM = Path(__file__).parents[1] / "granitedock"
+DATA = Path(__file__).parents[1] / "data"
+PROGRAM = Path(__file__).parents[2] / "granitedock"
 APART = ("lab", "model", "benchlink")  # no part of a gateway or control process
 
 
@@ -36,17 +36,17 @@
 
 def call_endings():
     """How a forward or a call ends, as the counters' names say it."""
-    from granitedock.policy.interface import Ending
+    from granitedock.policy.types import Outcome
 
-    return {ending.value for ending in Ending}
+    return {ending.value for ending in Outcome}
 
 
 def file_models():
     """The form of each operators' file, by its name in deploy/ (the laboratory's: a scenario)."""
     from granitedock.configuration.settings import ControlFile, GatewayFile
-    from granitedock.fleet.settings import FleetFile
     from granitedock.lab.scenario import Scenario
-    from granitedock.service.operators import Operators
+    from granitedock.membership.settings import FleetFile
+    from granitedock.service.operator_settings import Operators
 
     return {
         "gateway.toml": Operators,
@@ -60,8 +60,8 @@
 def load_deployed(name):
     """Read an operators' file of deploy/ by the program's reader."""
     from granitedock.configuration import settings
-    from granitedock.fleet import settings as fleet
-    from granitedock.service import operators
+    from granitedock.membership import settings as fleet
+    from granitedock.service import operator_settings as operators
 
     readers = {
         "gateway.toml": operators.load,
--- a/tests/test_golden_story.py
+++ b/tests/golden/test_golden_story.py
@@ -10,12 +10,12 @@
 from collections import Counter
 from pathlib import Path
 
-from fakehost import BORN
-from live import START_MS, VALUE, Live, Peer, answer, chunk
+from fake_gateway import BORN
+from loopback import START_MS, VALUE, Live, Peer, answer, chunk
 
 from granitedock.service.resp import command
 
-RECORDED = Path(__file__).parent / "data" / "golden_story.json"
+RECORDED = Path(__file__).parents[1] / "data" / "golden_story.json"
 BUSY, FAILED = b"-BUSY\r\n", b"-ERR failed\r\n"
 CUSTOMER = b"00000000000000a1"
 OVER_QUOTA = b"00000000000000b2"
--- a/tests/test_golden_wire.py
+++ b/tests/golden/test_golden_wire.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-DATA = Path(__file__).parent / "data"
+DATA = Path(__file__).parents[1] / "data"
 CLUSTER = "golden"
 START = SimpleNamespace(version=7)  # what the discovery watch asks on from
 
@@ -24,7 +24,7 @@
 
 
 def member_from(fields):
-    from granitedock.fleet.member import Member, State
+    from granitedock.membership.member import Member, State
 
     name, address, born, bump, state, seat, settings = fields
     return Member(name, address, born, bump, State(state), seat, settings)
@@ -32,7 +32,7 @@
 
 def datagram_fields(data):
     """What a datagram says, as plain values; raises ValueError (`datagram_error`)."""
-    from granitedock.fleet.wire import decode
+    from granitedock.membership.wire import decode
 
     message = decode(CLUSTER, data)
     return {
@@ -50,10 +50,10 @@
 
 
 def datagram_from(fields):
-    from granitedock.fleet.member import News
-    from granitedock.fleet.wire import Kind, Message, encode
-    from granitedock.judgement.evidence import Row as HostRow
-    from granitedock.shared.counts import Row
+    from granitedock.membership.member import News
+    from granitedock.membership.wire import Kind, Message, encode
+    from granitedock.outlier_detection.evidence import Row as HostRow
+    from granitedock.quota_sharing.counts import Row
 
     news = tuple(
         News(member_from(item["member"]), item["suspected_by"], item["ended_ms_ago"])
@@ -72,13 +72,13 @@
 
 
 def datagram_error():
-    from granitedock.fleet.wire import Malformed
+    from granitedock.membership.wire import Malformed
 
     return Malformed
 
 
 def datagram_kinds():
-    from granitedock.fleet.wire import Kind
+    from granitedock.membership.wire import Kind
 
     return {int(kind) for kind in Kind}
 
@@ -154,7 +154,7 @@
 
 
 def limits():
-    from fakehost import BORN
+    from fake_gateway import BORN
 
     from granitedock.service.limits import Limits
 
@@ -197,7 +197,7 @@
 
 def client_command(data, forward_ms):
     """What a client's command says and the bytes that its host gets, or why it is malformed."""
-    from granitedock.service.clients import ClientLink
+    from granitedock.service.client_protocol import ClientLink
 
     told = []
     link = ClientLink(lambda *happened: told.append(happened), limits())
@@ -216,15 +216,15 @@
 def request_fields(ask, forward_ms):
     return [
         ask.id.decode(),
-        ask.product,
+        ask.request_class,
         ask.plan,
         ask.customer,
         ask.harmless,
         ask.stamped,
         ask.left_ms,
         ask.units,
-        ask.spread,
-        ask.first,
+        ask.subset_size,
+        ask.subset_start,
         ask.within(forward_ms).decode("latin-1"),
     ]
 
@@ -232,7 +232,7 @@
 def host_answer(data):
     """What a host's bytes mean: [kind, whether the connection may be used again, bytes for the client, true
     units, the customer's use], or ["malformed", why], or [] while more is to come."""
-    from granitedock.service.hosts import HostLink
+    from granitedock.service.host_protocol import HostLink
 
     told = []
     link = HostLink(lambda *happened: told.append(happened), limits())
@@ -248,20 +248,20 @@
 
 
 def counter_call(name, amount, life_ms):
-    from granitedock.service.counter import tally
+    from granitedock.service.counter_protocol import tally
 
     return tally(name, amount, life_ms)
 
 
 def counter_ping():
-    from granitedock.service.counter import PING
+    from granitedock.service.counter_protocol import PING
 
     return PING
 
 
 def counter_answers(data):
     """What the counter's bytes mean: [kind, total] for each answer, ["malformed", why] at the end."""
-    from granitedock.service.counter import CounterLink
+    from granitedock.service.counter_protocol import CounterLink
 
     told = []
     link = CounterLink(lambda *happened: told.append(happened), limits())
@@ -300,7 +300,7 @@
 def discovery_watch(pieces):
     """(request, list of what was heard) of a watch whose answer comes in pieces: None for an empty line,
     [version, whole, entries] for a list, a text for what ends the watch."""
-    from granitedock.service.discovery import WatchLink
+    from granitedock.service.discovery_protocol import WatchLink
 
     told = []
     link = WatchLink(lambda *happened: told.append(happened), "127.0.0.1:99", limits())
@@ -319,7 +319,7 @@
 
 
 def listing_fields(listing):
-    from granitedock.service.discovery import STATUSES
+    from granitedock.service.discovery_protocol import STATUSES
 
     words = {status: word for word, status in STATUSES.items()}
     entries = [[*entry[:-1], words[entry.status]] for entry in listing.entries]
--- a/tests/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-DATA = Path(__file__).parent / "data"
+DATA = Path(__file__).parents[1] / "data"
 MAX_UNITS = 2**53 - 1  # the largest number of thousandths of a unit that a row may hold
 
 
@@ -20,20 +20,20 @@
 
 def read_quota_snapshot(name, data):
     """The rows of a quota snapshot of gateway `name`, as tuples."""
-    from granitedock.shared.snapshot import unpack
+    from granitedock.quota_sharing.snapshot import unpack
 
     return [astuple(row) for row in unpack(name, data)]
 
 
 def write_quota_snapshot(name, rows):
-    from granitedock.shared.counts import Row
-    from granitedock.shared.snapshot import pack
+    from granitedock.quota_sharing.counts import Row
+    from granitedock.quota_sharing.snapshot import pack
 
     return pack(name, [Row(*row) for row in rows])
 
 
 def quota_snapshot_error():
-    from granitedock.shared.snapshot import Refused
+    from granitedock.quota_sharing.snapshot import Refused
 
     return Refused
 
@@ -118,7 +118,7 @@
 
 def replay_trace(path):
     """(lines said, exit code or the reason why the trace cannot go on) of `check-model --replay`."""
-    from granitedock.model import command
+    from granitedock.model_checking import command
 
     said = []
     try:
@@ -129,14 +129,14 @@
 
 def find_trace(told, path):
     """Explore the world that is told, as `check-model --trace` does; its exit code."""
-    from granitedock.model import command
+    from granitedock.model_checking import command
 
     return command.check(told, 20_000, 1, str(path), lambda line: None)
 
 
 def explored(told):
     """What an exploration of the world that is told comes to: counts of states, moves and ends, and more."""
-    from granitedock.model import command, explore
+    from granitedock.model_checking import command, explore
 
     found = explore.explore(command.world_of(told))
     names = ("states", "moves", "ends", "depth", "complete", "broken")
@@ -145,7 +145,7 @@
 
 def planted_faults():
     """What plants each fault, by the name of its trace."""
-    from test_model import PLANTED, silence_taken_for_proof
+    from planted_faults import PLANTED, silence_taken_for_proof
 
     return {
         "one_shot_again": PLANTED["one-shot again"][0],
--- a/tests/model_checking/test_model_checking.py
+++ b/tests/model_checking/test_model_checking.py
@@ -2,25 +2,20 @@
 
 import subprocess
 import sys
-from functools import wraps
 
 import orjson
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from planted_faults import PLANTED, nobody_looks_for_those_that_are_over, silence_taken_for_proof
 from pytest import mark, raises
 
 from granitedock import platform_settings
-from granitedock.membership.machine import View
-from granitedock.membership.member import OVER, State
-from granitedock.membership.seats import Seats
 from granitedock.model_checking import command, explore
 from granitedock.model_checking.canon import digest
 from granitedock.model_checking.gateways import Shape, Small
 from granitedock.model_checking.views import Fleet, Views
-from granitedock.policy import decisions
-from granitedock.policy.decisions import QuotaAccount, TokenBucket
-from granitedock.policy.types import CounterCall, Customer, EndpointStatus, Idempotency, Plan
-from granitedock.service.reducer import INPUTS, Reducer
+from granitedock.policy.decisions import QuotaAccount
+from granitedock.policy.types import CounterCall, Customer, Plan
 
 
 @mark.parametrize(
@@ -67,72 +62,6 @@
     assert {("forwards", 2), ("ended", "reset"), ("ended", "busy"), ("ended", "value")} <= met, met
 
 
-def twice(monkeypatch):
-    fill = Reducer.fill
-
-    def filled(self, caller, waiting, answer):
-        fill(self, caller, waiting, answer)
-        self.do(caller.link.send, answer)
-
-    monkeypatch.setattr(Reducer, "fill", filled)
-
-
-def sent_again(monkeypatch):
-    monkeypatch.setitem(decisions.MAY_HAVE_RUN, Idempotency.NON_IDEMPOTENT, ("yes", "no"))
-
-
-def deferred_though_it_ran(monkeypatch):
-    monkeypatch.setitem(decisions.MAY_HAVE_RUN, Idempotency.NON_IDEMPOTENT, ("no", "yes"))
-
-
-def never_brought_back(monkeypatch):
-    monkeypatch.setitem(INPUTS, "late", lambda self, lane, attempt: None)
-    monkeypatch.setitem(INPUTS, "forgotten", lambda self, errand: None)
-
-
-def sent_to_those_that_drain(monkeypatch):
-    roster = decisions.LoadBalancer.roster
-
-    @wraps(roster)  # a bound method is pickled by its name
-    def listed(self, sightings, whole):
-        for sighting in sightings:
-            object.__setattr__(sighting, "status", EndpointStatus.READY)
-        roster(self, sightings, whole)
-
-    monkeypatch.setattr(decisions.LoadBalancer, "roster", listed)
-
-
-def ceiling_not_kept(monkeypatch):
-    monkeypatch.setattr(TokenBucket, "take", lambda self, units, now: True)
-
-
-def two_copies(monkeypatch):
-    """A forward that is withdrawn is made again while its connection stays open."""
-    called_off = Reducer.called_off
-
-    def kept(self, lane):
-        do, self.do = self.do, lambda *effect: None
-        called_off(self, lane)
-        self.do = do
-
-    monkeypatch.setattr(Reducer, "called_off", kept)
-
-
-PLANTED = {
-    "answers twice": (twice, Shape(1, 1, ("read",), 0), "rule 1: t0 was answered 2 times"),
-    "never answers": (never_brought_back, Shape(1, 1, ("once",), 1), "rule 1: t0 was answered late"),
-    "two copies": (two_copies, Shape(1, 2, ("read",), 1, warm=12), "rule 2: t0 is out at"),
-    "one-shot again": (sent_again, Shape(1, 2, ("once",), 1), "rule 2: t0 (once) may have run at"),
-    "one-shot deferred": (
-        deferred_though_it_ran,
-        Shape(1, 2, ("once",), 1),
-        "rule 2: t0 (once) may have run",
-    ),
-    "drains": (sent_to_those_that_drain, Shape(1, 1, ("read",), 2), "rule 3: t"),
-    "ceiling": (ceiling_not_kept, Shape(2, 1, ("read!",) * 3, 0), "rule 5: over the ceiling"),
-}
-
-
 @mark.parametrize("name", PLANTED)
 def test_a_planted_fault_is_found_with_a_trace_that_plays_again(name, monkeypatch, tmp_path):
     plant, shape, told = PLANTED[name]
@@ -156,16 +85,6 @@
     assert found.complete and not found.broken and found.ends > 100, found
 
 
-def silence_taken_for_proof(monkeypatch):
-    monkeypatch.setattr("granitedock.membership.seats.OVER", frozenset({State.DEAD, *OVER}))
-    monkeypatch.setattr(Seats, "vacant", lambda self, now, seat: seat in self.empty)
-
-
-def nobody_looks_for_those_that_are_over(monkeypatch):
-    for way in ("revive", "sync", "seek"):
-        monkeypatch.setattr(View, way, lambda self, way=way: self.timers.update({way: float("inf")}))
-
-
 @mark.parametrize(
     ("plant", "told"),
     [(silence_taken_for_proof, "divides by"), (nobody_looks_for_those_that_are_over, "views differ")],
