--- a/granitedock/lab/hollow.py
+++ b/granitedock/lab/hollow.py
@@ -24,6 +24,7 @@
 from granitedock.lab.scale.roster import commanded
 from granitedock.service.connector import Dialler
 from granitedock.service.discovery_protocol import WatchLink
+from granitedock.service.inputs import Input
 from granitedock.service.limits import Limits
 from granitedock.service.reducer import Reducer
 
@@ -99,22 +100,24 @@
     def __init__(self, gateway: HollowGateway, address: str) -> None:
         self.gateway, self.address = gateway, address
         limits = gateway.limits
-        self.watch = Dialler(gateway.reactor, gateway.tell, self.link, "watch down", limits.watch_connect_ms)
+        self.watch = Dialler(
+            gateway.reactor, gateway.tell, self.link, Input.WATCH_DISCONNECTED, limits.watch_connect_ms
+        )
 
     def link(self) -> CountedWatch:
         link = CountedWatch(self.gateway.tell, self.address, self.gateway.limits)
         link.counts = self.gateway.diary.counts
         return link
 
-    def wake(self, wake: Any) -> None:
-        wait_s = max(0.0, wake.due - self.gateway.clock()) / 1000.0
-        self.gateway.reactor.callLater(wait_s, self.woke, wake)
+    def start_timer(self, timer: Any) -> None:
+        wait_s = max(0.0, timer.due - self.gateway.clock()) / 1000.0
+        self.gateway.reactor.callLater(wait_s, self.fire, timer)
 
-    def woke(self, wake: Any) -> None:
-        if wake.name is not None:
-            self.gateway.tell(wake.name, *wake.what)
+    def fire(self, timer: Any) -> None:
+        if timer.input is not None:
+            self.gateway.tell(timer.input, *timer.arguments)
 
-    def dial_watch(self, watch: Any) -> None:
+    def connect_watch(self, watch: Any) -> None:
         self.watch.dial(watch, self.address)
 
 
@@ -142,10 +145,10 @@
     def clock() -> float:
         return time.time() * 1000.0
 
-    def tell(self, name: str, *what: Any) -> None:
+    def tell(self, happened: Input, *what: Any) -> None:
         """One input of the state machine, and its effects."""
         lists = self.diary.counts["lists"]
-        for act, *arguments in self.reducer.reduce(self.clock(), name, *what):
+        for act, *arguments in self.reducer.reduce(self.clock(), happened, *what):
             act(*arguments)
         if self.diary.counts["lists"] != lists:
             self.state.list_version = self.reducer.watch.version
@@ -160,7 +163,7 @@
 
     def start(self) -> None:
         self.state.started_at = time.monotonic()
-        self.tell("start")
+        self.tell(Input.START)
         if self.order.fleet_net:
             self.fleet = self.view()
             self.fleet.start()
--- a/granitedock/membership/carrier.py
+++ b/granitedock/membership/carrier.py
@@ -23,6 +23,7 @@
 from granitedock.outlier_detection.judge import Judge, Weights
 from granitedock.quota_sharing.snapshot import Refused, pack, unpack
 from granitedock.quota_sharing.state import Bounds, Shared
+from granitedock.service.inputs import Input
 
 SENDS_AT_ONCE = 16  # datagrams read in one turn of the loop, so that tasks are served between
 EVIDENCE_A_DATAGRAM = 10
@@ -219,7 +220,7 @@
         for address, rows in sends:
             self.write(address, Message(Kind.ROWS, self.part.view.me, rows=rows))
         if calls:
-            self.tell("calls", calls)
+            self.tell(Input.COUNTER_CALLS, calls)
 
     def tell_evidence(self) -> None:
         """Again and again while the socket is open."""
@@ -244,7 +245,7 @@
         if version > max(self.asked_version, self.list_version()):
             self.asked_version = version
             wait = self.part.view.chance.random() * ASK_AGAIN_S
-            self.reactor.callLater(wait, self.tell, "newer list", version)
+            self.reactor.callLater(wait, self.tell, Input.NEWER_ENDPOINTS_ELSEWHERE, version)
 
     def knock(self, address: str) -> None:
         """One empty datagram from a socket that is connected there, so that the kernel tells this process if
--- a/granitedock/model_checking/canon.py
+++ b/granitedock/model_checking/canon.py
@@ -21,7 +21,8 @@
 PLAIN = frozenset({int, float, str, bytes, bool, type(None)})
 LISTS = frozenset({list, tuple, deque})
 LEFT_OUT = frozenset(
-    "counts diary doors limits leave cold seat effects log world gate wakes made products plans known".split()
+    "counts event_log doors limits leave cold seat effects log world gate policy_timers wakes made".split()
+    + ["plans", "known"]
 )
 _fields: dict[type, tuple[str, ...]] = {}
 
--- a/granitedock/model_checking/gateways.py
+++ b/granitedock/model_checking/gateways.py
@@ -29,6 +29,7 @@
 )
 from granitedock.service.client_protocol import read
 from granitedock.service.discovery_protocol import Entry, Listing
+from granitedock.service.inputs import Input
 from granitedock.service.limits import Limits
 from granitedock.service.reducer import Reducer
 from granitedock.service.resp import command
@@ -52,6 +53,12 @@
     "list": ("told",),
 }
 ENDINGS = {"value": Outcome.DONE, "error": Outcome.ERROR, "busy": Outcome.OVERLOADED}
+DISCONNECTED = {
+    "client": Input.CLIENT_DISCONNECTED,
+    "host": Input.HOST_DISCONNECTED,
+    "counter": Input.COUNTER_DISCONNECTED,
+    "watch": Input.WATCH_DISCONNECTED,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,7 +148,7 @@
             self.ends("withdrawn")
             if self.kind == "counter":
                 self.gate.world.forget_totals(self.record)
-            self.gate.soon.append((f"{self.kind} down", self.record))
+            self.gate.soon.append((DISCONNECTED[self.kind], self.record))
 
     end = close = abort
 
@@ -153,7 +160,7 @@
     def half(self) -> bool:
         return False
 
-    def look(self, then: str) -> None:
+    def look(self, then: Input) -> None:
         """There is never a command that lies unread here."""
         if self.open:
             self.gate.soon.append((then, self.record))
@@ -177,7 +184,7 @@
     answers: list[tuple[float, str]] = field(default_factory=list)
     attempts: dict[int, list[Any]] = field(default_factory=dict)
     orphan: bool = False  # its gateway was killed: nothing is owed
-    caller: Any = None  # its connection, as the reducer knows it
+    connection: Any = None  # its connection, as the reducer knows it
 
 
 class Gate:
@@ -203,10 +210,10 @@
             *(("plan " + name, plan) for name, plan in reducer.plans.items()),
         ]
         keep("gateways", shape, number, parts)
-        self.tell("start")
+        self.tell(Input.START)
         watch = self.reducer.watch
-        self.tell("watch up", watch, Link(self, "watch", watch))
-        self.tell("listed", watch, known)
+        self.tell(Input.WATCH_CONNECTED, watch, Link(self, "watch", watch))
+        self.tell(Input.ENDPOINTS_RECEIVED, watch, known)
 
     def tell(self, *happened: Any) -> None:
         """One input, its effects, and what they bring about at once."""
@@ -218,30 +225,30 @@
 
     # The reducer's doors.
 
-    def wake(self, wake: Any) -> None:
+    def start_timer(self, timer: Any) -> None:
         self.made += 1
-        heapq.heappush(self.wakes, (wake.due, self.made, wake))
+        heapq.heappush(self.wakes, (timer.due, self.made, timer))
 
-    def dial_host(self, lane: Any, address: str) -> None:
-        self.world.due[("dial", self.number, *self.world.about(lane.attempt))] = lane
+    def connect_host(self, connection: Any, address: str) -> None:
+        self.world.due[("dial", self.number, *self.world.about(connection.attempt))] = connection
 
-    def dial_counter(self, wire: Any) -> None:
-        self.world.due[("wire", self.number, wire.number)] = wire
+    def connect_counter(self, connection: Any) -> None:
+        self.world.due[("wire", self.number, connection.number)] = connection
 
-    def dial_watch(self, watch: Any) -> None:
+    def connect_watch(self, watch: Any) -> None:
         """It comes up by hand, at the start; the horizon lies before any other."""
 
-    def take_in(self, on: bool) -> None:
+    def accept_connections(self, on: bool) -> None:
         """There is room for every client here."""
 
-    def shut(self) -> None:
+    def stop_listening(self) -> None:
         """Nobody comes after a stop here."""
 
-    def leave(self) -> None:
+    def stop_process(self) -> None:
         self.up = False
 
     def next_wake(self) -> float:
-        while self.wakes and self.wakes[0][2].name is None:
+        while self.wakes and self.wakes[0][2].input is None:
             heapq.heappop(self.wakes)
         return self.wakes[0][0] if self.wakes else float("inf")
 
@@ -354,8 +361,8 @@
         gate = min((gate for gate in self.gates if gate.up), key=Gate.next_wake)
         self.now = max(self.now, gate.next_wake())
         while gate.up and gate.next_wake() <= self.now:
-            wake = heapq.heappop(gate.wakes)[2]
-            gate.tell(wake.name, *wake.what)
+            timer = heapq.heappop(gate.wakes)[2]
+            gate.tell(timer.input, *timer.arguments)
 
     def on_ask(self, outcome: str, _: Any, gateway: int, name: str) -> None:
         gate, job = self.gates[gateway], self.jobs[name]
@@ -371,27 +378,27 @@
         ]
         job.sent_at = self.now
         link = Link(gate, "client")
-        gate.tell("client up", link)
-        job.caller = link.record
+        gate.tell(Input.CLIENT_CONNECTED, link)
+        job.connection = link.record
         parts = command(*words).split(b"\r\n")[:-1]
-        gate.tell("asked", link.record, read(words, parts, gate.reducer.limits))
+        gate.tell(Input.REQUEST_RECEIVED, link.record, read(words, parts, gate.reducer.limits))
 
-    def on_dial(self, outcome: str, lane: Any, gateway: int, request: str, number: int) -> None:
+    def on_dial(self, outcome: str, connection: Any, gateway: int, request: str, number: int) -> None:
         gate = self.gates[gateway]
         if outcome == "refused":
-            gate.tell("host down", lane)
+            gate.tell(Input.HOST_DISCONNECTED, connection)
             return
-        link = Link(gate, "host", lane, deaf=outcome == "half")
-        gate.tell("host up", lane, link)
+        link = Link(gate, "host", connection, deaf=outcome == "half")
+        gate.tell(Input.HOST_CONNECTED, connection, link)
         if link.deaf and link.open:
             link.open = False
-            gate.tell("host down", lane)
+            gate.tell(Input.HOST_DISCONNECTED, connection)
 
     def sent(self, gate: Gate, link: Link) -> None:
         """A forward's bytes leave; they arrive whole."""
-        lane = link.record
-        request, number = link.carries = self.about(lane.attempt)
-        job, host = self.jobs[request], int(lane.place.name[1:])
+        connection = link.record
+        request, number = link.carries = self.about(connection.attempt)
+        job, host = self.jobs[request], int(connection.endpoint.name[1:])
         if job.answers:
             self.wrong.append(f"rule 1: {request} was sent to h{host} after its answer")
         self.effects(request, job)
@@ -400,7 +407,7 @@
             self.wrong.append(f"rule 3: {request} was sent to h{host}, which drains")
         job.attempts[number] = [host, self.now, None, "out"]
         self.due[("answer", gate.number, request, number)] = link
-        gate.soon.append(("written", lane))
+        gate.soon.append((Input.HOST_REQUEST_WRITTEN, connection))
         self.ceiling()
 
     def effects(self, request: str, job: Job) -> None:
@@ -437,50 +444,50 @@
         gate = self.gates[gateway]
         if outcome == "reset":
             link.ends(outcome)
-            gate.tell("host down", link.record)
+            gate.tell(Input.HOST_DISCONNECTED, link.record)
         else:
             self.over(gateway, request, number, outcome)
             link.carries = None
-            gate.tell("host answered", link.record, True, ENDINGS[outcome], VALUE, 0.0, 0)
+            gate.tell(Input.HOST_RESPONSE, link.record, True, ENDINGS[outcome], VALUE, 0.0, 0)
 
-    def on_wire(self, outcome: str, wire: Any, gateway: int, number: int) -> None:
+    def on_wire(self, outcome: str, connection: Any, gateway: int, number: int) -> None:
         gate = self.gates[gateway]
         if outcome == "refused":
-            gate.tell("counter down", wire)
+            gate.tell(Input.COUNTER_DISCONNECTED, connection)
         else:
-            gate.tell("counter up", wire, Link(gate, "counter", wire))
+            gate.tell(Input.COUNTER_CONNECTED, connection, Link(gate, "counter", connection))
 
-    def called(self, gate: Gate, wire: Any) -> None:
+    def called(self, gate: Gate, connection: Any) -> None:
         """What was written to the counter and has no answer yet."""
         known = [call for pending in (self.due, self.late) for name, (_, call) in totals(pending)]
-        for call in wire.waiting:
+        for call in connection.waiting:
             if call not in known:
                 gate.calls += 1
-                self.due[("total", gate.number, gate.calls)] = (wire, call)
+                self.due[("total", gate.number, gate.calls)] = (connection, call)
 
     def on_total(self, outcome: str, thing: tuple[Any, Any], gateway: int, number: int) -> None:
-        gate, (wire, call) = self.gates[gateway], thing
+        gate, (connection, call) = self.gates[gateway], thing
         if outcome == "busy":
-            gate.tell("counter answered", wire, Outcome.OVERLOADED, 0.0)
+            gate.tell(Input.COUNTER_REPLY, connection, Outcome.OVERLOADED, 0.0)
             return
         self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
         if outcome == "total":
-            gate.tell("counter answered", wire, Outcome.DONE, self.totals[call.name])
+            gate.tell(Input.COUNTER_REPLY, connection, Outcome.DONE, self.totals[call.name])
         else:
-            wire.link.open = False
-            self.forget_totals(wire)
-            gate.tell("counter down", wire)
+            connection.link.open = False
+            self.forget_totals(connection)
+            gate.tell(Input.COUNTER_DISCONNECTED, connection)
 
-    def forget_totals(self, wire: Any) -> None:
+    def forget_totals(self, connection: Any) -> None:
         """Its connection has ended: what waits behind was not added, and is never answered."""
         for pending in (self.due, self.late):
             for name, (owner, _) in totals(pending):
-                if owner is wire:
+                if owner is connection:
                     del pending[name]
 
-    def answered(self, caller: Any, data: bytes) -> None:
+    def answered(self, connection: Any, data: bytes) -> None:
         """What a client reads: its one answer, of the task that it asked."""
-        name, job = next((name, job) for name, job in self.jobs.items() if job.caller is caller)
+        name, job = next((name, job) for name, job in self.jobs.items() if job.connection is connection)
         kind = "deferred" if data.startswith(b"-BUSY") else "errored" if data.startswith(b"-") else "done"
         count = data.count(VALUE) if kind == "done" else data.count(b"\r\n")
         job.answers += [(self.now, kind)] * count
@@ -516,7 +523,7 @@
 
     def stop(self, gateway: int) -> None:
         """SIGTERM: it answers what it has, and takes what still comes for a while."""
-        self.gates[gateway].tell("mode", "ending")
+        self.gates[gateway].tell(Input.LIFECYCLE, "ending")
 
     def drain(self, host: int) -> None:
         """Discovery says so; each gateway hears of it in its own time."""
@@ -529,7 +536,7 @@
         gate = self.gates[gateway]
         if gate.up:
             self.draining[gateway][host] = self.now
-            gate.tell("listed", gate.reducer.watch, Listing(2, True, self.entries(host)))
+            gate.tell(Input.ENDPOINTS_RECEIVED, gate.reducer.watch, Listing(2, True, self.entries(host)))
 
     # What is asked of a world.
 
@@ -560,5 +567,5 @@
 
 def sorted_wakes(gate: Gate) -> list[tuple]:
     """What it will be woken for, in order of time; the order in which they were asked for tells nothing."""
-    live = [wake for _, _, wake in sorted(gate.wakes, key=lambda item: item[:2]) if wake.name is not None]
-    return [(wake.due, wake.name, wake.what) for wake in live] if gate.up else []
+    live = [timer for _, _, timer in sorted(gate.wakes, key=lambda item: item[:2]) if timer.input is not None]
+    return [(timer.due, timer.input, timer.arguments) for timer in live] if gate.up else []
--- a/granitedock/service/client_protocol.py
+++ b/granitedock/service/client_protocol.py
@@ -16,6 +16,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
+from granitedock.service.inputs import Input
 from granitedock.service.limits import Limits
 from granitedock.service.resp import RespReceiver, bulk, unread, whole
 
@@ -116,11 +117,11 @@
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self.tell("client up", self)
+        self.tell(Input.CLIENT_CONNECTED, self)
 
     def connectionLost(self, reason=None) -> None:
         record, self.record = self.record, None  # else each keeps the other until a search for such circles
-        self.tell("client down", record)
+        self.tell(Input.CLIENT_DISCONNECTED, record)
 
     def dataReceived(self, data: bytes) -> None:
         """Guards the processor against peers that go on sending to a connection that is over: some is read
@@ -146,21 +147,21 @@
             except Unreadable as why:
                 self.spoil(str(why))
             else:
-                self.tell("asked", self.record, ask)
+                self.tell(Input.REQUEST_RECEIVED, self.record, ask)
         else:
-            self.tell("command", self.record, value[0].upper())
+            self.tell(Input.COMMAND_RECEIVED, self.record, value[0].upper())
 
     def malformed(self, why: str) -> None:
-        self.tell("malformed", self.record, why)
+        self.tell(Input.CLIENT_MALFORMED, self.record, why)
 
     def pauseProducing(self) -> None:
         """What comes is kept and not looked at. Guards against an end that is not seen: where nothing at all
         is read, a client that has gone looks like one that is slow."""
         self.paused = True
-        self.tell("client choked", self.record)
+        self.tell(Input.CLIENT_WRITE_PAUSED, self.record)
 
     def resumeProducing(self) -> None:
-        self.tell("client eased", self.record)
+        self.tell(Input.CLIENT_WRITE_RESUMED, self.record)
         super().resumeProducing()
 
     # What the reducer asks for.
@@ -198,7 +199,7 @@
     # What the transport tells of half closes.
 
     def writeConnectionLost(self) -> None:
-        self.tell("client closed", self.record)
+        self.tell(Input.CLIENT_WRITE_CLOSED, self.record)
 
     def readConnectionLost(self) -> None:
         """The client's end is the connection's end."""
--- a/granitedock/service/connector.py
+++ b/granitedock/service/connector.py
@@ -10,13 +10,15 @@
 
 from twisted.internet.protocol import ClientFactory
 
+from granitedock.service.inputs import Input
+
 
 class Dial(ClientFactory):
     """One connection: its link learns its record, or the reducer learns that it never came up."""
 
     noisy = False
 
-    def __init__(self, tell, down: str, record: Any, link: Any) -> None:
+    def __init__(self, tell, down: Input, record: Any, link: Any) -> None:
         self.tell, self.down, self.record, self.link = tell, down, record, link
 
     def buildProtocol(self, addr) -> Any:
@@ -29,7 +31,7 @@
 class Dialler:
     """Makes links of one party."""
 
-    def __init__(self, reactor, tell, make, down: str, within_ms: float) -> None:
+    def __init__(self, reactor, tell, make, down: Input, within_ms: float) -> None:
         self.reactor, self.tell, self.make, self.down = reactor, tell, make, down
         self.within_s = within_ms / 1000.0
 
--- a/granitedock/service/counter_protocol.py
+++ b/granitedock/service/counter_protocol.py
@@ -10,6 +10,7 @@
 from typing import Any
 
 from granitedock.policy.types import Outcome
+from granitedock.service.inputs import Input
 from granitedock.service.limits import Limits
 from granitedock.service.resp import Fault, RespReceiver, command
 
@@ -37,33 +38,33 @@
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self.tell("counter up", self.record, self)
+        self.tell(Input.COUNTER_CONNECTED, self.record, self)
 
     def connectionLost(self, reason=None) -> None:
-        self.tell("counter down", self.record)
+        self.tell(Input.COUNTER_DISCONNECTED, self.record)
 
     def dataReceived(self, data: bytes) -> None:
         super().dataReceived(data)
         if not self.deaf and self.half():
-            self.tell("counter begun", self.record)
+            self.tell(Input.COUNTER_REPLY_STARTED, self.record)
 
     def received(self, value: Any, parts: list[bytes]) -> None:
         word = value.text.split(b" ", 1)[0] if type(value) is Fault else b""
         if type(value) is bytes and TOTAL(value):
-            self.tell("counter answered", self.record, Outcome.DONE, float(value))
+            self.tell(Input.COUNTER_REPLY, self.record, Outcome.DONE, float(value))
         elif value == "PONG":
-            self.tell("counter answered", self.record, Outcome.DONE, None)
+            self.tell(Input.COUNTER_REPLY, self.record, Outcome.DONE, None)
         elif word == b"BUSY":
-            self.tell("counter answered", self.record, Outcome.OVERLOADED, 0.0)
+            self.tell(Input.COUNTER_REPLY, self.record, Outcome.OVERLOADED, 0.0)
         elif word == b"ERR":
             self.tell(
-                "counter answered", self.record, Outcome.CONNECTION_FAILED, 0.0
+                Input.COUNTER_REPLY, self.record, Outcome.CONNECTION_FAILED, 0.0
             )  # no such call: nothing added
         else:
             self.spoil("no answer to a call")
 
     def malformed(self, why: str) -> None:
-        self.tell("counter spoilt", self.record, why)
+        self.tell(Input.COUNTER_MALFORMED, self.record, why)
 
     # What the reducer asks for.
 
--- a/granitedock/service/discovery_protocol.py
+++ b/granitedock/service/discovery_protocol.py
@@ -14,6 +14,7 @@
 from twisted.internet.protocol import Protocol
 
 from granitedock.policy.types import EndpointStatus
+from granitedock.service.inputs import Input
 from granitedock.service.limits import Limits
 from granitedock.service.resp import unread
 
@@ -92,10 +93,10 @@
             headers=[("Host", self.address), ("Accept", "application/json")],
         )
         self.transport.write(self.http.send(ask) + self.http.send(h11.EndOfMessage()))
-        self.tell("watch up", self.record, self)
+        self.tell(Input.WATCH_CONNECTED, self.record, self)
 
     def connectionLost(self, reason=None) -> None:
-        self.tell("watch down", self.record)
+        self.tell(Input.WATCH_DISCONNECTED, self.record)
 
     def dataReceived(self, data: bytes) -> None:
         """Guards against a list that makes no sense, an answer that is none, and one that never ends: the
@@ -115,11 +116,11 @@
                     return
         except (h11.RemoteProtocolError, ValueError, KeyError, TypeError, AttributeError) as fault:
             self.spoilt = True
-            self.tell("watch spoilt", self.record, f"{type(fault).__name__}: {fault}")
+            self.tell(Input.WATCH_MALFORMED, self.record, f"{type(fault).__name__}: {fault}")
             self.abort()
             return
         if self.line or self.document:
-            self.tell("watch begun", self.record)
+            self.tell(Input.WATCH_LIST_STARTED, self.record)
 
     def lines(self, data: bytes) -> None:
         *whole, self.line = (self.line + data).split(b"\n")
@@ -132,7 +133,7 @@
                 if self.depth <= 0 and not self.ended():
                     raise ValueError("list not whole")
             else:
-                self.tell("listed", self.record, None)
+                self.tell(Input.ENDPOINTS_RECEIVED, self.record, None)
         if len(self.line) + len(self.document) > self.most:
             raise ValueError("list too long")
 
@@ -146,7 +147,7 @@
                 return False
             raise
         self.document, self.depth = b"", 0
-        self.tell("listed", self.record, listing(told))
+        self.tell(Input.ENDPOINTS_RECEIVED, self.record, listing(told))
         return True
 
     def lies_unread(self) -> bool:
--- a/granitedock/service/discovery_watch.py
+++ b/granitedock/service/discovery_watch.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
+from granitedock.service.inputs import Input
 from granitedock.service.limits import Limits
 from granitedock.state_table import advance
 
@@ -85,7 +86,7 @@
     def spoilt(self, watch: Watch, why: str) -> None:
         """What came is no list, or not 200: the list as last had stands."""
         self.owner.counts["watch_spoilt"] += 1
-        self.owner.diary.event("watch spoilt", why=why[:200])
+        self.owner.event_log.event("watch spoilt", why=why[:200])
 
     def due(self) -> None:
         self.signal(self.now_used, "due")
@@ -103,7 +104,7 @@
 
     def dial(self, watch: Watch) -> None:
         self.owner.counts["watches"] += 1
-        self.owner.do(self.owner.doors.dial_watch, watch)
+        self.owner.do(self.owner.doors.connect_watch, watch)
 
     def later(self, watch: Watch) -> None:
         """Guards against loading a discovery that is overbooked: on herd+vast it turns every watch away (503)
@@ -115,7 +116,7 @@
         if owner.state == "starting" and self.now_used.misses == limits.watch_refusals:
             owner.inbox.append((owner.mode, "waited"))  # discovery said no: waiting for it would be lost
         wait = min(limits.watch_most_ms, limits.redial_ms * 2**watch.misses)
-        owner.wake_at(owner.now + wait * (0.5 + 0.5 * owner.chance.random()), "watch due")
+        owner.schedule(owner.now + wait * (0.5 + 0.5 * owner.chance.random()), Input.WATCH_RECONNECT)
 
     def turn_away(self, watch: Watch) -> None:
         """Up, and not a line. That is no refusal: the next try is soon, however long the waits had become
@@ -125,7 +126,7 @@
         self.later(watch)
 
     def abort_anew(self, watch: Watch) -> None:
-        self.owner.diary.event(
+        self.owner.event_log.event(
             "watch anew", heard_ms_ago=self.owner.now - watch.heard_at, version=watch.version
         )
         self.abort(watch)
--- a/granitedock/service/event_loop.py
+++ b/granitedock/service/event_loop.py
@@ -31,6 +31,7 @@
 from granitedock.service.counter_protocol import CounterLink
 from granitedock.service.discovery_protocol import Listing, WatchLink, listing
 from granitedock.service.host_protocol import HostLink
+from granitedock.service.inputs import Input
 from granitedock.service.limits import Limits
 from granitedock.service.reducer import Reducer
 
@@ -100,13 +101,13 @@
         self.heap: list[tuple] = []
         self.tell: Any = None
 
-    def add(self, wake: Any) -> None:
+    def add(self, timer: Any) -> None:
         self.made += 1
-        heapq.heappush(self.heap, (wake.due, self.made, wake))
+        heapq.heappush(self.heap, (timer.due, self.made, timer))
 
     def left_s(self) -> float | None:
         heap = self.heap
-        while heap and heap[0][2].name is None:
+        while heap and heap[0][2].input is None:
             heapq.heappop(heap)
         return max(0.0, (heap[0][0] - self.clock()) / 1000.0) if heap else None
 
@@ -114,9 +115,9 @@
         heap = self.heap
         now = self.clock() if heap else 0.0
         while heap and heap[0][0] <= now:
-            wake = heapq.heappop(heap)[2]
-            if wake.name is not None:
-                self.tell(wake.name, *wake.what)
+            timer = heapq.heappop(heap)[2]
+            if timer.input is not None:
+                self.tell(timer.input, *timer.arguments)
 
 
 class ClientPort(Port):
@@ -146,7 +147,7 @@
     """What the reducer asks for beyond a connection that is up: dials, wakes, and the end."""
 
     def __init__(self, reactor, tell, wakes: Wakes, counter: str, discovery: str, limits: Limits) -> None:
-        self.reactor, self.wake = reactor, wakes.add
+        self.reactor, self.start_timer = reactor, wakes.add
         self.counter_at, self.discovery_at = counter, discovery
         self.port: Any = None
         self.leaving: list[Any] = []  # called before the process ends
@@ -154,10 +155,12 @@
         def party(make, down, within_ms=limits.connect_ms):
             return Dialler(reactor, tell, make, down, within_ms)
 
-        self.hosts = party(lambda: HostLink(tell, limits), "host down")
-        self.counter = party(lambda: CounterLink(tell, limits), "counter down")
+        self.hosts = party(lambda: HostLink(tell, limits), Input.HOST_DISCONNECTED)
+        self.counter = party(lambda: CounterLink(tell, limits), Input.COUNTER_DISCONNECTED)
         self.watch = party(
-            lambda: WatchLink(tell, self.discovery_at, limits), "watch down", limits.watch_connect_ms
+            lambda: WatchLink(tell, self.discovery_at, limits),
+            Input.WATCH_DISCONNECTED,
+            limits.watch_connect_ms,
         )
 
     def move(self, counter: str, discovery: str) -> tuple[bool, bool]:
@@ -166,23 +169,23 @@
         self.counter_at, self.discovery_at = counter, discovery
         return counter != before[0], discovery != before[1]
 
-    def dial_host(self, lane: Any, address: str) -> None:
-        self.hosts.dial(lane, address)
+    def connect_host(self, connection: Any, address: str) -> None:
+        self.hosts.dial(connection, address)
 
-    def dial_counter(self, wire: Any) -> None:
-        self.counter.dial(wire, self.counter_at)
+    def connect_counter(self, connection: Any) -> None:
+        self.counter.dial(connection, self.counter_at)
 
-    def dial_watch(self, watch: Any) -> None:
+    def connect_watch(self, watch: Any) -> None:
         self.watch.dial(watch, self.discovery_at)
 
-    def take_in(self, on: bool) -> None:
+    def accept_connections(self, on: bool) -> None:
         if self.port.connected:
             (self.port.startReading if on else self.port.stopReading)()
 
-    def shut(self) -> None:
+    def stop_listening(self) -> None:
         self.port.close()
 
-    def leave(self) -> None:
+    def stop_process(self) -> None:
         """Every client has gone by now, or the time that we are given is over."""
         for part in self.leaving:
             part()
@@ -292,19 +295,19 @@
         except Exception:
             # Guards all other tasks against a fault met with one.
             self.log.counts["faults"] += 1
-            self.log.event("fault", input=happened[0], trace=traceback.format_exc())
+            self.log.event("fault", input=happened[0].value, trace=traceback.format_exc())
             effects, self.reducer.effects = self.reducer.effects, []
         for act, *what in effects:
             try:
                 act(*what)
             except Exception:
                 self.log.counts["faults"] += 1
-                self.log.event("fault", input=happened[0], trace=traceback.format_exc())
+                self.log.event("fault", input=happened[0].value, trace=traceback.format_exc())
 
     def start(self) -> None:
         host, _, port = self.listen.rpartition(":")
         door = ClientDoor(self.tell, self.limits)
-        self.tell("start")
+        self.tell(Input.START)
         self.doors.port = ClientPort(
             int(port), door, self.limits.backlog, host.strip("[]"), self.reactor, self.limits.accepts
         )
@@ -324,7 +327,7 @@
             self.log.event("fault", input="network", trace=event["log_failure"].getTraceback())
 
     def stop_soon(self) -> None:
-        self.tell("mode", "ending")
+        self.tell(Input.LIFECYCLE, "ending")
 
     def operators(self) -> Any:
         """The operators' file as it stands now. Only where there is one is its reader imported."""
@@ -355,7 +358,7 @@
             self.log.event("file refused", why=str(fault))
             return
         self.log.event("file read", counter=there[0], discovery=there[1])
-        self.tell("moved", *self.doors.move(*there))
+        self.tell(Input.ADDRESSES_CHANGED, *self.doors.move(*there))
 
     def signals(self, heard: list[int]) -> None:
         """From now on a signal acts at once; `heard` are those that came while we started, in their order."""
--- a/granitedock/service/host_protocol.py
+++ b/granitedock/service/host_protocol.py
@@ -12,6 +12,7 @@
 from typing import Any
 
 from granitedock.policy.types import Outcome
+from granitedock.service.inputs import Input
 from granitedock.service.limits import Limits
 from granitedock.service.resp import Fault, RespReceiver, unread, whole
 
@@ -47,10 +48,10 @@
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self.tell("host up", self.record, self)
+        self.tell(Input.HOST_CONNECTED, self.record, self)
 
     def connectionLost(self, reason=None) -> None:
-        self.tell("host down", self.record)
+        self.tell(Input.HOST_DISCONNECTED, self.record)
 
     def dataReceived(self, data: bytes) -> None:
         """Guards against answers that bring more than is theirs: one is told once all that came with it has
@@ -61,12 +62,12 @@
         if self.answer is not None:
             answer, self.answer, self.begun = self.answer, None, False
             clean = not (self.why or self.half() or unread(self.transport))
-            self.tell("host answered", self.record, clean, *answer)
+            self.tell(Input.HOST_RESPONSE, self.record, clean, *answer)
         elif self.why:
-            self.tell("host malformed", self.record, self.why)
+            self.tell(Input.HOST_MALFORMED, self.record, self.why)
         elif not self.begun and self.half():
             self.begun = True
-            self.tell("host begun", self.record)
+            self.tell(Input.HOST_RESPONSE_STARTED, self.record)
 
     def received(self, value: Any, parts: list[bytes]) -> None:
         if self.answer is not None:
@@ -89,7 +90,7 @@
         """A further forward leaves a turn of the loop later, behind the end of the connection before it.
         Guards against what has come since the last answer here: it would be taken for the next one."""
         if self.half() or unread(self.transport):
-            self.tell("host stale", self.record)
+            self.tell(Input.HOST_STALE, self.record)
             return
         self.data = data
         self.transport.registerProducer(self, False)
@@ -111,7 +112,7 @@
             self.transport.write(data)
         else:
             self.transport.unregisterProducer()
-            self.tell("written", self.record)
+            self.tell(Input.HOST_REQUEST_WRITTEN, self.record)
 
     def pauseProducing(self) -> None:
         """Nothing more is ever to come behind one forward."""
--- a/granitedock/service/lifecycle.py
+++ b/granitedock/service/lifecycle.py
@@ -8,6 +8,7 @@
 
 from typing import Any
 
+from granitedock.service.inputs import Input
 from granitedock.state_table import advance
 
 STATES = {
@@ -47,19 +48,21 @@
         owner, before = self.owner, self.state
         advance(STATES, self, signal, self)
         if self.state != before:
-            owner.diary.event("mode", was=before, now=self.state, requests=len(owner.errands))
+            owner.event_log.event("mode", was=before, now=self.state, requests=len(owner.requests))
 
     def begin(self) -> None:
         """Bound on the start: nine in ten restarted processes have to be ready within 10 s of their start."""
         owner = self.owner
-        owner.wake_at(owner.now + owner.limits.ready_ms, "mode", "waited")
-        owner.wake_at(max(owner.now, owner.began_at + owner.limits.ready_most_ms), "mode", "overlong")
+        owner.schedule(owner.now + owner.limits.ready_ms, Input.LIFECYCLE, "waited")
+        owner.schedule(
+            max(owner.now, owner.began_at + owner.limits.ready_most_ms), Input.LIFECYCLE, "overlong"
+        )
 
     def go_by_known(self, _self: Any) -> str | None:
         """Guards against discovery that is down at the start: an old list serves. Without one there is longer
         to wait, since every request would be refused; but not for ever, as the front holds back until
         PONG."""
-        return "listed" if self.owner.places else None
+        return "listed" if self.owner.endpoints else None
 
     def hear_list(self, _self: Any) -> None:
         self.opened = True
@@ -80,31 +83,31 @@
             (owner.limits.leave_ms, "overdue"),
             (owner.limits.leave_most_ms, "bound"),
         ):
-            owner.wake_at(owner.now + after_ms, "mode", signal)
+            owner.schedule(owner.now + after_ms, Input.LIFECYCLE, signal)
 
     def shut_door(self, _self: Any) -> None:
         """No new connection, once those that wait for us to accept them are in; who waits for no answer is
         parted with, unless bytes of theirs lie unread."""
         owner = self.owner
         self.shut_at = owner.now
-        owner.do(owner.doors.shut)
-        for caller in list(owner.callers):
-            owner.offer_end(caller)
-        owner.wake_at(owner.now + owner.limits.fresh_ms, "mode", "look")
+        owner.do(owner.doors.stop_listening)
+        for client in list(owner.clients):
+            owner.offer_end(client)
+        owner.schedule(owner.now + owner.limits.fresh_ms, Input.LIFECYCLE, "look")
 
     def look_round(self, _self: Any) -> str | None:
-        return None if self.owner.callers else "idle"
+        return None if self.owner.clients else "idle"
 
     def answer_rest(self, _self: Any) -> str | None:
         """Guards against a stop that finds requests in hand: an error promises nothing, and comes in time.
         The process ends once every client has read what it was told and gone, or at the bound, before
         SIGKILL."""
         owner = self.owner
-        for errand in list(owner.errands):
-            owner.fail(errand)
-        for caller in list(owner.callers):
-            owner.offer_end(caller)
+        for request in list(owner.requests):
+            owner.fail(request)
+        for client in list(owner.clients):
+            owner.offer_end(client)
         return self.look_round(self)
 
     def leave(self, _self: Any) -> None:
-        self.owner.do(self.owner.doors.leave)
+        self.owner.do(self.owner.doors.stop_process)
--- a/granitedock/service/reducer.py
+++ b/granitedock/service/reducer.py
@@ -1,4 +1,4 @@
-"""The one place where the gateway's state changes.
+"""The one endpoint where the gateway's state changes.
 
 Owns the connections' states, the tasks in hand, the list of hosts as told and the gateway's mode; it is the
 door of the decisions. It takes one input at a time and gives the effects to be carried out. It must never
@@ -29,6 +29,7 @@
 from granitedock.service.counter_protocol import PING, tally
 from granitedock.service.discovery_protocol import Listing
 from granitedock.service.discovery_watch import DiscoveryWatch, Watch
+from granitedock.service.inputs import Input
 from granitedock.service.lifecycle import Lifecycle
 from granitedock.service.limits import Limits
 from granitedock.service.resp import bulk
@@ -88,27 +89,27 @@
 
 
 @dataclass(eq=False, slots=True)
-class Wake:
+class Timer:
     """Something to be told at a time; without a name it is called off."""
 
     due: float
-    name: str | None
-    what: tuple
+    input: Input | None
+    arguments: tuple
 
-    def off(self) -> None:
+    def cancel(self) -> None:
         """Guards the memory: what it would have told, with all its bytes, is not kept until it is due."""
-        self.name, self.what = None, ()
+        self.input, self.arguments = None, ()
 
 
 @dataclass(eq=False, slots=True)
-class Reply:
-    """A command's place among the answers of its connection."""
+class CommandReply:
+    """A command's endpoint among the answers of its connection."""
 
     answer: bytes | None = None
 
 
 @dataclass(eq=False, slots=True)
-class Caller:
+class ClientConnection:
     """A client's connection."""
 
     link: Any
@@ -127,40 +128,40 @@
 
 
 @dataclass(eq=False, slots=True)
-class Errand(Request):
+class InFlightRequest(Request):
     """A task with the client's connection it came on and the bytes it came in."""
 
-    caller: Caller | None = None
+    client: ClientConnection | None = None
     ask: Ask | None = None
     size: int = 0
     answer: bytes | None = None
-    alarm: Wake | None = None
+    alarm: Timer | None = None
 
 
 @dataclass(eq=False, slots=True)
-class Place(Host):
+class Endpoint(Host):
     """A host with its address and the connections that wait there."""
 
     address: str = ""
-    idle: list[Lane] = field(default_factory=list)
+    idle: list[HostConnection] = field(default_factory=list)
 
 
 @dataclass(eq=False, slots=True)
-class Lane:
+class HostConnection:
     """A connection to a host."""
 
-    place: Place
+    endpoint: Endpoint
     state: str
     attempt: Attempt | None
     attempt_deadline: float
     link: Any = None
     idle_since: float = 0.0
-    alarm: Wake | None = None
+    alarm: Timer | None = None
     kept: bool = False  # it has carried a forward before
 
 
 @dataclass(eq=False, slots=True)
-class Wire:
+class CounterConnection:
     """A connection to the counter, and the calls on it that wait for answers; None stands for a PING."""
 
     number: int
@@ -183,13 +184,13 @@
         seed: int,
         known: Listing | None,
         doors: Any,
-        diary: Any,
+        event_log: Any,
     ) -> None:
-        self.limits, self.doors, self.diary, self.now = limits, doors, diary, now
+        self.limits, self.doors, self.event_log, self.now = limits, doors, event_log, now
         # The earliest moment at which what is read in this turn may have come: the end of the loop's poll
         # before the one that began this turn, or, while starting, when the process began (see `asked`).
         self.began_at = self.since = now
-        self.counts: Counter[str] = diary.counts
+        self.counts: Counter[str] = event_log.counts
         self.effects: list[tuple] = []
         self.inbox: deque[tuple] = deque()
         self.lifecycle = Lifecycle(self)
@@ -198,18 +199,20 @@
         }
         self.plans = {plan.name: plan for plan in platform_settings.plans(born)}
         self.customers: WeakValueDictionary[int, Customer] = WeakValueDictionary()
-        self.callers: dict[Caller, None] = {}
-        self.errands: dict[Errand, None] = {}
-        self.ids: dict[bytes, Errand] = {}  # of the tasks that wait for their answers
-        self.pings: list[tuple[Caller, Reply]] = []
-        self.unheard: list[Errand] = []  # taken while starting, for the decisions once a list has come
+        self.clients: dict[ClientConnection, None] = {}
+        self.requests: dict[InFlightRequest, None] = {}
+        self.ids: dict[bytes, InFlightRequest] = {}  # of the tasks that wait for their answers
+        self.pings: list[tuple[ClientConnection, CommandReply]] = []
+        self.unheard: list[
+            InFlightRequest
+        ] = []  # taken while starting, for the decisions once a list has come
         self.held, self.full = 0, False
-        self.places: dict[str, Place] = {}
-        self.lanes: dict[Attempt, Lane] = {}
-        self.wakes: dict[object, Wake] = {}
+        self.endpoints: dict[str, Endpoint] = {}
+        self.host_connections: dict[Attempt, HostConnection] = {}
+        self.policy_timers: dict[object, Timer] = {}
         self.host_links, self.cut_at = 0, float("-inf")  # open and dialled; when a kept one was cut in use
-        self.wires: list[Wire | None] = [None] * limits.counter_links
-        self.old_wires: dict[Wire, None] = {}
+        self.counter_connections: list[CounterConnection | None] = [None] * limits.counter_links
+        self.retired_counter_connections: dict[CounterConnection, None] = {}
         self.redials: set[int] = set()  # numbers of connections to the counter that will be dialled again
         self.discovery = DiscoveryWatch(self)
         self.chance = Random(seed)
@@ -220,13 +223,13 @@
         self.shown: dict[bytes, Any] = {}  # further commands that only show something, and who words it
         self.gateway = platform_settings.gateway(self, now, seed, born, list(self.request_classes.values()))
 
-    def reduce(self, now: float, name: str, *what: Any, since: float | None = None) -> list[tuple]:
+    def reduce(self, now: float, happened: Input, *what: Any, since: float | None = None) -> list[tuple]:
         """One input, with all that follows from it here. `since`, in Unix ms, is the earliest moment at which
         what this input brings may have come; None is now."""
         self.now = now
         self.since = now if since is None else min(since, now)
         self.gateway.advance_clock(now)
-        INPUTS[name](self, *what)
+        INPUTS[happened](self, *what)
         while self.inbox:
             later, *what = self.inbox.popleft()
             later(*what)
@@ -236,10 +239,10 @@
     def do(self, *effect: Any) -> None:
         self.effects.append(effect)
 
-    def wake_at(self, due: float, name: str, *what: Any) -> Wake:
-        wake = Wake(due, name, what)
-        self.do(self.doors.wake, wake)
-        return wake
+    def schedule(self, due: float, happened: Input, *what: Any) -> Timer:
+        timer = Timer(due, happened, what)
+        self.do(self.doors.start_timer, timer)
+        return timer
 
     # Mode.
 
@@ -251,9 +254,9 @@
         self.discovery.due()
         if self.gateway.has_counter:
             for number in range(self.limits.counter_links):
-                self.wire(number)
+                self.counter_connection(number)
         self.lifecycle.begin()
-        self.wake_at(self.now + self.limits.sweep_ms, "sweep")
+        self.schedule(self.now + self.limits.sweep_ms, Input.MAINTENANCE)
 
     @property
     def state(self) -> str:
@@ -266,9 +269,9 @@
         """Guards against a PING whose connection ended while we started (the front gives up when discovery
         is slow to speak at a release): its queue is gone, and filling it would fault before the tasks taken
         meanwhile are handed over, leaving every one of them to its backstop (herd+vast)."""
-        for caller, reply in self.pings:
-            if caller.state != "gone":
-                self.fill(caller, reply, answer)
+        for client, reply in self.pings:
+            if client.state != "gone":
+                self.fill(client, reply, answer)
         self.pings = []
 
     def hand_over(self) -> None:
@@ -278,24 +281,24 @@
         for the first list, or for `ready_ms` without one; those answered meanwhile stay answered. Hurts
         them by the time the watch takes to speak, some tens of milliseconds."""
         unheard, self.unheard = self.unheard, []
-        for errand in unheard:
-            if errand in self.errands:
-                (self.refuse if self.lifecycle.refusing else self.gateway.handle_request)(errand)
+        for request in unheard:
+            if request in self.requests:
+                (self.refuse if self.lifecycle.refusing else self.gateway.handle_request)(request)
 
     # Clients.
 
     def client_up(self, link: Any) -> None:
-        caller = link.record = Caller(link, rested_at=self.now)
-        self.callers[caller] = None
+        client = link.record = ClientConnection(link, rested_at=self.now)
+        self.clients[client] = None
         self.counts["client_links"] += 1
-        if len(self.callers) >= self.limits.client_links:
+        if len(self.clients) >= self.limits.client_links:
             self.make_room(1)
-        if len(self.callers) > self.limits.client_over:
+        if len(self.clients) > self.limits.client_over:
             self.counts["client_links_over"] += 1
             self.do(link.abort)
-        elif len(self.callers) >= self.limits.client_most and not self.full:
+        elif len(self.clients) >= self.limits.client_most and not self.full:
             self.take_in(False)
-            self.wake_at(self.now + self.limits.fresh_ms, "crowded")
+            self.schedule(self.now + self.limits.fresh_ms, Input.CLIENT_LIMIT_CHECK)
 
     def make_room(self, most: int) -> None:
         """Guards against running out of descriptors: the clients' connections end that have asked nothing
@@ -304,141 +307,143 @@
         that opens connections before it needs them, or sends a command in pieces."""
         came, rested = self.now - self.limits.fresh_ms, self.now - self.limits.rest_ms
         idle = [
-            caller
-            for caller in self.callers
-            if caller.state == "up"
-            and not caller.queue
-            and not caller.choked
-            and caller.rested_at <= (rested if caller.spoke else came)
+            client
+            for client in self.clients
+            if client.state == "up"
+            and not client.queue
+            and not client.choked
+            and client.rested_at <= (rested if client.spoke else came)
         ]
-        for caller in sorted(idle, key=lambda caller: (caller.spoke, caller.rested_at))[:most]:
-            self.do(caller.link.look, "client rested" if caller.spoke else "client silent")
+        for client in sorted(idle, key=lambda client: (client.spoke, client.rested_at))[:most]:
+            self.do(client.link.look, Input.CLIENT_IDLE if client.spoke else Input.CLIENT_SILENT)
 
-    def client_silent(self, caller: Caller) -> None:
-        if caller.state == "up" and not caller.spoke:
+    def client_silent(self, client: ClientConnection) -> None:
+        if client.state == "up" and not client.spoke:
             self.counts["client_links_silent"] += 1
-            caller.state, caller.closing_since = "closing", self.now
-            self.do(caller.link.abort)
+            client.state, client.closing_since = "closing", self.now
+            self.do(client.link.abort)
 
     def crowd(self) -> None:
         """While no more are taken in: room is made as fast as those that say nothing come."""
         if self.full:
-            self.make_room(len(self.callers))
-            self.wake_at(self.now + self.limits.fresh_ms, "crowded")
+            self.make_room(len(self.clients))
+            self.schedule(self.now + self.limits.fresh_ms, Input.CLIENT_LIMIT_CHECK)
 
     def take_in(self, on: bool) -> None:
         self.full = not on
-        self.do(self.doors.take_in, on)
-        self.diary.event("taking in" if on else "full", clients=len(self.callers), requests=len(self.errands))
+        self.do(self.doors.accept_connections, on)
+        self.event_log.event(
+            "taking in" if on else "full", clients=len(self.clients), requests=len(self.requests)
+        )
 
-    def client_down(self, caller: Caller) -> None:
-        caller.state = "gone"
-        self.callers.pop(caller, None)
-        if self.full and len(self.callers) < self.limits.client_most:
+    def client_down(self, client: ClientConnection) -> None:
+        client.state = "gone"
+        self.clients.pop(client, None)
+        if self.full and len(self.clients) < self.limits.client_most:
             self.take_in(True)
-        for waiting in caller.queue:
-            if isinstance(waiting, Errand) and waiting.answer is None:
+        for waiting in client.queue:
+            if isinstance(waiting, InFlightRequest) and waiting.answer is None:
                 waiting.answer = b""
                 self.counts["client_gone"] += 1
                 self.gateway.client_disconnected(waiting)
                 self.forget(waiting)
             elif waiting.answer is not None:
                 self.held -= len(waiting.answer)
-        caller.queue.clear()
-        if self.lifecycle.shutting and not self.callers:
+        client.queue.clear()
+        if self.lifecycle.shutting and not self.clients:
             self.inbox.append((self.mode, "idle"))
 
-    def hang_up(self, caller: Caller) -> None:
+    def hang_up(self, client: ClientConnection) -> None:
         """Our side ends once all that was answered is written; how long that may take is the reader's bound,
         and from then on (`client_closed`) the client has to end its own."""
-        caller.state, caller.closing_since, caller.closed_at = "closing", self.now, None
-        self.do(caller.link.close)
+        client.state, client.closing_since, client.closed_at = "closing", self.now, None
+        self.do(client.link.close)
 
-    def client_closed(self, caller: Caller) -> None:
+    def client_closed(self, client: ClientConnection) -> None:
         """All is written, and our end with it."""
-        caller.closed_at = self.now
+        client.closed_at = self.now
 
-    def client_rested(self, caller: Caller) -> None:
-        if caller.state == "up" and not caller.queue:
+    def client_rested(self, client: ClientConnection) -> None:
+        if client.state == "up" and not client.queue:
             self.counts["client_links_rested"] += 1
-            caller.state, caller.closing_since, caller.closed_at = "closing", self.now, self.now
-            self.do(caller.link.end)
+            client.state, client.closing_since, client.closed_at = "closing", self.now, self.now
+            self.do(client.link.end)
 
-    def offer_end(self, caller: Caller) -> None:
+    def offer_end(self, client: ClientConnection) -> None:
         """While the process shuts: a connection that waits for nothing ends, unless bytes of the client's lie
         unread, which are read first. Guards requests that cross our end: one that we have read is
         answered."""
-        if caller.state == "up" and not caller.queue:
-            self.do(caller.link.look, "client idle")
+        if client.state == "up" and not client.queue:
+            self.do(client.link.look, Input.CLIENT_SHUTDOWN)
 
-    def client_idle(self, caller: Caller) -> None:
-        if caller.state == "up" and not caller.queue and self.lifecycle.shutting:
+    def client_idle(self, client: ClientConnection) -> None:
+        if client.state == "up" and not client.queue and self.lifecycle.shutting:
             # Half a command, or a connection that has only just come: the rest may be on its way.
             # What half a command had of its time before the door shut does not count.
-            if caller.link.half():
-                since = max(self.lifecycle.shut_at, caller.rested_at)
+            if client.link.half():
+                since = max(self.lifecycle.shut_at, client.rested_at)
             else:
-                since = float("-inf") if caller.spoke else caller.rested_at
+                since = float("-inf") if client.spoke else client.rested_at
             if self.now - since > self.limits.fresh_ms:
-                self.hang_up(caller)
+                self.hang_up(client)
 
-    def command(self, caller: Caller, name: bytes) -> None:
-        if caller.state != "up" or self.crowded(caller):
+    def command(self, client: ClientConnection, name: bytes) -> None:
+        if client.state != "up" or self.crowded(client):
             return
-        reply = Reply()
-        caller.queue.append(reply)
+        reply = CommandReply()
+        client.queue.append(reply)
         if name == b"PING":
             if self.state == "starting":
-                self.pings.append((caller, reply))
+                self.pings.append((client, reply))
             else:
-                self.fill(caller, reply, CLOSING if self.lifecycle.shutting else PONG)
+                self.fill(client, reply, CLOSING if self.lifecycle.shutting else PONG)
         elif name == b"INFO":
-            self.fill(caller, reply, bulk(b"".join(b"%b:%d\r\n" % pair for pair in self.figures())))
+            self.fill(client, reply, bulk(b"".join(b"%b:%d\r\n" % pair for pair in self.figures())))
         elif name in (b"CLIENT", b"SELECT"):
-            self.fill(caller, reply, b"+OK\r\n")
+            self.fill(client, reply, b"+OK\r\n")
         elif name in self.shown:
-            self.fill(caller, reply, bulk(self.shown[name]()))
+            self.fill(client, reply, bulk(self.shown[name]()))
         else:
-            self.fill(caller, reply, b"-ERR unknown command\r\n")
+            self.fill(client, reply, b"-ERR unknown command\r\n")
 
     def figures(self) -> list[tuple[bytes, int]]:
         """The counters, and how much is in hand now."""
-        now = {"tasks_now": len(self.errands), "client_links_now": len(self.callers)}
+        now = {"tasks_now": len(self.requests), "client_links_now": len(self.clients)}
         now |= {"host_links_now": self.host_links, "held_bytes_now": self.held}
         return [(name.encode(), number) for name, number in sorted({**self.counts, **now}.items())]
 
-    def malformed(self, caller: Caller, why: str) -> None:
+    def malformed(self, client: ClientConnection, why: str) -> None:
         self.counts["malformed"] += 1
-        self.diary.event("malformed", why=why)
-        if caller.state == "up":
-            caller.state, caller.spoilt_since = "spoilt", self.now  # what came before is still answered
-            reply = Reply()
-            caller.queue.append(reply)
-            self.fill(caller, reply, b"-ERR %b\r\n" % why.encode("ascii", "replace")[:200])
-
-    def crowded(self, caller: Caller) -> bool:
+        self.event_log.event("malformed", why=why)
+        if client.state == "up":
+            client.state, client.spoilt_since = "spoilt", self.now  # what came before is still answered
+            reply = CommandReply()
+            client.queue.append(reply)
+            self.fill(client, reply, b"-ERR %b\r\n" % why.encode("ascii", "replace")[:200])
+
+    def crowded(self, client: ClientConnection) -> bool:
         """Guards the memory against one connection with no end of commands behind a slow one."""
-        if len(caller.queue) < 16 * self.limits.queue:
+        if len(client.queue) < 16 * self.limits.queue:
             return False
-        self.malformed(caller, "too many commands wait")
+        self.malformed(client, "too many commands wait")
         return True
 
-    def asked(self, caller: Caller, ask: Ask) -> None:
-        if caller.state != "up" or self.crowded(caller):
+    def asked(self, client: ClientConnection, ask: Ask) -> None:
+        if client.state != "up" or self.crowded(client):
             return
-        caller.spoke = True
+        client.spoke = True
         request_class, plan = self.request_classes.get(ask.request_class), self.plans.get(ask.plan)
         if request_class is None or plan is None:
-            self.malformed(caller, "unknown product or plan")
+            self.malformed(client, "unknown product or plan")
             return
         kind = request_class.kind
         if ask.harmless != (kind is Idempotency.IDEMPOTENT) or (
             kind is Idempotency.KEYED and not ask.stamped
         ):
-            self.malformed(caller, "not a command of this product")
+            self.malformed(client, "not a command of this product")
             return
         if ask.id in self.ids:
-            self.malformed(caller, "id in use")  # guards against answers for one that reach another
+            self.malformed(client, "id in use")  # guards against answers for one that reach another
             return
         self.counts["taken"] += 1
         customer = self.customers.get(ask.customer)
@@ -452,57 +457,59 @@
         # the client's own end whatever kept it waiting; hurts by as much time, from tasks read at start.
         came_at = self.began_at if self.state == "starting" else self.since
         deadline = max(self.now, came_at + max(left_ms / 2, left_ms - self.limits.margin_ms))
-        errand = Errand(request_class, plan, customer, self.now, deadline, ask.units, ask.subset_size)
-        errand.caller, errand.ask, errand.size, errand.subset_start = (
-            caller,
+        request = InFlightRequest(
+            request_class, plan, customer, self.now, deadline, ask.units, ask.subset_size
+        )
+        request.client, request.ask, request.size, request.subset_start = (
+            client,
             ask,
             ask.size(),
             ask.subset_start,
         )
-        caller.queue.append(errand)
-        self.errands[errand] = None
-        self.ids[ask.id] = errand
-        self.held += errand.size
+        client.queue.append(request)
+        self.requests[request] = None
+        self.ids[ask.id] = request
+        self.held += request.size
         if (
             self.lifecycle.refusing
-            or len(self.errands) > self.limits.requests
+            or len(self.requests) > self.limits.requests
             or self.held > self.limits.held
-            or len(caller.queue) > self.limits.queue
+            or len(client.queue) > self.limits.queue
         ):
             # Guards the memory, and what is asked of a process that shuts, behind an answer that is still
             # due: it may be gone before this one is answered.
-            self.refuse(errand)
+            self.refuse(request)
             return
         # Guards against whatever leaves a task with nothing that will bring it back, as a fault in a decision
         # does: an error promises nothing, and comes in time.
-        errand.alarm = self.wake_at(deadline + self.limits.margin_ms / 2, "forgotten", errand)
+        request.alarm = self.schedule(deadline + self.limits.margin_ms / 2, Input.REQUEST_WATCHDOG, request)
         if self.state == "starting":
-            self.unheard.append(errand)
+            self.unheard.append(request)
         else:
-            self.gateway.handle_request(errand)
+            self.gateway.handle_request(request)
 
-    def refuse(self, errand: Errand) -> None:
+    def refuse(self, request: InFlightRequest) -> None:
         """The decisions give it up, as one never forwarded."""
-        self.gateway.account(errand).turn(self.now)
-        errand.state = "over"
-        self.gateway.give_up(errand)
+        self.gateway.account(request).turn(self.now)
+        request.state = "over"
+        self.gateway.give_up(request)
 
-    def forgotten(self, errand: Errand) -> None:
+    def forgotten(self, request: InFlightRequest) -> None:
         self.counts["forgotten"] += 1
-        self.diary.event("forgotten", state=errand.state, attempts=len(errand.attempts))
-        errand.state = "over"
-        self.fail(errand)
+        self.event_log.event("forgotten", state=request.state, attempts=len(request.attempts))
+        request.state = "over"
+        self.fail(request)
 
-    def choked(self, caller: Caller) -> None:
-        caller.choked = True
+    def choked(self, client: ClientConnection) -> None:
+        client.choked = True
 
-    def eased(self, caller: Caller) -> None:
-        caller.choked, caller.unread = False, 0
+    def eased(self, client: ClientConnection) -> None:
+        client.choked, client.unread = False, 0
 
-    def fill(self, caller: Caller, waiting: Any, answer: bytes) -> None:
+    def fill(self, client: ClientConnection, waiting: Any, answer: bytes) -> None:
         """An answer is there; it leaves once those before it have left."""
         waiting.answer = answer
-        queue = caller.queue
+        queue = client.queue
         self.held += len(answer)
         if queue[0] is not waiting:
             return
@@ -513,386 +520,414 @@
             first.answer = b""
         data = b"".join(ready)
         self.held -= len(data)
-        caller.rested_at = self.now
-        self.do(caller.link.send, data)
-        if caller.choked:
-            caller.unread += len(data)
-            if caller.unread > self.limits.unread:
+        client.rested_at = self.now
+        self.do(client.link.send, data)
+        if client.choked:
+            client.unread += len(data)
+            if client.unread > self.limits.unread:
                 self.counts["slow_readers"] += 1
-                self.do(caller.link.abort)  # guards the memory against clients that read nothing
+                self.do(client.link.abort)  # guards the memory against clients that read nothing
                 return
-        if not queue and caller.state == "spoilt":
-            self.hang_up(caller)
+        if not queue and client.state == "spoilt":
+            self.hang_up(client)
         elif not queue and self.lifecycle.shutting:
-            self.offer_end(caller)
-
-    def finish(self, errand: Errand, answer: bytes) -> None:
-        caller = errand.caller
-        self.forget(errand)
-        if caller.state in ("up", "spoilt"):
-            self.fill(caller, errand, answer)
-
-    def forget(self, errand: Errand) -> None:
-        if errand in self.errands:
-            del self.errands[errand], self.ids[errand.ask.id]
-        self.held -= errand.size
-        errand.size = 0
-        if errand.alarm is not None:
-            errand.alarm.off()
+            self.offer_end(client)
+
+    def finish(self, request: InFlightRequest, answer: bytes) -> None:
+        client = request.client
+        self.forget(request)
+        if client.state in ("up", "spoilt"):
+            self.fill(client, request, answer)
+
+    def forget(self, request: InFlightRequest) -> None:
+        if request in self.requests:
+            del self.requests[request], self.ids[request.ask.id]
+        self.held -= request.size
+        request.size = 0
+        if request.alarm is not None:
+            request.alarm.cancel()
 
     # The door of the decisions.
 
     def send_attempt(self, attempt: Attempt, attempt_deadline: float | None) -> None:
-        place, errand = attempt.host, attempt.request
-        attempt_deadline = min(attempt_deadline or errand.deadline, errand.deadline)
+        endpoint, request = attempt.host, attempt.request
+        attempt_deadline = min(attempt_deadline or request.deadline, request.deadline)
         self.counts["forwards"] += 1
         # Guards against kept connections that are cut at their next use: a task that may not be sent again
         # gets one of its own while that has been seen of late. Hurts by a handshake. Else the longest at rest
         # goes first: who closes on us does so soon after an answer.
         wary = (
-            errand.request_class.kind is Idempotency.NON_IDEMPOTENT
+            request.request_class.kind is Idempotency.NON_IDEMPOTENT
             and self.now - self.cut_at < self.limits.wary_ms
         )
-        for lane in () if wary else place.idle:
-            if self.limits.settle_ms <= self.now - lane.idle_since < self.limits.host_idle_ms:
-                place.idle.remove(lane)
-                lane.attempt, lane.attempt_deadline, lane.kept = attempt, attempt_deadline, True
-                self.lanes[attempt] = lane
-                lane.alarm = self.wake_at(attempt_deadline, "late", lane, attempt)
-                advance(HOST_LINK, lane, "needed", self)
+        for connection in () if wary else endpoint.idle:
+            if self.limits.settle_ms <= self.now - connection.idle_since < self.limits.host_idle_ms:
+                endpoint.idle.remove(connection)
+                connection.attempt, connection.attempt_deadline, connection.kept = (
+                    attempt,
+                    attempt_deadline,
+                    True,
+                )
+                self.host_connections[attempt] = connection
+                connection.alarm = self.schedule(
+                    attempt_deadline, Input.ATTEMPT_DEADLINE, connection, attempt
+                )
+                advance(HOST_LINK, connection, "needed", self)
                 return
-        self.dial(place, attempt, attempt_deadline)
+        self.dial(endpoint, attempt, attempt_deadline)
 
-    def dial(self, place: Place, attempt: Attempt, attempt_deadline: float) -> None:
-        lane = self.lanes[attempt] = Lane(place, "dialling", attempt, attempt_deadline)
-        lane.alarm = self.wake_at(attempt_deadline, "late", lane, attempt)
+    def dial(self, endpoint: Endpoint, attempt: Attempt, attempt_deadline: float) -> None:
+        connection = self.host_connections[attempt] = HostConnection(
+            endpoint, "dialling", attempt, attempt_deadline
+        )
+        connection.alarm = self.schedule(attempt_deadline, Input.ATTEMPT_DEADLINE, connection, attempt)
         if self.host_links >= self.limits.host_links and not self.spare_link():
-            self.inbox.append((self.host, lane, "no room"))
+            self.inbox.append((self.host, connection, "no room"))
         else:
             self.host_links += 1
             self.counts["host_dials"] += 1
-            self.do(self.doors.dial_host, lane, place.address)
+            self.do(self.doors.connect_host, connection, endpoint.address)
 
-    def reject(self, errand: Errand, retry_after_ms: float | None) -> None:
+    def reject(self, request: InFlightRequest, retry_after_ms: float | None) -> None:
         self.counts["deferred"] += 1
         back = b"-BUSY %d\r\n" % max(1, round(retry_after_ms)) if retry_after_ms else b"-BUSY\r\n"
-        self.finish(errand, back)
+        self.finish(request, back)
 
-    def fail(self, errand: Errand) -> None:
+    def fail(self, request: InFlightRequest) -> None:
         self.counts["errored"] += 1
-        self.finish(errand, ERRORED)
+        self.finish(request, ERRORED)
 
     def cancel(self, attempt: Attempt) -> None:
-        lane = self.lanes.get(attempt)
-        if lane is not None:
+        connection = self.host_connections.get(attempt)
+        if connection is not None:
             self.counts["withdrawn"] += 1
-            self.inbox.append((self.host, lane, "withdrawn"))
+            self.inbox.append((self.host, connection, "withdrawn"))
 
     def call_counter(self, call: CounterCall) -> None:
         self.counts["calls"] += 1
-        wire = self.wire(call.name % self.limits.counter_links)
-        if not wire.waiting:
-            wire.asked_at = self.now
-        wire.waiting.append(call)
-        if wire.state == "up":
-            self.do(wire.link.send, tally(call.name, call.amount, call.ttl_ms))
+        connection = self.counter_connection(call.name % self.limits.counter_links)
+        if not connection.waiting:
+            connection.asked_at = self.now
+        connection.waiting.append(call)
+        if connection.state == "up":
+            self.do(connection.link.send, tally(call.name, call.amount, call.ttl_ms))
 
     def start_timer(self, after_ms: float, why: object) -> None:
-        self.wakes[why] = self.wake_at(self.now + after_ms, "woke", why)
+        self.policy_timers[why] = self.schedule(self.now + after_ms, Input.POLICY_TIMER_FIRED, why)
 
     def woke(self, why: object) -> None:
-        self.wakes.pop(why, None)
+        self.policy_timers.pop(why, None)
         self.gateway.timer_fired(why)
 
     def call_off(self, why: object) -> None:
         """The module would ignore this wake now, so nobody need be woken for it."""
-        wake = self.wakes.pop(why, None)
-        if wake is not None:
-            wake.off()
+        timer = self.policy_timers.pop(why, None)
+        if timer is not None:
+            timer.cancel()
 
     def log_decision(self, line: str) -> None:
-        self.diary.event("decision", line=line)
+        self.event_log.event("decision", line=line)
 
     # Hosts.
 
-    def host(self, lane: Lane, signal: str) -> None:
-        advance(HOST_LINK, lane, signal, self)
+    def host(self, connection: HostConnection, signal: str) -> None:
+        advance(HOST_LINK, connection, signal, self)
 
-    def host_down(self, lane: Lane) -> None:
+    def host_down(self, connection: HostConnection) -> None:
         """It comes once for each dial, and only then is its descriptor free."""
         self.host_links -= 1
-        advance(HOST_LINK, lane, "down", self)
+        advance(HOST_LINK, connection, "down", self)
 
-    def host_up(self, lane: Lane, link: Any) -> None:
-        lane.link = link
-        advance(HOST_LINK, lane, "up", self)
+    def host_up(self, connection: HostConnection, link: Any) -> None:
+        connection.link = link
+        advance(HOST_LINK, connection, "up", self)
 
     def host_answered(
-        self, lane: Lane, clean: bool, outcome: Outcome, data: bytes, units: float, used: int
+        self, connection: HostConnection, clean: bool, outcome: Outcome, data: bytes, units: float, used: int
     ) -> None:
-        attempt, before = lane.attempt, lane.state
+        attempt, before = connection.attempt, connection.state
         if not clean:
             self.counts["overfull"] += 1
-        advance(HOST_LINK, lane, "answered" if clean else "overfull", self)
+        advance(HOST_LINK, connection, "answered" if clean else "overfull", self)
         if before == "out":
             self.ended(attempt, outcome, data, units, used)
         elif before == "writing":  # as a host does that has too many connections
             self.part(
-                lane, Outcome.OVERLOADED if outcome is Outcome.OVERLOADED else Outcome.CONNECTION_FAILED
+                connection, Outcome.OVERLOADED if outcome is Outcome.OVERLOADED else Outcome.CONNECTION_FAILED
             )
 
-    def host_malformed(self, lane: Lane, why: str) -> None:
-        self.diary.event("host malformed", host=lane.place.address, why=why)
-        advance(HOST_LINK, lane, "malformed", self)
+    def host_malformed(self, connection: HostConnection, why: str) -> None:
+        self.event_log.event("host malformed", host=connection.endpoint.address, why=why)
+        advance(HOST_LINK, connection, "malformed", self)
 
-    def host_begun(self, lane: Lane) -> None:
+    def host_begun(self, connection: HostConnection) -> None:
         """Guards against answers that begin and never end. It counts from the last bytes that came, as long
         answers on slow lines take their time; the whole is bounded, against answers that only trickle."""
-        if lane.attempt is not None:
+        if connection.attempt is not None:
             after = self.now + self.limits.answer_ms
-            self.wake_at(after, "stalled", lane, lane.attempt, lane.link.got, self.now)
-        self.host(lane, "begun")
+            self.schedule(
+                after,
+                Input.HOST_RESPONSE_STALLED,
+                connection,
+                connection.attempt,
+                connection.link.got,
+                self.now,
+            )
+        self.host(connection, "begun")
 
-    def stalled(self, lane: Lane, attempt: Attempt, got: int, begun_at: float) -> None:
-        if lane.attempt is not attempt or not lane.link.half():
+    def stalled(self, connection: HostConnection, attempt: Attempt, got: int, begun_at: float) -> None:
+        if connection.attempt is not attempt or not connection.link.half():
             return
-        if lane.link.got == got or self.now - begun_at > self.limits.answer_most_ms:
-            self.host_malformed(lane, "answer not ended")
+        if connection.link.got == got or self.now - begun_at > self.limits.answer_most_ms:
+            self.host_malformed(connection, "answer not ended")
         else:
-            self.wake_at(self.now + self.limits.answer_ms, "stalled", lane, attempt, lane.link.got, begun_at)
+            self.schedule(
+                self.now + self.limits.answer_ms,
+                Input.HOST_RESPONSE_STALLED,
+                connection,
+                attempt,
+                connection.link.got,
+                begun_at,
+            )
 
-    def dial_anew(self, lane: Lane) -> None:
+    def dial_anew(self, connection: HostConnection) -> None:
         self.counts["host_stale"] += 1
-        self.do(lane.link.abort)
-        lane.alarm.off()
-        attempt, lane.attempt = lane.attempt, None
-        self.dial(lane.place, attempt, lane.attempt_deadline)
+        self.do(connection.link.abort)
+        connection.alarm.cancel()
+        attempt, connection.attempt = connection.attempt, None
+        self.dial(connection.endpoint, attempt, connection.attempt_deadline)
 
-    def late(self, lane: Lane, attempt: Attempt) -> None:
-        if lane.attempt is attempt:
-            advance(HOST_LINK, lane, "late", self)
+    def late(self, connection: HostConnection, attempt: Attempt) -> None:
+        if connection.attempt is attempt:
+            advance(HOST_LINK, connection, "late", self)
 
     def ended(
         self, attempt: Attempt, outcome: Outcome, data: bytes = b"", units: float = 0.0, used: int = 0
     ) -> None:
         """A forward has its one outcome. An answer for a task that is over goes nowhere."""
-        self.lanes.pop(attempt).alarm.off()
+        self.host_connections.pop(attempt).alarm.cancel()
         self.call_off(attempt)
-        errand = attempt.request
+        request = attempt.request
         self.counts["forward_" + outcome.value] += 1
-        over = errand.answer is not None
+        over = request.answer is not None
         if outcome is Outcome.DONE and not over:
             self.counts["done"] += 1
-            self.finish(errand, data)
+            self.finish(request, data)
             over = True
         self.gateway.attempt_finished(attempt, outcome, self.now - attempt.sent_at, over, units, used)
 
-    def write(self, lane: Lane) -> str | None:
+    def write(self, connection: HostConnection) -> str | None:
         """Guards against what changed while the connection came up: the client left or has its answer, the
         host began to drain, or the time is over in which a keyed request may be repeated. Nothing is sent
         then."""
-        attempt, place = lane.attempt, lane.place
-        errand, left_ms = attempt.request, lane.attempt_deadline - self.now
+        attempt, endpoint = connection.attempt, connection.endpoint
+        request, left_ms = attempt.request, connection.attempt_deadline - self.now
         if (
-            errand.answer is not None
-            or place.status is not EndpointStatus.READY
+            request.answer is not None
+            or endpoint.status is not EndpointStatus.READY
             or self.now >= attempt.send_before
         ):
             return "unwanted"
-        self.do(lane.link.send, errand.ask.within(left_ms), len(errand.attempts) == 1)
+        self.do(connection.link.send, request.ask.within(left_ms), len(request.attempts) == 1)
         return None
 
-    def unsent(self, lane: Lane) -> None:
+    def unsent(self, connection: HostConnection) -> None:
         self.counts["unwanted"] += 1
-        self.do(lane.link.abort)
-        self.never_sent(lane)
+        self.do(connection.link.abort)
+        self.never_sent(connection)
 
-    def rest(self, lane: Lane) -> str | None:
-        lane.attempt, lane.idle_since = None, self.now
-        if lane.place.status is EndpointStatus.READY and self.state != "ended":
-            lane.place.idle.append(lane)
+    def rest(self, connection: HostConnection) -> str | None:
+        connection.attempt, connection.idle_since = None, self.now
+        if connection.endpoint.status is EndpointStatus.READY and self.state != "ended":
+            connection.endpoint.idle.append(connection)
             return None
         return "aged"
 
-    def never_ran(self, lane: Lane) -> None:
-        self.part(lane, Outcome.CONNECTION_FAILED)
+    def never_ran(self, connection: HostConnection) -> None:
+        self.part(connection, Outcome.CONNECTION_FAILED)
 
-    def never_sent(self, lane: Lane) -> None:
+    def never_sent(self, connection: HostConnection) -> None:
         """Its time was over, or we had no connection for it: that says nothing of the host."""
-        self.part(lane, Outcome.ABANDONED)
+        self.part(connection, Outcome.ABANDONED)
 
-    def cut_short(self, lane: Lane) -> None:
+    def cut_short(self, connection: HostConnection) -> None:
         """Its last byte was not written, and now never will be."""
-        self.do(lane.link.abort)
-        self.part(lane, Outcome.CONNECTION_FAILED)
+        self.do(connection.link.abort)
+        self.part(connection, Outcome.CONNECTION_FAILED)
 
-    def broken(self, lane: Lane) -> None:
-        if lane.kept:
+    def broken(self, connection: HostConnection) -> None:
+        if connection.kept:
             self.cut_at = self.now
-        self.part(lane, Outcome.RESET)
+        self.part(connection, Outcome.RESET)
 
-    def broke_off(self, lane: Lane) -> None:
-        self.do(lane.link.abort)
-        self.part(lane, Outcome.RESET)
+    def broke_off(self, connection: HostConnection) -> None:
+        self.do(connection.link.abort)
+        self.part(connection, Outcome.RESET)
 
-    def timed_out(self, lane: Lane) -> None:
-        self.do(lane.link.abort)
-        self.part(lane, Outcome.TIMEOUT)
-        self.suspect(lane.place)
+    def timed_out(self, connection: HostConnection) -> None:
+        self.do(connection.link.abort)
+        self.part(connection, Outcome.TIMEOUT)
+        self.suspect(connection.endpoint)
 
-    def called_off(self, lane: Lane) -> None:
-        self.do(lane.link.abort)
-        self.part(lane, Outcome.CANCELLED)
-        self.suspect(lane.place)
+    def called_off(self, connection: HostConnection) -> None:
+        self.do(connection.link.abort)
+        self.part(connection, Outcome.CANCELLED)
+        self.suspect(connection.endpoint)
 
-    def part(self, lane: Lane, outcome: Outcome) -> None:
-        attempt, lane.attempt = lane.attempt, None
+    def part(self, connection: HostConnection, outcome: Outcome) -> None:
+        attempt, connection.attempt = connection.attempt, None
         self.inbox.append((self.ended, attempt, outcome))
 
-    def suspect(self, place: Place) -> None:
+    def suspect(self, endpoint: Endpoint) -> None:
         """Guards against connections that look open and lead nowhere, as after a machine vanished: those that
         wait at a host that left a forward unanswered are closed, so that the next forward there dials and,
         where it does not come up, provably never ran. Hurts a slow host by some handshakes."""
-        idle, place.idle = place.idle, []
-        for lane in idle:
-            advance(HOST_LINK, lane, "aged", self)
+        idle, endpoint.idle = endpoint.idle, []
+        for connection in idle:
+            advance(HOST_LINK, connection, "aged", self)
 
-    def drop(self, lane: Lane) -> None:
-        self.do(lane.link.abort)
-        self.forget_lane(lane)
+    def drop(self, connection: HostConnection) -> None:
+        self.do(connection.link.abort)
+        self.forget_lane(connection)
 
     def abort(self, record: Any) -> None:
         self.do(record.link.abort)
 
-    def forget_lane(self, lane: Lane) -> None:
-        if lane in lane.place.idle:
-            lane.place.idle.remove(lane)
+    def forget_lane(self, connection: HostConnection) -> None:
+        if connection in connection.endpoint.idle:
+            connection.endpoint.idle.remove(connection)
 
     def spare_link(self) -> bool:
         """Guards against running out of descriptors: an idle connection elsewhere makes room."""
-        for place in self.places.values():
-            if place.idle:
-                advance(HOST_LINK, place.idle[0], "aged", self)
+        for endpoint in self.endpoints.values():
+            if endpoint.idle:
+                advance(HOST_LINK, endpoint.idle[0], "aged", self)
                 return True
         return False
 
     # The counter.
 
-    def wire(self, number: int) -> Wire:
+    def counter_connection(self, number: int) -> CounterConnection:
         """The connection in use for these names: one for a name, so that its totals come in order."""
-        wire = self.wires[number]
-        if wire is None:
-            wire = self.wires[number] = Wire(number)
+        connection = self.counter_connections[number]
+        if connection is None:
+            connection = self.counter_connections[number] = CounterConnection(number)
             self.counts["counter_dials"] += 1
-            self.do(self.doors.dial_counter, wire)
-        return wire
+            self.do(self.doors.connect_counter, connection)
+        return connection
 
     def calls(self, calls: list[CounterCall]) -> None:
         """Calls that no task asked for (presence at the counter)."""
         for call in calls:
             self.call_counter(call)
 
-    def counter(self, wire: Wire, signal: str) -> None:
-        advance(COUNTER_LINK, wire, signal, self)
+    def counter(self, connection: CounterConnection, signal: str) -> None:
+        advance(COUNTER_LINK, connection, signal, self)
 
-    def counter_up(self, wire: Wire, link: Any) -> None:
-        wire.link = link
-        advance(COUNTER_LINK, wire, "up", self)
+    def counter_up(self, connection: CounterConnection, link: Any) -> None:
+        connection.link = link
+        advance(COUNTER_LINK, connection, "up", self)
 
-    def counter_answered(self, wire: Wire, outcome: Outcome, total: float | None) -> None:
-        if not wire.waiting or (wire.waiting[0] is None) != (total is None):
-            self.counter_spoilt(wire, "answer out of turn")
+    def counter_answered(self, connection: CounterConnection, outcome: Outcome, total: float | None) -> None:
+        if not connection.waiting or (connection.waiting[0] is None) != (total is None):
+            self.counter_spoilt(connection, "answer out of turn")
             return
-        wire.heard_at = self.now
-        call = wire.waiting.popleft()
+        connection.heard_at = self.now
+        call = connection.waiting.popleft()
         if call is not None:
             self.counts["call_" + outcome.value] += 1
             self.call_off(call)
             self.gateway.counter_call_finished(call, outcome, total)
-        if not wire.waiting:
-            advance(COUNTER_LINK, wire, "emptied", self)
+        if not connection.waiting:
+            advance(COUNTER_LINK, connection, "emptied", self)
 
-    def counter_spoilt(self, wire: Wire, why: str) -> None:
-        self.diary.event("counter spoilt", waiting=len(wire.waiting), why=why)
-        advance(COUNTER_LINK, wire, "spoilt", self)
+    def counter_spoilt(self, connection: CounterConnection, why: str) -> None:
+        self.event_log.event("counter spoilt", waiting=len(connection.waiting), why=why)
+        advance(COUNTER_LINK, connection, "spoilt", self)
 
-    def counter_begun(self, wire: Wire) -> None:
+    def counter_begun(self, connection: CounterConnection) -> None:
         """Guards against answers that begin and never end, as at the hosts."""
-        self.wake_at(self.now + self.limits.total_ms, "counter stalled", wire, wire.heard_at)
+        self.schedule(
+            self.now + self.limits.total_ms, Input.COUNTER_REPLY_STALLED, connection, connection.heard_at
+        )
 
-    def counter_stalled(self, wire: Wire, heard_at: float) -> None:
-        if wire.heard_at == heard_at and wire.link.half():
-            self.counter_spoilt(wire, "answer not ended")
+    def counter_stalled(self, connection: CounterConnection, heard_at: float) -> None:
+        if connection.heard_at == heard_at and connection.link.half():
+            self.counter_spoilt(connection, "answer not ended")
 
-    def added(self, wire: Wire) -> None:
+    def added(self, connection: CounterConnection) -> None:
         """Guards against answers without a total: the call was made, and the connection is of no further use.
         What waits behind it may have been added or may not."""
-        self.do(wire.link.abort)
-        call = wire.waiting.popleft() if wire.waiting else None
+        self.do(connection.link.abort)
+        call = connection.waiting.popleft() if connection.waiting else None
         if call is not None:
             self.counts["call_spoilt"] += 1
             self.call_off(call)
             self.inbox.append((self.gateway.counter_call_finished, call, Outcome.ERROR, 0.0))
-        self.lost(wire, Outcome.RESET)
+        self.lost(connection, Outcome.RESET)
 
-    def flush(self, wire: Wire) -> None:
-        wire.heard_at = self.now
-        calls = [tally(call.name, call.amount, call.ttl_ms) for call in wire.waiting]
+    def flush(self, connection: CounterConnection) -> None:
+        connection.heard_at = self.now
+        calls = [tally(call.name, call.amount, call.ttl_ms) for call in connection.waiting]
         if calls:
-            self.do(wire.link.send, b"".join(calls))
+            self.do(connection.link.send, b"".join(calls))
 
-    def never_added(self, wire: Wire) -> None:
-        self.lost(wire, Outcome.CONNECTION_FAILED)
+    def never_added(self, connection: CounterConnection) -> None:
+        self.lost(connection, Outcome.CONNECTION_FAILED)
 
-    def unknown(self, wire: Wire) -> None:
-        self.lost(wire, Outcome.RESET)
+    def unknown(self, connection: CounterConnection) -> None:
+        self.lost(connection, Outcome.RESET)
 
-    def close_old(self, wire: Wire) -> None:
-        self.old_wires.pop(wire, None)
-        self.do(wire.link.abort)
+    def close_old(self, connection: CounterConnection) -> None:
+        self.retired_counter_connections.pop(connection, None)
+        self.do(connection.link.abort)
 
-    def unknown_abort(self, wire: Wire) -> None:
-        self.do(wire.link.abort)
-        self.lost(wire, Outcome.RESET)
+    def unknown_abort(self, connection: CounterConnection) -> None:
+        self.do(connection.link.abort)
+        self.lost(connection, Outcome.RESET)
 
-    def lost(self, wire: Wire, outcome: Outcome) -> None:
-        for call in wire.waiting:
+    def lost(self, connection: CounterConnection, outcome: Outcome) -> None:
+        for call in connection.waiting:
             if call is not None:
                 self.counts["call_" + outcome.value] += 1
                 self.call_off(call)
                 self.inbox.append((self.gateway.counter_call_finished, call, outcome, 0.0))
-        wire.waiting.clear()
-        self.old_wires.pop(wire, None)
-        if self.wires[wire.number] is wire:
-            self.wires[wire.number] = None
-            if wire.number not in self.redials:
+        connection.waiting.clear()
+        self.retired_counter_connections.pop(connection, None)
+        if self.counter_connections[connection.number] is connection:
+            self.counter_connections[connection.number] = None
+            if connection.number not in self.redials:
                 # Guards against a storm of dials while the counter is away: a call dials too, and each dial
                 # that failed would bring one more.
-                self.redials.add(wire.number)
-                self.wake_at(self.now + 5 * self.limits.redial_ms, "counter due", wire.number)
+                self.redials.add(connection.number)
+                self.schedule(
+                    self.now + 5 * self.limits.redial_ms, Input.COUNTER_RECONNECT, connection.number
+                )
 
-    def wire_due(self, number: int) -> None:
+    def counter_reconnect(self, number: int) -> None:
         self.redials.discard(number)
-        self.wire(number)
+        self.counter_connection(number)
 
-    def replace(self, wire: Wire) -> None:
+    def replace(self, connection: CounterConnection) -> None:
         """Guards against a connection that has gone silent, by death or by a long queue, and against a
         counter that moves: calls go on over a new one, and the old one is kept for late totals. Hurts a slow
         counter by some connections."""
-        self.diary.event("counter replaced", waiting=len(wire.waiting), heard_ms_ago=self.now - wire.heard_at)
-        wire.old_since, self.old_wires[wire] = self.now, None
-        self.wires[wire.number] = None
-        self.wire(wire.number)
-        if len(self.old_wires) > self.limits.counter_old:
-            advance(COUNTER_LINK, next(iter(self.old_wires)), "lingered", self)
-        if not wire.waiting:
-            advance(COUNTER_LINK, wire, "emptied", self)
-
-    def dial_there(self, wire: Wire) -> None:
+        self.event_log.event(
+            "counter replaced", waiting=len(connection.waiting), heard_ms_ago=self.now - connection.heard_at
+        )
+        connection.old_since, self.retired_counter_connections[connection] = self.now, None
+        self.counter_connections[connection.number] = None
+        self.counter_connection(connection.number)
+        if len(self.retired_counter_connections) > self.limits.counter_old:
+            advance(COUNTER_LINK, next(iter(self.retired_counter_connections)), "lingered", self)
+        if not connection.waiting:
+            advance(COUNTER_LINK, connection, "emptied", self)
+
+    def dial_there(self, connection: CounterConnection) -> None:
         """Nothing of its calls was written, so they go where the new one leads."""
-        self.wires[wire.number] = None
-        self.wire(wire.number).waiting = wire.waiting
-        wire.waiting = deque()
+        self.counter_connections[connection.number] = None
+        self.counter_connection(connection.number).waiting = connection.waiting
+        connection.waiting = deque()
 
     # Discovery.
 
@@ -912,27 +947,29 @@
         self.counts["lists"] += 1
         sightings = []
         for entry in listing.entries:
-            place = self.places.get(entry.name)
-            if place is None:
+            endpoint = self.endpoints.get(entry.name)
+            if endpoint is None:
                 if entry.status is EndpointStatus.GONE:
                     continue
-                place = self.places[entry.name] = Place(address=entry.address, name=entry.name)
-            if entry.started_at > place.started_at or (entry.address and entry.address != place.address):
-                place.address = entry.address or place.address
-                self.suspect(place)  # connections to a process that is no more
+                endpoint = self.endpoints[entry.name] = Endpoint(address=entry.address, name=entry.name)
+            if entry.started_at > endpoint.started_at or (
+                entry.address and entry.address != endpoint.address
+            ):
+                endpoint.address = entry.address or endpoint.address
+                self.suspect(endpoint)  # connections to a process that is no more
             sightings.append(
                 EndpointUpdate(
-                    place, entry.size, entry.make, entry.zone, entry.cell, entry.started_at, entry.status
+                    endpoint, entry.size, entry.make, entry.zone, entry.cell, entry.started_at, entry.status
                 )
             )
         self.gateway.update_endpoints(sightings, listing.whole)
-        for name, place in list(self.places.items()):
-            if place.idle and place.status is not EndpointStatus.READY:
-                self.suspect(place)
-            if place.status is EndpointStatus.GONE and not place.health.outs:
-                del self.places[name]  # guards the memory, as hosts come and go under new names
+        for name, endpoint in list(self.endpoints.items()):
+            if endpoint.idle and endpoint.status is not EndpointStatus.READY:
+                self.suspect(endpoint)
+            if endpoint.status is EndpointStatus.GONE and not endpoint.health.outs:
+                del self.endpoints[name]  # guards the memory, as hosts come and go under new names
         if self.judge is not None:
-            self.judge.listed(self.places, self.now)
+            self.judge.listed(self.endpoints, self.now)
 
     def newer_list(self, version: int) -> None:
         """Another gateway has a newer list than ours: the watch opens again, unless it has come meanwhile."""
@@ -944,9 +981,9 @@
     def moved(self, counter: bool, discovery: bool) -> None:
         """The file names other addresses. What is open to one that stays is kept; the counter's old
         connections are kept as long as they last, for the totals they still owe."""
-        for wire in self.wires if counter else ():
-            if wire is not None:
-                advance(COUNTER_LINK, wire, "moved", self)
+        for connection in self.counter_connections if counter else ():
+            if connection is not None:
+                advance(COUNTER_LINK, connection, "moved", self)
         if discovery:
             self.discovery.signal(self.watch, "moved")
 
@@ -954,108 +991,111 @@
 
     def sweep(self) -> None:
         now, limits = self.now, self.limits
-        for wire in self.wires:
-            if wire is None or wire.state != "up":
+        for connection in self.counter_connections:
+            if connection is None or connection.state != "up":
                 continue
-            if wire.waiting and now - max(wire.heard_at, wire.asked_at) > limits.counter_silence_ms:
-                advance(COUNTER_LINK, wire, "silent", self)
-            elif not wire.waiting and now - wire.heard_at > limits.counter_ping_ms:
-                wire.asked_at = now
-                wire.waiting.append(None)
-                self.do(wire.link.send, PING)
-        for wire in list(self.old_wires):
-            if now - wire.old_since > limits.counter_linger_ms:
-                advance(COUNTER_LINK, wire, "lingered", self)
+            if (
+                connection.waiting
+                and now - max(connection.heard_at, connection.asked_at) > limits.counter_silence_ms
+            ):
+                advance(COUNTER_LINK, connection, "silent", self)
+            elif not connection.waiting and now - connection.heard_at > limits.counter_ping_ms:
+                connection.asked_at = now
+                connection.waiting.append(None)
+                self.do(connection.link.send, PING)
+        for connection in list(self.retired_counter_connections):
+            if now - connection.old_since > limits.counter_linger_ms:
+                advance(COUNTER_LINK, connection, "lingered", self)
         self.discovery.sweep()
-        for place in self.places.values():
-            while place.idle and now - place.idle[0].idle_since > limits.host_idle_ms:
-                advance(HOST_LINK, place.idle[0], "aged", self)
-        for caller in list(self.callers):
-            self.look_at(caller)
-        self.wake_at(now + limits.sweep_ms, "sweep")
-
-    def look_at(self, caller: Caller) -> None:
+        for endpoint in self.endpoints.values():
+            while endpoint.idle and now - endpoint.idle[0].idle_since > limits.host_idle_ms:
+                advance(HOST_LINK, endpoint.idle[0], "aged", self)
+        for client in list(self.clients):
+            self.look_at(client)
+        self.schedule(now + limits.sweep_ms, Input.MAINTENANCE)
+
+    def look_at(self, client: ClientConnection) -> None:
         """Guards against clients that do not close their side, keep half a command for ever, say nothing, or
         keep a connection that they need no more."""
         now, limits = self.now, self.limits
-        if caller.state == "closing":
-            unwritten = caller.closed_at is None
-            if unwritten and now - caller.closing_since > limits.flush_ms:
+        if client.state == "closing":
+            unwritten = client.closed_at is None
+            if unwritten and now - client.closing_since > limits.flush_ms:
                 self.counts["slow_readers"] += 1
-                self.do(caller.link.abort)
-            elif not unwritten and now - caller.closed_at > limits.close_ms:
-                self.do(caller.link.abort)
+                self.do(client.link.abort)
+            elif not unwritten and now - client.closed_at > limits.close_ms:
+                self.do(client.link.abort)
             else:
-                self.do(caller.link.read_on)
-        elif caller.state == "spoilt":
-            self.do(caller.link.read_on)
-            if now - caller.spoilt_since > limits.spoilt_ms:
-                for waiting in list(caller.queue):
-                    if isinstance(waiting, Errand) and waiting.answer is None:
+                self.do(client.link.read_on)
+        elif client.state == "spoilt":
+            self.do(client.link.read_on)
+            if now - client.spoilt_since > limits.spoilt_ms:
+                for waiting in list(client.queue):
+                    if isinstance(waiting, InFlightRequest) and waiting.answer is None:
                         self.gateway.client_disconnected(waiting)
                         self.fail(waiting)
-        elif caller.choked:
-            caller.half_since = 0.0  # what it sent waits until it reads: no half command, and no rest
-        elif self.lifecycle.shutting and not caller.queue:
-            self.offer_end(caller)
-        elif not caller.link.half():
-            caller.half_since = 0.0
-            patience = limits.rest_ms if caller.spoke else limits.half_ms
-            if not caller.queue and now - caller.rested_at > patience:
+        elif client.choked:
+            client.half_since = 0.0  # what it sent waits until it reads: no half command, and no rest
+        elif self.lifecycle.shutting and not client.queue:
+            self.offer_end(client)
+        elif not client.link.half():
+            client.half_since = 0.0
+            patience = limits.rest_ms if client.spoke else limits.half_ms
+            if not client.queue and now - client.rested_at > patience:
                 # No word, which a task on its way might take for its answer.
-                self.do(caller.link.look, "client rested")
-        elif not caller.half_since or caller.got != caller.link.got:
+                self.do(client.link.look, Input.CLIENT_IDLE)
+        elif not client.half_since or client.got != client.link.got:
             # Guards long commands on slow lines: it counts from the last bytes that came; the whole is
             # bounded.
-            caller.half_since, caller.got = caller.half_since or now, caller.link.got
-            caller.moved_at = now
-            if now - caller.half_since > limits.half_most_ms:
-                self.malformed(caller, "command not ended")
-        elif now - caller.moved_at > limits.half_ms:
-            self.malformed(caller, "command not ended")
+            client.half_since, client.got = client.half_since or now, client.link.got
+            client.moved_at = now
+            if now - client.half_since > limits.half_most_ms:
+                self.malformed(client, "command not ended")
+        elif now - client.moved_at > limits.half_ms:
+            self.malformed(client, "command not ended")
 
 
 INPUTS = {
-    "start": Reducer.start,
-    "mode": Reducer.mode,
-    "sweep": Reducer.sweep,
-    "crowded": Reducer.crowd,
-    "woke": Reducer.woke,
-    "client up": Reducer.client_up,
-    "client down": Reducer.client_down,
-    "client silent": Reducer.client_silent,
-    "client rested": Reducer.client_rested,
-    "client idle": Reducer.client_idle,
-    "client closed": Reducer.client_closed,
-    "client choked": Reducer.choked,
-    "client eased": Reducer.eased,
-    "asked": Reducer.asked,
-    "forgotten": Reducer.forgotten,
-    "command": Reducer.command,
-    "malformed": Reducer.malformed,
-    "host up": Reducer.host_up,
-    "host down": Reducer.host_down,
-    "host answered": Reducer.host_answered,
-    "host malformed": Reducer.host_malformed,
-    "host begun": Reducer.host_begun,
-    "host stale": lambda self, lane: self.host(lane, "stale"),
-    "stalled": Reducer.stalled,
-    "written": lambda self, lane: self.host(lane, "written"),
-    "late": Reducer.late,
-    "calls": Reducer.calls,
-    "counter up": Reducer.counter_up,
-    "counter down": lambda self, wire: self.counter(wire, "down"),
-    "counter answered": Reducer.counter_answered,
-    "counter spoilt": Reducer.counter_spoilt,
-    "counter begun": Reducer.counter_begun,
-    "counter stalled": Reducer.counter_stalled,
-    "counter due": Reducer.wire_due,
-    "watch up": lambda self, watch, link: self.discovery.up(watch, link),
-    "watch down": lambda self, watch: self.discovery.signal(watch, "down"),
-    "watch begun": lambda self, watch: self.discovery.begun(watch),
-    "watch spoilt": lambda self, watch, why: self.discovery.spoilt(watch, why),
-    "watch due": lambda self: self.discovery.due(),
-    "listed": Reducer.listed,
-    "moved": Reducer.moved,
-    "newer list": Reducer.newer_list,
+    Input.START: Reducer.start,
+    Input.LIFECYCLE: Reducer.mode,
+    Input.MAINTENANCE: Reducer.sweep,
+    Input.CLIENT_LIMIT_CHECK: Reducer.crowd,
+    Input.POLICY_TIMER_FIRED: Reducer.woke,
+    Input.CLIENT_CONNECTED: Reducer.client_up,
+    Input.CLIENT_DISCONNECTED: Reducer.client_down,
+    Input.CLIENT_SILENT: Reducer.client_silent,
+    Input.CLIENT_IDLE: Reducer.client_rested,
+    Input.CLIENT_SHUTDOWN: Reducer.client_idle,
+    Input.CLIENT_WRITE_CLOSED: Reducer.client_closed,
+    Input.CLIENT_WRITE_PAUSED: Reducer.choked,
+    Input.CLIENT_WRITE_RESUMED: Reducer.eased,
+    Input.REQUEST_RECEIVED: Reducer.asked,
+    Input.REQUEST_WATCHDOG: Reducer.forgotten,
+    Input.COMMAND_RECEIVED: Reducer.command,
+    Input.CLIENT_MALFORMED: Reducer.malformed,
+    Input.HOST_CONNECTED: Reducer.host_up,
+    Input.HOST_DISCONNECTED: Reducer.host_down,
+    Input.HOST_RESPONSE: Reducer.host_answered,
+    Input.HOST_MALFORMED: Reducer.host_malformed,
+    Input.HOST_RESPONSE_STARTED: Reducer.host_begun,
+    Input.HOST_STALE: lambda self, connection: self.host(connection, "stale"),
+    Input.HOST_RESPONSE_STALLED: Reducer.stalled,
+    Input.HOST_REQUEST_WRITTEN: lambda self, connection: self.host(connection, "written"),
+    Input.ATTEMPT_DEADLINE: Reducer.late,
+    Input.COUNTER_CALLS: Reducer.calls,
+    Input.COUNTER_CONNECTED: Reducer.counter_up,
+    Input.COUNTER_DISCONNECTED: lambda self, connection: self.counter(connection, "down"),
+    Input.COUNTER_REPLY: Reducer.counter_answered,
+    Input.COUNTER_MALFORMED: Reducer.counter_spoilt,
+    Input.COUNTER_REPLY_STARTED: Reducer.counter_begun,
+    Input.COUNTER_REPLY_STALLED: Reducer.counter_stalled,
+    Input.COUNTER_RECONNECT: Reducer.counter_reconnect,
+    Input.WATCH_CONNECTED: lambda self, watch, link: self.discovery.up(watch, link),
+    Input.WATCH_DISCONNECTED: lambda self, watch: self.discovery.signal(watch, "down"),
+    Input.WATCH_LIST_STARTED: lambda self, watch: self.discovery.begun(watch),
+    Input.WATCH_MALFORMED: lambda self, watch, why: self.discovery.spoilt(watch, why),
+    Input.WATCH_RECONNECT: lambda self: self.discovery.due(),
+    Input.ENDPOINTS_RECEIVED: Reducer.listed,
+    Input.ADDRESSES_CHANGED: Reducer.moved,
+    Input.NEWER_ENDPOINTS_ELSEWHERE: Reducer.newer_list,
 }
--- a/tests/configuration/test_configuration_processes.py
+++ b/tests/configuration/test_configuration_processes.py
@@ -84,7 +84,7 @@
         first, second = live.client(), live.client()
         live.counts = False  # the counter holds its answer back
         first.send(live.request())
-        until(live, lambda: live.reducer.errands)
+        until(live, lambda: live.reducer.requests)
         client.apply(writer.address, change(1, remove=["p"]), 5.0)
         has(live, 2)
         live.counts = True
--- a/tests/golden/test_golden_wire.py
+++ b/tests/golden/test_golden_wire.py
@@ -198,18 +198,20 @@
 def client_command(data, forward_ms):
     """What a client's command says and the bytes that its host gets, or why it is malformed."""
     from granitedock.service.client_protocol import ClientLink
+    from granitedock.service.inputs import Input
 
+    recorded = {Input.COMMAND_RECEIVED: "command", Input.CLIENT_MALFORMED: "malformed"}
     told = []
     link = ClientLink(lambda *happened: told.append(happened), limits())
     link.makeConnection(transport())
     link.dataReceived(data)
     found = []
     for event, _, *what in told:
-        if event == "asked":
+        if event is Input.REQUEST_RECEIVED:
             found.append(["request", *request_fields(what[0], forward_ms)])
-        elif event in ("command", "malformed"):
+        elif event in recorded:
             word = what[0].decode("latin-1") if isinstance(what[0], bytes) else what[0]
-            found.append([event, word])
+            found.append([recorded[event], word])
     return found
 
 
@@ -233,16 +235,17 @@
     """What a host's bytes mean: [kind, whether the connection may be used again, bytes for the client, true
     units, the customer's use], or ["malformed", why], or [] while more is to come."""
     from granitedock.service.host_protocol import HostLink
+    from granitedock.service.inputs import Input
 
     told = []
     link = HostLink(lambda *happened: told.append(happened), limits())
     link.makeConnection(transport())
     link.dataReceived(data)
     for event, _, *what in told:
-        if event == "host answered":
+        if event is Input.HOST_RESPONSE:
             clean, ending, answer, units, used = what
             return [ending.value, clean, answer.decode("latin-1"), units, used]
-        if event == "host malformed":
+        if event is Input.HOST_MALFORMED:
             return ["malformed", what[0]]
     return []
 
@@ -262,13 +265,14 @@
 def counter_answers(data):
     """What the counter's bytes mean: [kind, total] for each answer, ["malformed", why] at the end."""
     from granitedock.service.counter_protocol import CounterLink
+    from granitedock.service.inputs import Input
 
     told = []
     link = CounterLink(lambda *happened: told.append(happened), limits())
     link.makeConnection(transport())
     link.dataReceived(data)
-    answers = [[what[0].value, what[1]] for event, _, *what in told if event == "counter answered"]
-    return answers + [["malformed", what[0]] for event, _, *what in told if event == "counter spoilt"]
+    answers = [[what[0].value, what[1]] for event, _, *what in told if event is Input.COUNTER_REPLY]
+    return answers + [["malformed", what[0]] for event, _, *what in told if event is Input.COUNTER_MALFORMED]
 
 
 # HTTP.
@@ -301,6 +305,7 @@
     """(request, list of what was heard) of a watch whose answer comes in pieces: None for an empty line,
     [version, whole, entries] for a list, a text for what ends the watch."""
     from granitedock.service.discovery_protocol import WatchLink
+    from granitedock.service.inputs import Input
 
     told = []
     link = WatchLink(lambda *happened: told.append(happened), "127.0.0.1:99", limits())
@@ -311,9 +316,9 @@
         link.dataReceived(piece)
     heard = []
     for event, _, *what in told:
-        if event == "listed":
+        if event is Input.ENDPOINTS_RECEIVED:
             heard.append(what[0] and listing_fields(what[0]))
-        elif event == "watch spoilt":
+        elif event is Input.WATCH_MALFORMED:
             heard.append(what[0])
     return asked, heard
 
--- a/tests/helpers/fake_gateway.py
+++ b/tests/helpers/fake_gateway.py
@@ -22,6 +22,7 @@
 from granitedock.service.counter_protocol import CounterLink
 from granitedock.service.discovery_protocol import WatchLink, listing
 from granitedock.service.host_protocol import HostLink
+from granitedock.service.inputs import Input
 from granitedock.service.limits import Limits
 from granitedock.service.reducer import Reducer
 from granitedock.service.resp import command
@@ -186,13 +187,13 @@
     """A reducer with real links on lines that lead nowhere; it is its own doors, reactor and diary."""
 
     def __init__(self, hosts=2, memory_mb=192, sockets=64):
-        self.now, self.wakes, self.dials, self.lines, self.counts = 100000.0, [], [], [], Counter()
+        self.now, self.timers, self.dials, self.lines, self.counts = 100000.0, [], [], [], Counter()
         self.left = self.shut_at = self.takes_in = None
         self.next_id = 0x0123456789ABCDEF
         self.since = None  # the earliest moment at which what is told may have come, as the loop says
         self.limits = Limits.told({"limits": {"memory_mb": memory_mb, "sockets": sockets}, "settings": BORN})
         self.reducer = Reducer(self.now, self.limits, BORN, 7, self.listing(1, hosts), self, self)
-        self.tell("start")
+        self.tell(Input.START)
 
     @staticmethod
     def listing(version, hosts, lifecycle="in_service", whole=True, **more):
@@ -209,25 +210,25 @@
     def event(self, event, **figures):
         self.lines.append((event, figures))
 
-    def wake(self, wake):
-        self.wakes.append(wake)
+    def start_timer(self, timer):
+        self.timers.append(timer)
 
-    def dial_host(self, lane, address):
-        self.dials.append((HostLink, lane, "host down"))
+    def connect_host(self, connection, address):
+        self.dials.append((HostLink, connection, Input.HOST_DISCONNECTED))
 
-    def dial_counter(self, wire):
-        self.dials.append((CounterLink, wire, "counter down"))
+    def connect_counter(self, connection):
+        self.dials.append((CounterLink, connection, Input.COUNTER_DISCONNECTED))
 
-    def dial_watch(self, watch):
-        self.dials.append((lambda *a: WatchLink(a[0], "d:1", a[1]), watch, "watch down"))
+    def connect_watch(self, watch):
+        self.dials.append((lambda *a: WatchLink(a[0], "d:1", a[1]), watch, Input.WATCH_DISCONNECTED))
 
-    def take_in(self, on):
+    def accept_connections(self, on):
         self.takes_in = on
 
-    def shut(self):
+    def stop_listening(self):
         self.shut_at = self.now
 
-    def leave(self):
+    def stop_process(self):
         self.left = self.now
 
     def comes_up(self, at=-1, stuck=False):
@@ -262,8 +263,8 @@
 
     def pass_ms(self, ms):
         end = self.now + ms
-        while due := sorted((w for w in self.wakes if w.due <= end and w.name), key=lambda w: w.due):
-            self.wakes.remove(due[0])
+        while due := sorted((w for w in self.timers if w.due <= end and w.input), key=lambda w: w.due):
+            self.timers.remove(due[0])
             self.now = max(self.now, due[0].due)
-            self.tell(due[0].name, *due[0].what)
+            self.tell(due[0].input, *due[0].arguments)
         self.now = end
--- a/tests/helpers/loopback.py
+++ b/tests/helpers/loopback.py
@@ -226,7 +226,7 @@
         connections on poor ways do."""
         hosts = self.service.doors.hosts
         dial = type(hosts).dial
-        hosts.dial = lambda lane, address: self.held.append((lane, address))
+        hosts.dial = lambda connection, address: self.held.append((connection, address))
         self.release = lambda: (
             [dial(hosts, *self.held.popleft()) for _ in range(len(self.held))] and self.turn()
         )
--- a/tests/helpers/planted_faults.py
+++ b/tests/helpers/planted_faults.py
@@ -9,15 +9,16 @@
 from granitedock.policy import decisions
 from granitedock.policy.decisions import TokenBucket
 from granitedock.policy.types import EndpointStatus, Idempotency
+from granitedock.service.inputs import Input
 from granitedock.service.reducer import INPUTS, Reducer
 
 
 def twice(monkeypatch):
     fill = Reducer.fill
 
-    def filled(self, caller, waiting, answer):
-        fill(self, caller, waiting, answer)
-        self.do(caller.link.send, answer)
+    def filled(self, client, waiting, answer):
+        fill(self, client, waiting, answer)
+        self.do(client.link.send, answer)
 
     monkeypatch.setattr(Reducer, "fill", filled)
 
@@ -31,8 +32,8 @@
 
 
 def never_brought_back(monkeypatch):
-    monkeypatch.setitem(INPUTS, "late", lambda self, lane, attempt: None)
-    monkeypatch.setitem(INPUTS, "forgotten", lambda self, errand: None)
+    monkeypatch.setitem(INPUTS, Input.ATTEMPT_DEADLINE, lambda self, connection, attempt: None)
+    monkeypatch.setitem(INPUTS, Input.REQUEST_WATCHDOG, lambda self, request: None)
 
 
 def sent_to_those_that_drain(monkeypatch):
@@ -55,9 +56,9 @@
     """A forward that is withdrawn is made again while its connection stays open."""
     called_off = Reducer.called_off
 
-    def kept(self, lane):
+    def kept(self, connection):
         do, self.do = self.do, lambda *effect: None
-        called_off(self, lane)
+        called_off(self, connection)
         self.do = do
 
     monkeypatch.setattr(Reducer, "called_off", kept)
--- a/tests/service/test_discovery_watch.py
+++ b/tests/service/test_discovery_watch.py
@@ -7,6 +7,7 @@
 from fake_gateway import BORN, Wired
 
 from granitedock.service.discovery_watch import told_within
+from granitedock.service.inputs import Input
 from granitedock.service.limits import Limits
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -29,7 +30,7 @@
         wired, end = self.wired, self.wired.now + ms
         while wired.now < end:
             wired.pass_ms(10)
-            for n in [n for n, dial in enumerate(wired.dials) if dial[2] == "watch down"][::-1]:
+            for n in [n for n, dial in enumerate(wired.dials) if dial[2] is Input.WATCH_DISCONNECTED][::-1]:
                 self.meet(n)
             for at, act in [row for row in self.due if row[0] <= wired.now]:
                 self.due.remove((at, act))
@@ -47,7 +48,7 @@
         if way == "never up":  # its time as the dialler has it
             dial = self.wired.dials.pop(n)
             late = self.wired.now + self.wired.limits.watch_connect_ms
-            self.due.append((late, lambda: self.wired.tell("watch down", dial[1])))
+            self.due.append((late, lambda: self.wired.tell(Input.WATCH_DISCONNECTED, dial[1])))
             return
         line = self.wired.comes_up(n)
         self.open.append(line)
@@ -63,7 +64,7 @@
             line.link.dataReceived(chunk(b" "))
 
     def told_after(self, began):
-        while "new" not in self.wired.reducer.places:
+        while "new" not in self.wired.reducer.endpoints:
             assert self.wired.now - began < 9000, "never told"
             self.pass_ms(10)
         return self.wired.now - began
@@ -107,7 +108,7 @@
     wired.watch.link.dataReceived(HEAD + chunk(b"\n"))
     discovery.pass_ms(300)
     began = wired.now
-    wired.tell("moved", False, True)
+    wired.tell(Input.ADDRESSES_CHANGED, False, True)
     assert discovery.told_after(began) <= 4000.0
 
 
--- a/tests/service/test_gateway_process.py
+++ b/tests/service/test_gateway_process.py
@@ -10,6 +10,7 @@
 from granitedock.service.discovery_protocol import listing
 from granitedock.service.event_loop import Clock
 from granitedock.service.host_protocol import HostLink
+from granitedock.service.inputs import Input
 from granitedock.service.resp import command
 
 NOTHING_NEW = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
@@ -102,14 +103,14 @@
     wired, lines, client = begun()
     host = forwarded(wired, lines, client)
     host.link.dataReceived(VALUE)
-    assert {wake.name for wake in wired.wakes} <= {None, "sweep", "mode"}
+    assert {timer.input for timer in wired.timers} <= {None, Input.MAINTENANCE, Input.LIFECYCLE}
 
 
 def test_a_stop_answers_all_that_was_taken_then_leaves():
     wired, lines, client = begun()
     idle = wired.client()
     host = forwarded(wired, lines, client)
-    wired.tell("mode", "ending")
+    wired.tell(Input.LIFECYCLE, "ending")
     wired.pass_ms(400)
     late = wired.client()  # new connections still come
     assert not idle.closed and late.link.record.state == "up"
@@ -125,7 +126,7 @@
 def test_a_stop_errs_what_it_cannot_wait_for():
     wired, lines, client = begun()
     forwarded(wired, lines, client, request_class="once", d=60000)
-    wired.tell("mode", "ending")
+    wired.tell(Input.LIFECYCLE, "ending")
     wired.pass_ms(3600)
     assert client.took() == b"-ERR failed\r\n" and wired.left
 
@@ -244,7 +245,7 @@
     second.link.connectionLost()
     while wired.dials:
         wired.fails()
-    assert client.took() == b"" and not wired.reducer.lanes and wired.reducer.host_links == 0
+    assert client.took() == b"" and not wired.reducer.host_connections and wired.reducer.host_links == 0
 
 
 def test_idle_connections_are_closed_before_the_host_closes_them():
@@ -262,7 +263,7 @@
         wired, lines, client = begun(hosts=1)
         host = forwarded(wired, lines, client)
         host.link.dataReceived(VALUE)
-        wired.tell("listed", wired.reducer.watch, wired.listing(2, 1, whole=False, **change))
+        wired.tell(Input.ENDPOINTS_RECEIVED, wired.reducer.watch, wired.listing(2, 1, whole=False, **change))
         assert host.closed == "aborted" and wired.reducer.watch.version == 2
 
 
@@ -343,22 +344,22 @@
         assert old.closed == "aborted" and account.current == 1 and account.debt == 0, said
         assert wired.counts["call_spoilt"] == wired.counts["call_reset"] == 1  # the one behind: not known
         wired.pass_ms(600)
-        assert any(dial[2] == "counter down" for dial in wired.dials)
+        assert any(dial[2] is Input.COUNTER_DISCONNECTED for dial in wired.dials)
 
 
 def test_a_file_that_names_other_addresses_moves_the_counter_and_the_watch():
     wired, lines, client = begun()
     wired.ask(client)
     old = next(line for line in lines if line.written)
-    wired.tell("moved", True, True)
+    wired.tell(Input.ADDRESSES_CHANGED, True, True)
     assert wired.watch.closed == "aborted" and not old.closed
     assert all(line.closed == "aborted" for line in lines if line is not old)
-    wired.tell("moved", True, True)  # once more, before anything has come up
+    wired.tell(Input.ADDRESSES_CHANGED, True, True)  # once more, before anything has come up
     moved = [wired.comes_up(0) for _ in range(len(wired.dials))]
     assert sum(not line.closed for line in moved) == 1 + len(lines)
     old.link.dataReceived(b"$2\r\n17\r\n")  # what was added there still counts
     assert next(iter(wired.reducer.gateway.accounts)).account.current == 17 and old.closed == "aborted"
-    assert not wired.reducer.old_wires
+    assert not wired.reducer.retired_counter_connections
     wired.comes_up().link.dataReceived(VALUE)
     assert client.took() == VALUE
     wired.ask(client)
@@ -386,7 +387,7 @@
         calls += wired.counts["calls"] - before
         wired.pass_ms(100)
         for at in reversed(range(len(wired.dials))):
-            if wired.dials[at][2] == "counter down":
+            if wired.dials[at][2] is Input.COUNTER_DISCONNECTED:
                 dials += 1
                 wired.fails(at)
     assert dials <= calls + 20 * len(lines)
@@ -429,7 +430,7 @@
     counted(wired, lines)
     gone.link.connectionLost()
     next(host for host in hosts if b"API" in host.took()[-200:]).link.connectionLost()
-    assert not wired.dials and not wired.reducer.errands and wired.reducer.held == 0
+    assert not wired.dials and not wired.reducer.requests and wired.reducer.held == 0
 
 
 def test_more_than_the_memory_holds_is_deferred_and_more_than_the_sockets_hold_makes_room():
@@ -490,7 +491,7 @@
         assert client.took().startswith(b"-ERR ") and client.closed == "closed", some
         assert not wired.reducer.customers and not any(line.written for line in lines)
         client.link.dataReceived(command(b"API.READ", b"00000000000000a1", b"7", right))
-        assert not client.written and not wired.reducer.errands  # nothing behind it is read
+        assert not client.written and not wired.reducer.requests  # nothing behind it is read
 
 
 def test_the_id_of_a_task_in_hand_is_refused_to_another_and_free_afterwards():
@@ -517,13 +518,15 @@
     for version in range(2, 50):  # new ones come and go
         listing = wired.listing(version, 1, "in_service" if version % 2 else "terminated", False)
         names = [entry._replace(name=f"x{version // 2}") for entry in listing.entries]
-        wired.tell("listed", reducer.watch, listing._replace(entries=names))
-    wired.tell("listed", reducer.watch, wired.listing(50, 2, "terminated"))
-    assert len(reducer.places) == len(reducer.gateway.fleet.known) == 1
+        wired.tell(Input.ENDPOINTS_RECEIVED, reducer.watch, listing._replace(entries=names))
+    wired.tell(Input.ENDPOINTS_RECEIVED, reducer.watch, wired.listing(50, 2, "terminated"))
+    assert len(reducer.endpoints) == len(reducer.gateway.fleet.known) == 1
     host.link.dataReceived(VALUE)
-    wired.tell("listed", reducer.watch, wired.listing(51, 2, "terminated", False))
-    assert client.took() == VALUE and not reducer.places and not reducer.gateway.fleet.known
-    assert all(wake.name or not wake.what for wake in wired.wakes)  # no task is kept by what it was woken for
+    wired.tell(Input.ENDPOINTS_RECEIVED, reducer.watch, wired.listing(51, 2, "terminated", False))
+    assert client.took() == VALUE and not reducer.endpoints and not reducer.gateway.fleet.known
+    assert all(
+        timer.input or not timer.arguments for timer in wired.timers
+    )  # no task is kept by what it was woken for
     for _ in range(100):
         wired.pass_ms(1000)
         wired.ask(wired.client(), customer=wired.next_id % 1000)
@@ -594,14 +597,14 @@
             elif what == 6:
                 state = chance.choice(("in_service", "terminating", "terminated"))
                 listing = wired.listing(3, chance.randrange(4), state, chance.random() < 0.3)
-                wired.tell("listed", wired.reducer.watch, listing)
+                wired.tell(Input.ENDPOINTS_RECEIVED, wired.reducer.watch, listing)
             elif what == 7:
                 chance.choice(lines).link.dataReceived(chance.choice((b"$1\r\n3\r\n", b"-BUSY\r\n")))
             while wired.dials and chance.random() < 0.8:
                 line = wired.comes_up()
                 if isinstance(line.link, HostLink):
                     hosts.append(line)
-            out = Counter(attempt.request for attempt in wired.reducer.lanes)
+            out = Counter(attempt.request for attempt in wired.reducer.host_connections)
             assert not out or max(out.values()) == 1  # never two out
             for line in [line for line in asked if line.written]:
                 assert line.written_at <= asked.pop(line)
@@ -609,7 +612,11 @@
                 answered.append((line, line.written))
                 assert line.written in (VALUE, b"-BUSY\r\n", b"-ERR failed\r\n")
         assert not asked and all(line.written == said for line, said in answered)  # nothing after the answer
-        assert not wired.reducer.errands and not wired.reducer.lanes and not wired.counts["forgotten"]
+        assert (
+            not wired.reducer.requests
+            and not wired.reducer.host_connections
+            and not wired.counts["forgotten"]
+        )
         assert wired.reducer.held == 0
 
 
@@ -660,11 +667,15 @@
         {"instanceId": "h0", "hostPort": "127.0.0.1:0", "lifecycle": "terminating"},
         {"instanceId": "h1", "hostPort": "127.0.0.1:1", "lifecycle": "in_service"},
     ]
-    wired.tell("listed", wired.reducer.watch, listing({"generation": 2, "reset": True, "instances": entries}))
+    wired.tell(
+        Input.ENDPOINTS_RECEIVED,
+        wired.reducer.watch,
+        listing({"generation": 2, "reset": True, "instances": entries}),
+    )
     assert wired.reducer.state == "serving"
     while any(b"TALLY" in line.written for line in lines):
         counted(wired, lines)
-    places = {lane.place.address for _, lane, _ in wired.dials}
+    places = {connection.endpoint.address for _, connection, _ in wired.dials}
     assert places == {"127.0.0.1:1"}
 
 
@@ -684,7 +695,7 @@
 
 
 def watch_dials(wired):
-    return [n for n, (_, _, down) in enumerate(wired.dials) if down == "watch down"]
+    return [n for n, (_, _, down) in enumerate(wired.dials) if down is Input.WATCH_DISCONNECTED]
 
 
 def test_an_overbooked_discovery_is_asked_ever_less_often_and_as_before_once_it_answers():
--- a/tests/service/test_race_conditions.py
+++ b/tests/service/test_race_conditions.py
@@ -9,6 +9,7 @@
 from fake_gateway import BORN
 from loopback import VALUE, WATCHED, Peer, Server, answer, chunk
 
+from granitedock.service.inputs import Input
 from granitedock.service.resp import command
 
 PING = command(b"PING")
@@ -155,7 +156,7 @@
     with pytest.raises(ConnectionRefusedError):  # before the loop turns again: none is taken and then reset
         socket.create_connection(gate.listen)
     gate.turn()
-    assert gate.left or gate.reducer.callers == {}
+    assert gate.left or gate.reducer.clients == {}
 
 
 def test_signals_that_come_before_the_loop_runs_act_once_it_does(live, tmp_path):
@@ -222,8 +223,10 @@
     gate.release()
     host = gate.at_host()
     assert host.read() == b"" and host.ended and gate.reducer.counts["unwanted"] == 1
-    assert not gate.reducer.errands and not gate.reducer.lanes
-    assert all(it.health.state == "trusted" and not it.health.failures for it in gate.reducer.places.values())
+    assert not gate.reducer.requests and not gate.reducer.host_connections
+    assert all(
+        it.health.state == "trusted" and not it.health.failures for it in gate.reducer.endpoints.values()
+    )
 
 
 def test_no_further_attempt_begins_for_a_client_that_left_during_the_first(live):
@@ -260,7 +263,7 @@
 def choke(gate, client):
     """Answers that the client does not read fill the way until the gateway holds some; how many."""
     asked = 0
-    while not next(iter(gate.reducer.callers)).choked:
+    while not next(iter(gate.reducer.clients)).choked:
         host = out_at_host(gate, client, "read")
         host.send(BIG)
         gate.turn()
@@ -279,7 +282,7 @@
     assert gate.at_host() is None
     client.sock.shutdown(socket.SHUT_WR)
     gate.turn()
-    assert not gate.reducer.callers and gate.reducer.held == 0
+    assert not gate.reducer.clients and gate.reducer.held == 0
 
 
 def test_a_slow_reader_whose_connection_is_to_end_gets_all_of_its_answer(live):
@@ -418,7 +421,7 @@
 
 
 def hosts_known(gate):
-    return sorted(place.address for place in gate.reducer.places.values())
+    return sorted(place.address for place in gate.reducer.endpoints.values())
 
 
 def test_lists_may_come_indented_in_pieces_and_with_empty_lines_between(live):
@@ -471,7 +474,7 @@
 def test_an_answer_of_discovery_that_is_none_is_named_counted_and_costs_its_own_watch_only(live, said):
     gate = live()
     client = gate.client()
-    gate.service.tell("moved", False, True)
+    gate.service.tell(Input.ADDRESSES_CHANGED, False, True)
     gate.turn()
     gate.watch().send(said)
     gate.turn()
@@ -535,7 +538,7 @@
     for _ in range(100):
         idle.append(Peer(socket.create_connection(gate.listen)))
         gate.turn(1)
-    assert gate.reducer.full and len(gate.reducer.callers) < gate.limits.client_over
+    assert gate.reducer.full and len(gate.reducer.clients) < gate.limits.client_over
     for peer in gate.counter_peers:
         peer.close()  # the counter's connections break: dialled again
     gate.counter_peers = []
