--- a/granitedock/commands/gateway.py
+++ b/granitedock/commands/gateway.py
@@ -81,9 +81,9 @@
             limits = load(config).over(limits)
         shown = {
             "limits": limits,
-            "seat": platform_settings.seat(int(record["seed"], 16), born),
-            "leave": platform_settings.leave(born),
-            "cold": platform_settings.cold(born),
+            "seat": platform_settings.identity(int(record["seed"], 16), born),
+            "leave": platform_settings.permitted_features(born),
+            "cold": platform_settings.slow_start(born),
             "products": platform_settings.request_classes(born),
             "plans": platform_settings.plans(born),
         }
--- a/granitedock/configuration/gateway.py
+++ b/granitedock/configuration/gateway.py
@@ -32,7 +32,7 @@
     def __init__(self, reducer: Any, clock: Any) -> None:
         self.reducer, self.clock = reducer, clock
         self.transitions = Transitions()
-        reducer.gateway.open_book = self.transitions.open_book
+        reducer.gateway.rate_limiter.open_account = self.transitions.open_account
 
     def keep(self, section: Section, record: Record) -> Entry:
         try:
@@ -94,15 +94,11 @@
             self.transitions.changed(reducer.plans.pop(name), now)
         if moved:
             reducer.gateway.advance_clock(now)
-            for customer in reducer.gateway.accounts:
+            for customer in reducer.gateway.rate_limiter.accounts:
                 if (plan := moved.get(customer.account.plan.name)) is not None:
                     customer.account = carried(customer.account, plan, now)
 
     def put_classes(self, classes: dict[str, RequestClass]) -> None:
         """The process's own end (`limits.leave_ms`) stays by the classes that it began with."""
         self.reducer.request_classes = classes
-        fleet = self.reducer.gateway.fleet
-        fleet.request_classes[:] = classes.values()
-        fleet.latency_objective_ms = min(
-            request_class.latency_objective_ms for request_class in fleet.request_classes
-        )
+        self.reducer.gateway.load_balancer.set_request_classes(list(classes.values()))
--- a/granitedock/configuration/windows.py
+++ b/granitedock/configuration/windows.py
@@ -3,18 +3,18 @@
 Names of counts follow from the window's number, so a plan whose window's length changes is counted under
 other names from then on, and while versions differ half of the fleet counts under each. So a plan keeps its
 window over a change of rate or burst as long as the window fits: between one and four fillings of the burst,
-where a new plan gets two (`policy/decisions.py`). Then all gateways go on with the same totals, whichever
+where a new plan gets two (`policy/quota_account.py`). Then all gateways go on with the same totals, whichever
 version they have, and the more generous of both versions bounds the sum."""
 
 from __future__ import annotations
 
 from granitedock.configuration.change_form import WINDOW
 from granitedock.configuration.document import Record
-from granitedock.policy.decisions import LONGEST_NAME_MS, NAMES_LAST, WINDOW_OF_BURST
+from granitedock.policy.quota_account import MAX_NAME_TTL_MS, NAME_TTL_WINDOWS, WINDOW_BURST_FILLS
 from granitedock.policy.types import Plan
 
 LEAST_WINDOW_MS = 1000.0
-LONGEST_WINDOW_MS = LONGEST_NAME_MS / NAMES_LAST
+LONGEST_WINDOW_MS = MAX_NAME_TTL_MS / NAME_TTL_WINDOWS
 LEAST_FILLINGS, MOST_FILLINGS = 1.0, 4.0  # of the burst in a window that is kept
 
 
@@ -30,7 +30,7 @@
 
 def new_window_ms(record: Record) -> float:
     """The window of a plan that has none yet, as the decisions would have it."""
-    return bounded(WINDOW_OF_BURST * filling_ms(record))
+    return bounded(WINDOW_BURST_FILLS * filling_ms(record))
 
 
 def window_ms(record: Record, before: Record | None) -> float:
@@ -51,4 +51,4 @@
     """The window that the decisions give this plan."""
     if plan.window_ms:
         return plan.window_ms
-    return bounded(WINDOW_OF_BURST * plan.burst / plan.rate if plan.rate > 0 else LONGEST_WINDOW_MS)
+    return bounded(WINDOW_BURST_FILLS * plan.burst / plan.rate if plan.rate > 0 else LONGEST_WINDOW_MS)
--- a/granitedock/lab/plansim.py
+++ b/granitedock/lab/plansim.py
@@ -35,7 +35,7 @@
         super().__init__(fleet, node, shared, viewed)
         self.plans = {offer.plan.name: offer.plan for offer in fleet.offers.values()}
         self.request_classes = {
-            request_class.name: request_class for request_class in self.gateway.fleet.request_classes
+            request_class.name: request_class for request_class in self.gateway.load_balancer.request_classes
         }
         self.configuration = GatewayConfiguration(self, fleet.unix)
 
--- a/granitedock/lab/scale/events.py
+++ b/granitedock/lab/scale/events.py
@@ -13,7 +13,7 @@
 EVENT_HEADS = ("event", "who sends what to whom", "the peak", "until all is well", "not measured")
 RACK_GATEWAYS = 25
 CUT_S = 3600.0
-HOST_FAILURES = 3  # in a row, then a gateway sets a host aside (`policy/decisions.py`)
+HOST_FAILURES = 3  # in a row, then a gateway sets a host aside (`policy/outlier_ejection.py`)
 REDIAL_MOST_S, DIAL_S = 1.5, 1.0  # of a follower (`configuration/follower.py`, `link.py`)
 
 
--- a/granitedock/lab/scale/hosts.py
+++ b/granitedock/lab/scale/hosts.py
@@ -69,11 +69,11 @@
     memory = allocated_bytes(lambda: filled(whole)) / MIB
     change_ms = cpu_ms(lambda: machine.entries(listing(orjson.loads(change))))
     sweep_ms = cpu_ms(machine.sweep)
-    fleet = machine.gateway.fleet
+    load_balancer = machine.gateway.load_balancer
 
     def look_round() -> None:
-        fleet.look_at = fleet.now
-        fleet.look_round()
+        load_balancer.refresh_at = load_balancer.now
+        load_balancer.refresh_if_due()
 
     look_round_ms = cpu_ms(look_round)
     return HostCost(
--- a/granitedock/lab/scale/plans.py
+++ b/granitedock/lab/scale/plans.py
@@ -12,7 +12,7 @@
 from granitedock.lab.scale.platform import platform_file
 from granitedock.lab.scale.probe import MIB, allocated_bytes, cpu_ms
 from granitedock.platform_file import load
-from granitedock.policy.decisions import QuotaAccount
+from granitedock.policy.quota_account import QuotaAccount
 from granitedock.policy.types import Customer
 
 BOOKS = 10_000
--- a/granitedock/lab/sharesim.py
+++ b/granitedock/lab/sharesim.py
@@ -84,11 +84,11 @@
             self.names = [me.name]
             self.judge = Judge(me.name, me.born, Weights(), lambda: self.names)
             self.judge.listed(self.hosts, fleet.unix())
-            self.gateway.fleet.judged = self.judge
+            self.gateway.load_balancer.ejection.detector = self.judge
         self.customers: dict[int, Customer] = {}
         self.shared = Shared(node.part, fleet.bounds) if shared else None
-        self.gateway.shared = self.shared
-        self.gateway.peers = self if viewed else None
+        self.gateway.rate_limiter.quota_sharing = self.shared
+        self.gateway.rate_limiter.membership = self if viewed else None
 
     def active_members(self, first: int, spread: int) -> int:
         return self.part.active_members(self.fleet.now, first, spread)
--- a/granitedock/model_checking/canon.py
+++ b/granitedock/model_checking/canon.py
@@ -21,7 +21,10 @@
 PLAIN = frozenset({int, float, str, bytes, bool, type(None)})
 LISTS = frozenset({list, tuple, deque})
 LEFT_OUT = frozenset(
-    "counts diary doors limits leave cold seat effects log world gate wakes made products plans known".split()
+    (
+        "counts diary doors limits leave cold seat effects log world gate wakes made products plans known"
+        " permitted settings"
+    ).split()
 )
 _fields: dict[type, tuple[str, ...]] = {}
 
@@ -59,7 +62,7 @@
         out.append(thing.name)
     elif kind is RollingWindow:
         if thing.newest >= 0:
-            out.append((thing.newest, tuple(thing.stamps), tuple(thing.cells)))
+            out.append((thing.newest, tuple(thing.bucket_numbers), tuple(thing.bucket_sums)))
     elif isinstance(thing, Enum):
         out.append(thing.name)
     elif kind is set or kind is frozenset:
--- a/granitedock/model_checking/gateways.py
+++ b/granitedock/model_checking/gateways.py
@@ -196,8 +196,8 @@
         # Its customers are kept by weak references, which no copy of a state keeps.
         self.reducer.customers = {}
         reducer = self.reducer
-        parts = [("limits", reducer.limits), ("leave", reducer.gateway.leave)]
-        parts += [("cold", reducer.gateway.fleet.cold), ("seat", reducer.gateway.fleet.seat)]
+        parts = [("limits", reducer.limits), ("permitted", reducer.gateway.permitted)]
+        parts += [("slow start", reducer.gateway.load_balancer.slow_start.settings)]
         parts += [
             *reducer.request_classes.items(),
             *(("plan " + name, plan) for name, plan in reducer.plans.items()),
--- a/granitedock/platform_settings.py
+++ b/granitedock/platform_settings.py
@@ -1,13 +1,17 @@
-"""What a gateway is born with, decoded into our words, for the simulator's adapter and for the service."""
+"""A gateway's settings, decoded into the policy's types, for the simulator's adapter and for the service.
+
+The record's keys are the platform's words; they stay here.
+"""
 
 from __future__ import annotations
 
 from typing import Any
 
-from granitedock.policy.decisions import Gateway
+from granitedock.policy.gateway import Gateway
 from granitedock.policy.ports import EffectHandler
 from granitedock.policy.types import (
     GatewayIdentity,
+    GatewaySettings,
     Idempotency,
     IdempotencyScope,
     PermittedFeatures,
@@ -16,21 +20,27 @@
     SlowStart,
 )
 
-KINDS = {"safe": Idempotency.IDEMPOTENT, "keyed": Idempotency.KEYED, "unsafe": Idempotency.NON_IDEMPOTENT}
+Record = dict[str, Any]  # a JSON object of the platform's
+
+IDEMPOTENCY = {
+    "safe": Idempotency.IDEMPOTENT,
+    "keyed": Idempotency.KEYED,
+    "unsafe": Idempotency.NON_IDEMPOTENT,
+}
 PER_MS = 0.001
 
 
-def number(record: dict[str, Any], key: str) -> float:
-    """A number of the record; absent and null read as nought."""
+def number(record: Record, key: str) -> float:
+    """A number of the record; absent and null read as 0."""
     value = record.get(key)
     return 0.0 if value is None else float(value)
 
 
-def request_class(record: dict[str, Any]) -> RequestClass:
+def request_class(record: Record) -> RequestClass:
     """A request class of the settings."""
     return RequestClass(
         name=record["Name"],
-        kind=KINDS[record["Repeat"]],
+        kind=IDEMPOTENCY[record["Repeat"]],
         group=IdempotencyScope(record.get("DedupScope") or "all"),
         idempotency_window_ms=number(record, "WindowMs"),
         latency_objective_ms=number(record, "TargetMs"),
@@ -41,13 +51,14 @@
     )
 
 
-def request_classes(born: dict[str, Any]) -> list[RequestClass]:
-    return [request_class(record) for record in born["Lanes"]]
+def request_classes(settings: Record) -> list[RequestClass]:
+    """All request classes of the settings."""
+    return [request_class(record) for record in settings["Lanes"]]
 
 
-def plan(record: dict[str, Any], window_ms: float = 0.0) -> Plan:
-    """A plan of the settings; numbers that are absent or null read as nought. Said without further calls, as
-    a deployment has some ten thousands. `window_ms` as in `Plan`."""
+def plan(record: Record, window_ms: float = 0.0) -> Plan:
+    """A plan of the settings; numbers that are absent or null read as 0. Written without further calls, as a
+    deployment has some ten thousands. `window_ms` as in `Plan`."""
     field = record.get
     return Plan(
         name=record["Name"],
@@ -64,12 +75,14 @@
     )
 
 
-def plans(born: dict[str, Any]) -> list[Plan]:
-    return [plan(record) for record in born["Tariffs"]]
+def plans(settings: Record) -> list[Plan]:
+    """All plans of the settings."""
+    return [plan(record) for record in settings["Tariffs"]]
 
 
-def leave(born: dict[str, Any]) -> PermittedFeatures:
-    allowed = born["Allowed"]
+def permitted_features(settings: Record) -> PermittedFeatures:
+    """What the deployment allows a gateway to do."""
+    allowed = settings["Allowed"]
     return PermittedFeatures(
         max_attempts=int(number(allowed, "MaxAttempts")),
         hedged_requests=bool(allowed.get("SecondCopies")),
@@ -79,8 +92,9 @@
     )
 
 
-def cold(born: dict[str, Any]) -> SlowStart:
-    safety = born["Safety"]
+def slow_start(settings: Record) -> SlowStart:
+    """What hosts that have just started can do."""
+    safety = settings["Safety"]
     return SlowStart(
         initial_capacity_share=number(safety, "ColdFrom"),
         warm_up_ms=number(safety, "ColdMs"),
@@ -89,16 +103,28 @@
     )
 
 
-def seat(seed: int, born: dict[str, Any]) -> GatewayIdentity:
-    return GatewayIdentity(seed, int(number(born, "Me")), max(1, int(number(born, "Balancers"))))
+def identity(seed: int, settings: Record) -> GatewayIdentity:
+    """The gateway's own number, among how many."""
+    return GatewayIdentity(seed, int(number(settings, "Me")), max(1, int(number(settings, "Balancers"))))
 
 
-def has_counter(born: dict[str, Any]) -> bool:
-    return bool((born.get("Specifics") or {}).get("Counter"))
+def has_counter(settings: Record) -> bool:
+    """Whether the deployment has a counter."""
+    return bool((settings.get("Specifics") or {}).get("Counter"))
 
 
 def gateway(
-    door: EffectHandler, now: float, seed: int, born: dict[str, Any], goods: list[RequestClass]
+    effects: EffectHandler, now: float, seed: int, settings: Record, classes: list[RequestClass]
 ) -> Gateway:
-    """The decisions of one gateway."""
-    return Gateway(door, now, seat(seed, born), goods, leave(born), cold(born), has_counter(born))
+    """The decisions of one gateway; it keeps the list of request classes."""
+    return Gateway(
+        effects,
+        now,
+        GatewaySettings(
+            identity=identity(seed, settings),
+            request_classes=classes,
+            permitted=permitted_features(settings),
+            slow_start=slow_start(settings),
+            has_counter=has_counter(settings),
+        ),
+    )
--- a/granitedock/policy/ports.py
+++ b/granitedock/policy/ports.py
@@ -1,6 +1,6 @@
 """The ports of the policy: what a gateway's decisions ask of their surroundings.
 
-`EffectHandler` carries the decisions out; the others are optional sources of news from other gateways, which
+`EffectHandler` carries the decisions out; the others are optional sources of what other gateways know, which
 may lower what this gateway sends and never raise it.
 """
 
@@ -12,7 +12,7 @@
 
 
 class MembershipPort(Protocol):
-    """What the decisions may ask of a view of the other gateways, where there is one."""
+    """A view of the other gateways."""
 
     def active_members(self, subset_start: int, subset_size: int) -> int:
         """By how many an even share is divided in the subset of `subset_size` gateways from `subset_start`:
@@ -21,15 +21,15 @@
 
 
 class QuotaSharingPort(Protocol):
-    """What the decisions tell and ask of units that gateways let in without the counter, where those are
-    shared. Windows are the customer's, by number; units of one window stay in it."""
+    """Units that gateways admitted without the counter, where they tell each other. Windows are the
+    customer's, by number; units of one window stay in it."""
 
     def record_uncounted(self, customer: int, window: int, quota: SharedQuota, units: float) -> None:
-        """This gateway let them in, and the counter does not know of them."""
+        """Of this gateway's own, admitted while the counter does not know of them."""
         ...
 
     def carry_over(self, customer: int, window: int) -> float:
-        """What this gateway let in uncounted before it started again, given once."""
+        """What this gateway admitted uncounted before it started again, given once."""
         ...
 
     def reconcile(self, customer: int, window: int, units: float) -> None:
@@ -37,46 +37,63 @@
         ...
 
     def uncounted_elsewhere(self, customer: int, window: int, quota: SharedQuota, now: float) -> float:
-        """Units that others let in, or may have, beyond the counter's total; 0 or more."""
+        """Units that others admitted, or may have, beyond the counter's total; 0 or more."""
         ...
 
     def counter_call_finished(self, call: CounterCall, outcome: Outcome, total: float) -> None:
-        """A call came back; one that was its own says who shows at the counter."""
+        """A call ended; one that was this port's own says which gateways reach the counter."""
         ...
 
 
 class OutlierDetectionPort(Protocol):
-    """What the decisions tell and ask of hosts where gateways tell each other what they know of them. It only
-    ever takes work away from a host."""
+    """What gateways tell each other of hosts. It only ever takes requests away from a host."""
 
-    def attempt_started(self, host: Host) -> None: ...
+    def attempt_started(self, host: Host) -> None:
+        """An attempt goes to this host."""
+        ...
 
     def attempt_finished(
         self, host: Host, outcome: Outcome, took_ms: float, latency_objective_ms: float, now: float
-    ) -> None: ...
+    ) -> None:
+        """An attempt there ended."""
+        ...
 
     def is_ejected(self, host: Host, risky: bool, now: float) -> bool:
-        """Whether others' evidence keeps it from a task; `risky` is one that could not be sent again."""
+        """Whether others' observations keep it from a request; `risky` is one that may not be sent again."""
         ...
 
     def may_probe(self, host: Host, now: float) -> bool:
-        """Whether this gateway is among those who ask a host that was set aside."""
+        """Whether this gateway is among those that try an ejected host."""
         ...
 
 
 class EffectHandler(Protocol):
-    """What a gateway can do to the world."""
+    """Carries a gateway's decisions out."""
 
-    def send_attempt(self, attempt: Attempt, attempt_deadline: float | None) -> None: ...
+    def send_attempt(self, attempt: Attempt, attempt_deadline: float | None) -> None:
+        """Send the request to the attempt's host; end it at this moment, if any, before its own deadline."""
+        ...
 
-    def reject(self, request: Request, retry_after_ms: float | None) -> None: ...
+    def reject(self, request: Request, retry_after_ms: float | None) -> None:
+        """Answer that it was not done and may be tried again, after this time if any."""
+        ...
 
-    def fail(self, request: Request) -> None: ...
+    def fail(self, request: Request) -> None:
+        """Answer with an error: it may have run."""
+        ...
 
-    def cancel(self, attempt: Attempt) -> None: ...
+    def cancel(self, attempt: Attempt) -> None:
+        """End the attempt; `attempt_finished` follows."""
+        ...
 
-    def call_counter(self, call: CounterCall) -> None: ...
+    def call_counter(self, call: CounterCall) -> None:
+        """Send the increment; `counter_call_finished` follows."""
+        ...
 
-    def start_timer(self, after_ms: float, why: object) -> None: ...
+    def start_timer(self, after_ms: float, why: object) -> None:
+        """Call `timer_fired(why)` after this time."""
+        ...
 
-    def log_decision(self, line: str) -> None: ...
+    def log_decision(self, line: str) -> None:
+        """Log a change of state in words."""
+        ...
--- a/granitedock/policy/types.py
+++ b/granitedock/policy/types.py
@@ -1,35 +1,37 @@
 """The types that the policy and its callers exchange.
 
 Times are milliseconds with fractions (Unix time where a moment is meant), rates are units a millisecond. The
-objects refer to each other; ids on any wire are the caller's own affair.
+objects refer to each other; ids on any wire are the caller's own matter.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from enum import Enum
 from typing import Any
 
+from granitedock.policy.states import RequestState
+from granitedock.state_table import StateEnum
 
-class Idempotency(Enum):
-    """What a repeat of a product's task does."""
+
+class Idempotency(StateEnum):
+    """What a repeat of a request does."""
 
     IDEMPOTENT = "harmless"
     KEYED = "stamped"
     NON_IDEMPOTENT = "one-shot"
 
 
-class IdempotencyScope(Enum):
-    """The hosts that drop repeats of a stamped task."""
+class IdempotencyScope(StateEnum):
+    """The hosts that drop repeats of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
 
 
-class Outcome(Enum):
-    """How a forward or a call to the counter ended. A call that ended by error was added, and no total came;
-    one that ended by reset may have been."""
+class Outcome(StateEnum):
+    """How an attempt or a counter call ended. A call that ended by error was added, and no total came; one
+    that ended by reset may have been. The values are the words of `INFO`'s counters."""
 
     DONE = "done"
     ERROR = "error"
@@ -41,8 +43,8 @@
     ABANDONED = "moot"
 
 
-class EndpointStatus(Enum):
-    """What the roster says of a host."""
+class EndpointStatus(StateEnum):
+    """What the endpoint list says of a host."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -51,6 +53,8 @@
 
 @dataclass(frozen=True, eq=False, slots=True)
 class RequestClass:
+    """A kind of requests: what a repeat does, and what an answer is worth in time and late."""
+
     name: str
     kind: Idempotency
     group: IdempotencyScope
@@ -64,6 +68,8 @@
 
 @dataclass(frozen=True, eq=False, slots=True)
 class Plan:
+    """A quota. The ceiling is hard, and none where its rate is 0; weights are by unit."""
+
     name: str
     rate: float
     burst: float
@@ -74,7 +80,7 @@
     ceiling_rate: float
     ceiling_burst: float
     ceiling_slack: float
-    window_ms: float = 0.0  # of its counts, where it was kept over a change of the plan; 0: by burst and rate
+    window_ms: float = 0.0  # counting window, where kept over a change of the plan; 0: by burst and rate
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayIdentity:
-    """A gateway's place among the gateways, and the seed of its chances."""
+    """A gateway's number among the gateways, and the seed of its random draws."""
 
     seed: int
     number: int
@@ -99,7 +105,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStart:
-    """What is known of a host that has just started, and what pushes it over."""
+    """What a host that has just started can do, and what overloads it: `overload_factor` times that for the
+    interval."""
 
     initial_capacity_share: float
     warm_up_ms: float
@@ -107,26 +114,43 @@
     overload_interval_ms: float
 
 
+@dataclass(frozen=True, slots=True)
+class GatewaySettings:
+    """What a gateway is told at its start."""
+
+    identity: GatewayIdentity
+    request_classes: list[RequestClass]
+    permitted: PermittedFeatures
+    slow_start: SlowStart
+    has_counter: bool
+
+
 @dataclass(eq=False, slots=True)
 class Host:
+    """An endpoint, as listed; `size` is its registered size."""
+
     size: float = 1.0
     make: str = ""
     zone: str = ""
     cell: int = 0
     started_at: float = 0.0
     status: EndpointStatus = EndpointStatus.READY
-    health: Any = None  # the decisions' own notes on this host
-    name: str = ""  # the carrier's, to tell other gateways; the decisions make nothing of it
+    health: Any = None  # the policy's `HostHealth`, opaque to others
+    name: str = ""  # the carrier's, to tell other gateways; no decision reads it
 
 
 @dataclass(eq=False, slots=True, weakref_slot=True)
 class Customer:
+    """`key` is the same at every gateway."""
+
     key: int
-    account: Any = None  # the decisions' own notes on this customer
+    account: Any = None  # the policy's `QuotaAccount`, opaque to others
 
 
 @dataclass(eq=False, slots=True)
 class Request:
+    """One that waits for its answer; its client comes through `subset_size` gateways in a row."""
+
     request_class: RequestClass
     plan: Plan
     customer: Customer
@@ -134,16 +158,16 @@
     deadline: float
     units: float
     subset_size: int
-    state: str = "new"
+    state: RequestState = RequestState.NEW
     attempts: list[Attempt] = field(default_factory=list)
     in_flight: int = 0
     counter_call: CounterCall | None = None
-    subset_start: int = 0  # the first of the `subset_size` gateways in a row that the customer comes through
+    subset_start: int = 0  # number of the first of those gateways
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One sending of a task to a host; it stands in the task's list at its own number."""
+    """One sending of a request to a host; it stands in the request's list at its own number."""
 
     request: Request
     host: Host
@@ -155,7 +179,7 @@
 
 @dataclass(eq=False, slots=True)
 class CounterCall:
-    """One add to a named count."""
+    """One increment of a named count."""
 
     customer: Customer
     name: int
@@ -167,14 +191,14 @@
     timed_out: bool = False
     answered: bool = False
     applied: bool = False
-    # Where uncounted units are shared: those that ride on this add, and its own task's, let in without it.
+    # Where uncounted units are shared: those that go with it, and its own request's if admitted without it.
     carried: float = 0.0
     recorded_uncounted: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """One line of the roster."""
+    """One line of the endpoint list."""
 
     host: Host
     size: float
@@ -187,7 +211,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedQuota:
-    """A customer's plan, the set it comes through, and the length of its windows."""
+    """A customer's plan, the subset of gateways that serves it, and the length of its windows."""
 
     plan: Plan
     subset_start: int
--- a/granitedock/service/event_loop.py
+++ b/granitedock/service/event_loop.py
@@ -253,12 +253,12 @@
         link = FleetLink(told, name, born, int(BEGAN_MS), self.reactor, self.log)
         self.doors.leaving.append(link.leave)
         self.reducer.shown[b"FLEET"] = link.shown
-        self.reducer.gateway.peers = link
+        self.reducer.gateway.rate_limiter.membership = link
         if told.shared.enabled:
-            self.reducer.gateway.shared = link.share(self.clock, self.tell)
+            self.reducer.gateway.rate_limiter.quota_sharing = link.share(self.clock, self.tell)
         if told.hosts.enabled:
             judge = link.judgement(self.clock, self.tell, lambda: self.reducer.watch.version)
-            self.reducer.gateway.fleet.judged = self.reducer.judge = judge
+            self.reducer.gateway.load_balancer.ejection.detector = self.reducer.judge = judge
             self.reducer.shown[b"HOSTS"] = link.shown_hosts
         return link
 
--- a/granitedock/service/reducer.py
+++ b/granitedock/service/reducer.py
@@ -14,6 +14,7 @@
 from weakref import WeakValueDictionary
 
 from granitedock import platform_settings
+from granitedock.policy.states import RequestState
 from granitedock.policy.types import (
     Attempt,
     CounterCall,
@@ -249,7 +250,7 @@
             self.entries(self.known)
             self.watch.version = self.known.version
         self.discovery.due()
-        if self.gateway.has_counter:
+        if self.gateway.rate_limiter.has_counter:
             for number in range(self.limits.counter_links):
                 self.wire(number)
         self.lifecycle.begin()
@@ -483,14 +484,12 @@
 
     def refuse(self, errand: Errand) -> None:
         """The decisions give it up, as one never forwarded."""
-        self.gateway.account(errand).turn(self.now)
-        errand.state = "over"
-        self.gateway.give_up(errand)
+        self.gateway.refuse(errand)
 
     def forgotten(self, errand: Errand) -> None:
         self.counts["forgotten"] += 1
-        self.diary.event("forgotten", state=errand.state, attempts=len(errand.attempts))
-        errand.state = "over"
+        self.diary.event("forgotten", state=errand.state.value, attempts=len(errand.attempts))
+        errand.state = RequestState.FINISHED
         self.fail(errand)
 
     def choked(self, caller: Caller) -> None:
@@ -929,7 +928,7 @@
         for name, place in list(self.places.items()):
             if place.idle and place.status is not EndpointStatus.READY:
                 self.suspect(place)
-            if place.status is EndpointStatus.GONE and not place.health.outs:
+            if place.status is EndpointStatus.GONE and not place.health.in_flight:
                 del self.places[name]  # guards the memory, as hosts come and go under new names
         if self.judge is not None:
             self.judge.listed(self.places, self.now)
--- a/granitedock/simulator_adapter/pipe.py
+++ b/granitedock/simulator_adapter/pipe.py
@@ -14,6 +14,7 @@
 import orjson
 
 from granitedock import platform_settings
+from granitedock.policy.states import RequestState
 from granitedock.policy.types import (
     Attempt,
     CounterCall,
@@ -177,7 +178,7 @@
 
     def release(self, request: Request) -> None:
         """Forget a task once it is over and none of its forwards can come back."""
-        if request.state == "over" and not request.in_flight and request in self.jobs:
+        if request.state is RequestState.FINISHED and not request.in_flight and request in self.jobs:
             del self.requests[self.jobs.pop(request)]
 
     def started(self, job: int, number: int, _address: str, _took_ms: float) -> None:
--- a/granitedock/state_table.py
+++ b/granitedock/state_table.py
@@ -7,8 +7,16 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
+from enum import Enum
 from typing import Any
 
+
+class StateEnum(Enum):
+    """States and events. Members hash by identity: Enum's own hash is slow, and each request reads tables."""
+
+    __hash__ = object.__hash__
+
+
 Table = Mapping[tuple[Any, Any], tuple[Any, str | None]]
 
 
--- a/tests/configuration/test_plan_changes.py
+++ b/tests/configuration/test_plan_changes.py
@@ -7,7 +7,8 @@
 from granitedock.configuration.windows import window_of, with_window
 from granitedock.lab.plansim import PlanChange, PlanFleet, worst_part
 from granitedock.lab.sharesim import Offer
-from granitedock.policy.decisions import QuotaAccount, TokenBucket
+from granitedock.policy.quota_account import QuotaAccount
+from granitedock.policy.token_bucket import TokenBucket
 from granitedock.policy.types import Customer, Outcome, Plan
 
 FROM_MS, HEARD_MS, AFTER_MS = 15_000.0, 5_000.0, 12_000.0
@@ -44,7 +45,7 @@
 def fresh_books(desk, new):
     """As if nothing was carried over."""
     desk.plans[new.name] = new
-    for customer in desk.gateway.accounts:
+    for customer in desk.gateway.rate_limiter.accounts:
         customer.account = QuotaAccount(new, customer.account.subset_size, desk.fleet.unix())
 
 
@@ -66,17 +67,17 @@
 def used_up(before, now=100_000.0):
     """A book whose customer has taken its whole burst."""
     account = QuotaAccount(before, 2, now)
-    account.turn(now)
-    account.spell, account.seen_at, account.in_flight = before.burst, now, 3
+    account.advance_window(now)
+    account.burst_usage, account.burst_usage_at, account.in_flight = before.burst, now, 3
     return account
 
 
 def test_the_count_goes_on_under_the_same_names_where_the_window_is_kept():
     before, after = plan(20, 40), plan(30, 40, 4000.0)
     account = used_up(before)
-    account.current, account.previous, account.debt = 33.0, 21.0, 2.0
+    account.current, account.previous, account.refund_owed = 33.0, 21.0, 2.0
     made = carried(account, after, 100_000.0)
-    assert (made.window_ms, made.window, made.current, made.previous, made.debt) == (
+    assert (made.window_ms, made.window, made.current, made.previous, made.refund_owed) == (
         4000.0,
         account.window,
         33.0,
@@ -90,16 +91,16 @@
     account = used_up(plan(20, 40))
     for after in (plan(20, 400), plan(1, 2), plan(20, 400), plan(20, 40)):
         account = carried(account, after, 100_000.0)
-    assert account.spell_at(100_000.0) == 40.0
+    assert account.burst_usage_now(100_000.0) == 40.0
 
 
 def test_the_emergency_bucket_keeps_what_it_holds_and_gains_nothing_by_a_change():
     account = used_up(plan(20, 40))
-    account.lets_in(1.0, 100_500.0, 2)
-    held = account.local.room(100_500.0)
+    account.admit_locally(1.0, 100_500.0, 2)
+    held = account.local_bucket.available(100_500.0)
     made = carried(account, plan(20, 400), 100_500.0)
-    assert made.local.room(100_500.0) == held
-    assert made.local.rate == 0.01
+    assert made.local_bucket.available(100_500.0) == held
+    assert made.local_bucket.rate == 0.01
 
 
 def test_a_ceiling_that_is_lowered_holds_at_once_and_one_that_is_raised_grows_by_the_new_rate():
@@ -107,30 +108,32 @@
     account = QuotaAccount(before, 2, 100_000.0)
     account.ceiling = TokenBucket(0.01, 20.0, 20.0, 100_000.0)  # full, of two gateways
     low = carried(account, plan(20, 40, ceiling=(2.0, 4.0, 1.0)), 100_000.0)
-    assert (low.ceiling.room(100_000.0), low.ceiling.rate) == (2.0, 0.001)
+    assert (low.ceiling.available(100_000.0), low.ceiling.rate) == (2.0, 0.001)
     high = carried(low, plan(20, 40, ceiling=(200.0, 400.0, 8.0)), 100_000.0)
-    assert high.ceiling.room(100_000.0) == 2.0
-    assert high.ceiling.room(100_010.0) == 3.0  # ten milliseconds of a half of 200 a second
+    assert high.ceiling.available(100_000.0) == 2.0
+    assert high.ceiling.available(100_010.0) == 3.0  # ten milliseconds of a half of 200 a second
 
 
 def test_a_customer_first_seen_after_a_raise_has_a_ceiling_grown_by_the_old_rate_until_then():
     transitions = Transitions()
     before, after = plan(20, 40, ceiling=(2.0, 40.0, 8.0)), plan(20, 40, ceiling=(200.0, 4000.0, 8.0))
     transitions.changed(before, 120_000.0)
-    account = transitions.open_book(after, 2, 120_000.0, 0, 110_000.0)
+    account = transitions.open_account(after, 2, 120_000.0, 0, 110_000.0)
     assert (
-        account.ceiling.room(120_000.0) == 2.0 + 10.0
+        account.ceiling.available(120_000.0) == 2.0 + 10.0
     )  # half of the slack's share, ten seconds at 1 a second
     fresh = QuotaAccount(after, 2, 120_000.0, 0, 110_000.0)
-    assert fresh.ceiling.room(120_000.0) > 500.0  # what it would be without
+    assert fresh.ceiling.available(120_000.0) > 500.0  # what it would be without
 
 
 def test_a_customer_first_seen_after_a_change_of_window_has_its_rate_and_no_burst():
     transitions = Transitions()
     transitions.changed(plan(10, 20), 100_000.0)
-    account = transitions.open_book(plan(40, 240), 2, 100_250.0, 0, 0.0)
-    assert account.spell_at(100_250.0) == 20.0 - 10.0  # of what could have been used, paid at the new rate
-    assert transitions.open_book(plan(40, 240), 2, 161_000.0, 0, 0.0).spell_at(161_000.0) == 0.0
+    account = transitions.open_account(plan(40, 240), 2, 100_250.0, 0, 0.0)
+    assert (
+        account.burst_usage_now(100_250.0) == 20.0 - 10.0
+    )  # of what could have been used, paid at the new rate
+    assert transitions.open_account(plan(40, 240), 2, 161_000.0, 0, 0.0).burst_usage_now(161_000.0) == 0.0
 
 
 def test_what_was_in_force_is_forgotten_in_time():
--- a/tests/helpers/fake_gateway.py
+++ b/tests/helpers/fake_gateway.py
@@ -2,12 +2,13 @@
 
 from collections import Counter
 
-from granitedock.policy.decisions import Gateway
+from granitedock.policy.gateway import Gateway
 from granitedock.policy.types import (
     Customer,
     EndpointStatus,
     EndpointUpdate,
     GatewayIdentity,
+    GatewaySettings,
     Host,
     Idempotency,
     IdempotencyScope,
@@ -46,12 +47,12 @@
         self.attempts, self.deferred, self.errored, self.calls = [], [], [], []
         self.wakes, self.withdrawn, self.lines, self.stops = [], [], [], []
         self.hosts = [Host() for _ in range(hosts)]
-        leave = PermittedFeatures(3, copies, True, True, 2000)
-        coldness = SlowStart(0.2, 10000, 2, 1000)
+        permitted = PermittedFeatures(3, copies, True, True, 2000)
+        slow_start = SlowStart(0.2, 10000, 2, 1000)
         request_classes = request_classes or [READ, STAMPED, BY_ZONE, ONE_SHOT]
-        self.gateway = Gateway(
-            self, at, GatewayIdentity(7 + number, number, gateways), request_classes, leave, coldness, True
-        )
+        identity = GatewayIdentity(7 + number, number, gateways)
+        settings = GatewaySettings(identity, request_classes, permitted, slow_start, has_counter=True)
+        self.gateway = Gateway(self, at, settings)
         self.roster(EndpointStatus.READY, *self.hosts, **cold)
 
     # The door.
@@ -106,6 +107,13 @@
         call = call or self.calls[-1]
         self.gateway.counter_call_finished(call, outcome, call.amount if total is None else total)
 
+    def capacity_share(self, host):
+        return self.gateway.load_balancer.slow_start.capacity_share(host, self.gateway.now)
+
+    def request_work(self, request_class):
+        """Of a request of one unit, in mean requests."""
+        return self.gateway.load_balancer.estimates.work(self.gateway.now, request_class, 1)
+
     def admitted(self, request_class=READ, **more):
         request = self.ask(request_class, **more)
         self.counter(total=1)
--- a/tests/helpers/planted_faults.py
+++ b/tests/helpers/planted_faults.py
@@ -6,8 +6,9 @@
 from granitedock.membership.member import OVER, State
 from granitedock.membership.seats import Seats
 from granitedock.model_checking.gateways import Shape
-from granitedock.policy import decisions
-from granitedock.policy.decisions import TokenBucket
+from granitedock.policy.load_balancer import LoadBalancer
+from granitedock.policy.retry_rules import REPEAT_RIGHTS, RepeatRights, Right
+from granitedock.policy.token_bucket import TokenBucket
 from granitedock.policy.types import EndpointStatus, Idempotency
 from granitedock.service.reducer import INPUTS, Reducer
 
@@ -23,11 +24,11 @@
 
 
 def sent_again(monkeypatch):
-    monkeypatch.setitem(decisions.MAY_HAVE_RUN, Idempotency.NON_IDEMPOTENT, ("yes", "no"))
+    monkeypatch.setitem(REPEAT_RIGHTS, Idempotency.NON_IDEMPOTENT, RepeatRights(Right.ALWAYS, Right.NEVER))
 
 
 def deferred_though_it_ran(monkeypatch):
-    monkeypatch.setitem(decisions.MAY_HAVE_RUN, Idempotency.NON_IDEMPOTENT, ("no", "yes"))
+    monkeypatch.setitem(REPEAT_RIGHTS, Idempotency.NON_IDEMPOTENT, RepeatRights(Right.NEVER, Right.ALWAYS))
 
 
 def never_brought_back(monkeypatch):
@@ -36,15 +37,15 @@
 
 
 def sent_to_those_that_drain(monkeypatch):
-    roster = decisions.LoadBalancer.roster
+    update_endpoints = LoadBalancer.update_endpoints
 
-    @wraps(roster)  # a bound method is pickled by its name
-    def listed(self, sightings, whole):
-        for sighting in sightings:
-            object.__setattr__(sighting, "status", EndpointStatus.READY)
-        roster(self, sightings, whole)
+    @wraps(update_endpoints)  # a bound method is pickled by its name
+    def updated(self, updates, complete):
+        for update in updates:
+            object.__setattr__(update, "status", EndpointStatus.READY)
+        update_endpoints(self, updates, complete)
 
-    monkeypatch.setattr(decisions.LoadBalancer, "roster", listed)
+    monkeypatch.setattr(LoadBalancer, "update_endpoints", updated)
 
 
 def ceiling_not_kept(monkeypatch):
--- a/tests/helpers/slow_start_simulation.py
+++ b/tests/helpers/slow_start_simulation.py
@@ -6,12 +6,13 @@
 from itertools import accumulate
 from random import Random
 
-from granitedock.policy.decisions import Gateway
+from granitedock.policy.gateway import Gateway
 from granitedock.policy.types import (
     Customer,
     EndpointStatus,
     EndpointUpdate,
     GatewayIdentity,
+    GatewaySettings,
     Host,
     Idempotency,
     IdempotencyScope,
@@ -42,9 +43,10 @@
         """A process, new or restarted: nothing is left of what it knew but the list, as told."""
         world = self.world
         self.skew = world.random.uniform(-400.0, 400.0)
-        seat = GatewayIdentity(world.random.getrandbits(32), self.number, world.gateways)
-        leave = PermittedFeatures(3, False, True, True, 2000)
-        self.gateway = Gateway(self, world.now + self.skew, seat, [SAFE, UNSAFE], leave, world.cold, False)
+        identity = GatewayIdentity(world.random.getrandbits(32), self.number, world.gateways)
+        permitted = PermittedFeatures(3, False, True, True, 2000)
+        settings = GatewaySettings(identity, [SAFE, UNSAFE], permitted, world.cold, has_counter=False)
+        self.gateway = Gateway(self, world.now + self.skew, settings)
         self.hosts = [Host() for _ in range(world.hosts)]
         self.numbers = {host: number for number, host in enumerate(self.hosts)}
         self.customer, self.waits = Customer(self.number), {}
--- a/tests/model_checking/test_model_checking.py
+++ b/tests/model_checking/test_model_checking.py
@@ -14,7 +14,7 @@
 from granitedock.model_checking.canon import digest
 from granitedock.model_checking.gateways import Shape, Small
 from granitedock.model_checking.views import Fleet, Views
-from granitedock.policy.decisions import QuotaAccount
+from granitedock.policy.quota_account import QuotaAccount
 from granitedock.policy.types import CounterCall, Customer, Plan
 
 
@@ -126,7 +126,7 @@
     accounts = [QuotaAccount(plan, active_members, now) for _ in range(active_members)]
     for n, (wait, units) in enumerate(steps):
         now += wait
-        let_in += units * accounts[n % active_members].lets_in(units, now, active_members)
+        let_in += units * accounts[n % active_members].admit_locally(units, now, active_members)
     assert let_in <= plan.burst + plan.rate * now + 3.0 * active_members + 1e-6
 
 
@@ -137,13 +137,13 @@
     account, customer = QuotaAccount(plan, 1, now), Customer(161)
     for wait, units in steps:
         now += wait
-        account.turn(now)
-        call = CounterCall(customer, 1, account.window, units - account.debt, 4000.0, now)
-        account.debt = 0.0
+        account.advance_window(now)
+        call = CounterCall(customer, 1, account.window, units - account.refund_owed, 4000.0, now)
+        account.refund_owed = 0.0
         totals[account.window] = totals.get(account.window, 0.0) + call.amount
-        account.told(call, totals[account.window], now)
-        if account.over(now):
-            account.debt += units  # a refused task's units go back, on the next add to the name
+        account.apply_total(call, totals[account.window], now)
+        if account.is_over_quota(now):
+            account.refund_owed += units  # a refused task's units go back, on the next add to the name
         else:
             used += units
     assert used <= plan.burst + plan.rate * (now - 1_000_000.0) + 0.5 + 1e-6
--- a/tests/policy/test_fleet_quotas.py
+++ b/tests/policy/test_fleet_quotas.py
@@ -11,12 +11,13 @@
 import pytest
 from fake_gateway import READ
 
-from granitedock.policy.decisions import Gateway
+from granitedock.policy.gateway import Gateway
 from granitedock.policy.types import (
     Customer,
     EndpointStatus,
     EndpointUpdate,
     GatewayIdentity,
+    GatewaySettings,
     Host,
     Outcome,
     PermittedFeatures,
@@ -89,15 +90,17 @@
 
     def __init__(self, fleet, number, gateways, customers):
         self.fleet, self.gateways, self.sent = fleet, gateways, []
-        seat = GatewayIdentity(fleet.random.getrandbits(32), number, gateways)
+        identity = GatewayIdentity(fleet.random.getrandbits(32), number, gateways)
         self.gateway = Gateway(
             self,
             0.0,
-            seat,
-            [READ],
-            PermittedFeatures(3, False, True, True, 2000),
-            SlowStart(1, 0, 2, 1000),
-            True,
+            GatewaySettings(
+                identity,
+                [READ],
+                PermittedFeatures(3, False, True, True, 2000),
+                SlowStart(1, 0, 2, 1000),
+                has_counter=True,
+            ),
         )
         hosts = [EndpointUpdate(Host(), 1.0, "m", "z", 0, 0.0, EndpointStatus.READY) for _ in range(20)]
         self.gateway.update_endpoints(hosts, True)
--- a/tests/policy/test_request_decisions.py
+++ b/tests/policy/test_request_decisions.py
@@ -4,6 +4,7 @@
 
 from fake_gateway import BY_ZONE, CAPPED, FEW_OUT, ONE_SHOT, PLAN, READ, STAMPED, Story
 
+from granitedock.policy.states import BreakerState, HostState
 from granitedock.policy.types import Customer, EndpointStatus, Outcome
 
 
@@ -36,12 +37,12 @@
     other = Customer(7)
     story.ask(customer=other, units=2)
     story.counter(total=22.8)
-    assert len(story.deferred) == 2 and other.account.debt == 2
+    assert len(story.deferred) == 2 and other.account.refund_owed == 2
     story.pass_ms(600)
     story.ask(customer=other, units=1)
     assert story.calls[-1].amount == -1
     story.counter(Outcome.OVERLOADED)
-    assert other.account.debt == 2  # proved not added: owed as before
+    assert other.account.refund_owed == 2  # proved not added: owed as before
 
 
 def test_a_crowded_counter_is_spared_calls_that_cannot_change_the_answer():
@@ -85,7 +86,7 @@
     story.pass_ms(40)  # the budget has grown with the time seen
     assert [request for request, _ in story.deferred] == [refused]
     story.counter(total=13)
-    assert customer.account.debt == 8
+    assert customer.account.refund_owed == 8
 
 
 def test_a_counter_that_is_only_slow_is_waited_for_and_one_that_crawls_is_not():
@@ -129,7 +130,7 @@
         story.counter(Outcome.RESET if step % 2 else Outcome.DONE)
         assert len(request.attempts) == 1
         story.ends(Outcome.DONE)
-    assert len(story.calls) == 40 and story.gateway.breaker.calm()
+    assert len(story.calls) == 40 and story.gateway.breaker.is_calm()
 
 
 def test_the_emergency_bucket_gives_an_even_share():
@@ -157,7 +158,7 @@
         return len(story.attempts) - before
 
     story, customer, peers = Story(), Customer(5), Peers()
-    story.gateway.peers, peers.number = peers, 4
+    story.gateway.rate_limiter.membership, peers.number = peers, 4
     assert 28 <= admits(story, customer, 10, PLAN) <= 32  # a quarter of ten a second, and of twenty at once
     peers.number = 2
     assert 48 <= admits(story, customer, 10, PLAN) <= 52  # half of the rate, and nothing at once
@@ -347,13 +348,13 @@
     for step in range(3):
         story.admitted(ONE_SHOT, customer=Customer(step))
         story.ends(Outcome.RESET, 300)
-    assert host.health.state == "aside"
+    assert host.health.state is HostState.EJECTED
     story.pass_ms(3100)
     story.admitted(customer=Customer(9))
     story.ends(Outcome.DONE, 20)
-    assert host.health.state == "trusted" and story.gateway.fleet.warmth(host) < 0.3
+    assert host.health.state is HostState.HEALTHY and story.capacity_share(host) < 0.3
     story.pass_ms(10000)
-    assert story.gateway.fleet.warmth(host) == 1.0
+    assert story.capacity_share(host) == 1.0
 
 
 def test_a_queue_in_which_answers_come_too_late_is_not_joined():
@@ -369,7 +370,7 @@
         story.admitted(customer=Customer(step))
         story.ends(Outcome.DONE)
         story.pass_ms(1000)
-    assert len(story.gateway.accounts) <= 70
+    assert len(story.gateway.rate_limiter.accounts) <= 70
 
 
 def test_a_gateway_that_starts_again_takes_in_the_totals_of_the_others():
@@ -388,7 +389,7 @@
         story.pass_ms(20)
     large = sum(attempt.host in story.hosts[:100] for attempt in story.attempts)
     assert 160 < large < 240  # two thirds of the sizes
-    assert story.gateway.fleet.draws <= 3 * 300
+    assert story.gateway.load_balancer.random.draws <= 3 * 300
 
 
 def test_a_host_that_refuses_one_plan_keeps_the_others_tasks_and_a_one_shot_goes_on():
@@ -405,7 +406,7 @@
         story.admitted(customer=Customer(40 + step), plan=CAPPED)
         if story.attempts[-1].outcome is None:
             story.ends(Outcome.DONE)
-    assert refusing.health.state == "trusted"
+    assert refusing.health.state is HostState.HEALTHY
     assert refusing in [f.host for f in story.attempts if f.request.plan is CAPPED]
     story.pass_ms(3001)
     for step in range(20):
@@ -452,7 +453,7 @@
         if not story.calls[-1].answered:
             story.counter(Outcome.OVERLOADED)
     assert len(story.attempts) == 2 and len(story.deferred) == 2
-    assert customer.account.spell_at(story.gateway.now) <= PLAN.burst
+    assert customer.account.burst_usage_now(story.gateway.now) <= PLAN.burst
 
 
 def test_many_gateways_hold_overload_back_though_each_has_few_forwards():
@@ -523,7 +524,7 @@
     assert late.count(ageing) / 40 < 0.5 * used.count(ageing) / 60
     story.roster(EndpointStatus.READY, ageing, started_at=story.gateway.now)
     assert ageing.health.pace.sums(story.gateway.now) == (0, 0)
-    assert story.gateway.fleet.warmth(ageing) < 0.3
+    assert story.capacity_share(ageing) < 0.3
 
 
 def test_a_mix_turned_to_a_heavy_product_does_not_pass_for_slow_hosts():
@@ -534,8 +535,8 @@
         story.ends(Outcome.DONE, 500 if heavy else 100)
         story.pass_ms(50)
     assert len(story.attempts) > 190
-    light = story.gateway.fleet.size(READ, 1)
-    assert story.gateway.fleet.size(STAMPED, 1) > 2 * light
+    light = story.request_work(READ)
+    assert story.request_work(STAMPED) > 2 * light
 
 
 def test_waits_are_in_quoted_times_so_that_a_deployment_in_more_haste_tries_again_sooner():
@@ -546,7 +547,7 @@
             story.ask(request_class, customer=Customer(step))
             if not story.calls[-1].answered:
                 story.counter(Outcome.CONNECTION_FAILED)
-        assert len(story.calls) == 5 and story.gateway.breaker.state == "open"
+        assert len(story.calls) == 5 and story.gateway.breaker.state is BreakerState.OPEN
         story.pass_ms(wait - 10)
         story.ask(request_class)
         assert len(story.calls) == 5  # not yet
--- a/tests/service/test_gateway_process.py
+++ b/tests/service/test_gateway_process.py
@@ -6,6 +6,7 @@
 from fake_gateway import Wired
 from pytest import raises
 
+from granitedock.policy.states import HostState
 from granitedock.service.counter_protocol import PING
 from granitedock.service.discovery_protocol import listing
 from granitedock.service.event_loop import Clock
@@ -81,7 +82,7 @@
         host.link.dataReceived(b"-ERR failed\r\n")
         wired.now += 10
     assert client.took() == 3 * b"-ERR failed\r\n"  # it may have run, so trying again is not offered
-    assert ("decision", {"line": "host trusted to aside: 3 failures, 0 out"}) in wired.lines
+    assert ("decision", {"line": "host healthy to ejected: 3 failures, 0 in flight"}) in wired.lines
 
 
 def test_a_fault_in_a_decision_leaves_no_task_without_an_answer():
@@ -91,7 +92,7 @@
     def breaks(*_):
         raise TypeError("met in the review")
 
-    wired.reducer.gateway.fleet.ended = breaks
+    wired.reducer.gateway.load_balancer.attempt_finished = breaks
     with raises(TypeError):
         host.link.dataReceived(b"-ERR failed\r\n")
     wired.pass_ms(3000)
@@ -317,7 +318,10 @@
         wired, lines, client = begun()
         value = b"*3\r\n$5\r\nvalue\r\n" + more
         forwarded(wired, lines, client).link.dataReceived(value)
-        assert client.took() == value and next(iter(wired.reducer.gateway.accounts)).account.debt == 0
+        assert (
+            client.took() == value
+            and next(iter(wired.reducer.gateway.rate_limiter.accounts)).account.refund_owed == 0
+        )
 
 
 def test_a_silent_counter_is_replaced_and_its_late_totals_still_count():
@@ -326,7 +330,10 @@
     old = next(line for line in lines if line.written)
     wired.pass_ms(2000)
     assert not old.closed and any(event == "counter replaced" for event, _ in wired.lines)
-    account = wired.reducer.gateway.accounts and next(iter(wired.reducer.gateway.accounts)).account
+    account = (
+        wired.reducer.gateway.rate_limiter.accounts
+        and next(iter(wired.reducer.gateway.rate_limiter.accounts)).account
+    )
     old.link.dataReceived(b"$2\r\n17\r\n")
     assert account.current == 17 and old.closed == "aborted"
 
@@ -337,10 +344,10 @@
         wired.ask(client)
         wired.ask(client)
         old = next(line for line in lines if line.written)
-        account = next(iter(wired.reducer.gateway.accounts)).account
+        account = next(iter(wired.reducer.gateway.rate_limiter.accounts)).account
         old.link.dataReceived(said)
         wired.pass_ms(50)
-        assert old.closed == "aborted" and account.current == 1 and account.debt == 0, said
+        assert old.closed == "aborted" and account.current == 1 and account.refund_owed == 0, said
         assert wired.counts["call_spoilt"] == wired.counts["call_reset"] == 1  # the one behind: not known
         wired.pass_ms(600)
         assert any(dial[2] == "counter down" for dial in wired.dials)
@@ -357,7 +364,10 @@
     moved = [wired.comes_up(0) for _ in range(len(wired.dials))]
     assert sum(not line.closed for line in moved) == 1 + len(lines)
     old.link.dataReceived(b"$2\r\n17\r\n")  # what was added there still counts
-    assert next(iter(wired.reducer.gateway.accounts)).account.current == 17 and old.closed == "aborted"
+    assert (
+        next(iter(wired.reducer.gateway.rate_limiter.accounts)).account.current == 17
+        and old.closed == "aborted"
+    )
     assert not wired.reducer.old_wires
     wired.comes_up().link.dataReceived(VALUE)
     assert client.took() == VALUE
@@ -408,7 +418,7 @@
     for line in (b"[]\n", b'{"generation":2}x\n', b'{"generation":2,"instances":[{"instanceId":"a"}]}\n'):
         wired, lines, client = begun()
         wired.watch.link.dataReceived(b"%x\r\n%b\r\n" % (len(line), line))
-        assert wired.watch.closed == "aborted" and len(wired.reducer.gateway.fleet.ready) == 2
+        assert wired.watch.closed == "aborted" and len(wired.reducer.gateway.load_balancer.ready) == 2
         forwarded(wired, lines, client)
 
 
@@ -469,7 +479,7 @@
         wired.ask(client)
         counted(wired, lines)
     assert wired.counts["forward_moot"] and len(wired.dials) <= 8
-    assert all(host.health.state == "trusted" for host in wired.reducer.gateway.fleet.ready)
+    assert all(host.health.state is HostState.HEALTHY for host in wired.reducer.gateway.load_balancer.ready)
 
 
 def test_a_task_out_of_form_or_range_is_answered_with_an_error_and_charges_nobody():
@@ -519,15 +529,15 @@
         names = [entry._replace(name=f"x{version // 2}") for entry in listing.entries]
         wired.tell("listed", reducer.watch, listing._replace(entries=names))
     wired.tell("listed", reducer.watch, wired.listing(50, 2, "terminated"))
-    assert len(reducer.places) == len(reducer.gateway.fleet.known) == 1
+    assert len(reducer.places) == len(reducer.gateway.load_balancer.known) == 1
     host.link.dataReceived(VALUE)
     wired.tell("listed", reducer.watch, wired.listing(51, 2, "terminated", False))
-    assert client.took() == VALUE and not reducer.places and not reducer.gateway.fleet.known
+    assert client.took() == VALUE and not reducer.places and not reducer.gateway.load_balancer.known
     assert all(wake.name or not wake.what for wake in wired.wakes)  # no task is kept by what it was woken for
     for _ in range(100):
         wired.pass_ms(1000)
         wired.ask(wired.client(), customer=wired.next_id % 1000)
-    assert len(reducer.gateway.accounts) < 15 and len(reducer.customers) < 25
+    assert len(reducer.gateway.rate_limiter.accounts) < 15 and len(reducer.customers) < 25
 
 
 def test_who_says_nothing_or_half_of_it_hears_of_it_within_three_seconds():
--- a/tests/service/test_race_conditions.py
+++ b/tests/service/test_race_conditions.py
@@ -9,6 +9,7 @@
 from fake_gateway import BORN
 from loopback import VALUE, WATCHED, Peer, Server, answer, chunk
 
+from granitedock.policy.states import HostState
 from granitedock.service.resp import command
 
 PING = command(b"PING")
@@ -223,7 +224,9 @@
     host = gate.at_host()
     assert host.read() == b"" and host.ended and gate.reducer.counts["unwanted"] == 1
     assert not gate.reducer.errands and not gate.reducer.lanes
-    assert all(it.health.state == "trusted" and not it.health.failures for it in gate.reducer.places.values())
+    assert all(
+        it.health.state is HostState.HEALTHY and not it.health.failures for it in gate.reducer.places.values()
+    )
 
 
 def test_no_further_attempt_begins_for_a_client_that_left_during_the_first(live):
