--- a/granitedock/service/reducer.py
+++ b/granitedock/service/reducer.py
@@ -14,6 +14,7 @@
 from weakref import WeakValueDictionary
 
 from granitedock import platform_settings
+from granitedock.policy.states import RequestState
 from granitedock.policy.types import (
     Attempt,
     CounterCall,
@@ -252,7 +253,7 @@
             self.entries(self.known)
             self.watch.version = self.known.version
         self.discovery.due()
-        if self.gateway.has_counter:
+        if self.gateway.rate_limiter.has_counter:
             for number in range(self.limits.counter_links):
                 self.counter_connection(number)
         self.lifecycle.begin()
@@ -490,14 +491,12 @@
 
     def refuse(self, request: InFlightRequest) -> None:
         """The decisions give it up, as one never forwarded."""
-        self.gateway.account(request).turn(self.now)
-        request.state = "over"
-        self.gateway.give_up(request)
+        self.gateway.refuse(request)
 
     def forgotten(self, request: InFlightRequest) -> None:
         self.counts["forgotten"] += 1
-        self.event_log.event("forgotten", state=request.state, attempts=len(request.attempts))
-        request.state = "over"
+        self.event_log.event("forgotten", state=request.state.value, attempts=len(request.attempts))
+        request.state = RequestState.FINISHED
         self.fail(request)
 
     def choked(self, client: ClientConnection) -> None:
@@ -966,7 +965,7 @@
         for name, endpoint in list(self.endpoints.items()):
             if endpoint.idle and endpoint.status is not EndpointStatus.READY:
                 self.suspect(endpoint)
-            if endpoint.status is EndpointStatus.GONE and not endpoint.health.outs:
+            if endpoint.status is EndpointStatus.GONE and not endpoint.health.in_flight:
                 del self.endpoints[name]  # guards the memory, as hosts come and go under new names
         if self.judge is not None:
             self.judge.listed(self.endpoints, self.now)
--- a/tests/service/test_race_conditions.py
+++ b/tests/service/test_race_conditions.py
@@ -9,6 +9,7 @@
 from fake_gateway import BORN
 from loopback import VALUE, WATCHED, Peer, Server, answer, chunk
 
+from granitedock.policy.states import HostState
 from granitedock.service.inputs import Input
 from granitedock.service.resp import command
 
@@ -225,7 +226,8 @@
     assert host.read() == b"" and host.ended and gate.reducer.counts["unwanted"] == 1
     assert not gate.reducer.requests and not gate.reducer.host_connections
     assert all(
-        it.health.state == "trusted" and not it.health.failures for it in gate.reducer.endpoints.values()
+        it.health.state is HostState.HEALTHY and not it.health.failures
+        for it in gate.reducer.endpoints.values()
     )
 
 
