--- a/granitedock/commands/control.py
+++ b/granitedock/commands/control.py
@@ -20,8 +20,8 @@
 )
 def control(config: str, follow: tuple[str, ...], imported: str | None) -> None:
     """Serve plans and request classes to gateways until SIGTERM: the writer, or a replica."""
-    from granitedock.configuration.document import ConfigurationError
-    from granitedock.configuration.process import run
+    from granitedock.configuration.control_process import run
+    from granitedock.configuration.errors import ConfigurationError
     from granitedock.configuration.settings import load_control
     from granitedock.platform_file import ToldError
     from granitedock.platform_file import load as load_told
@@ -46,7 +46,7 @@
 
 def from_control(act, *what):
     """What a control process says, or the command's error."""
-    from granitedock.configuration.document import ConfigurationError
+    from granitedock.configuration.errors import ConfigurationError
 
     try:
         return act(*what)
@@ -58,9 +58,9 @@
 @click.argument("change", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 def config_check(change: Path) -> None:
     """Check the change in the JSON file CHANGE by its form alone; nothing is asked or sent."""
-    from granitedock.configuration.change_form import parsed
+    from granitedock.configuration.change_codec import parse_change
 
-    made = from_control(parsed, change.read_bytes(), str(change))
+    made = from_control(parse_change, change.read_bytes(), str(change))
     click.echo(f"{change}: {len(made.edit)} entries on version {made.base}")
 
 
@@ -70,12 +70,12 @@
 @click.option("--within", default=10.0, show_default=True, help="Seconds to wait for the answer.")
 def config_apply(change: Path, address: str, within: float) -> None:
     """Put the change in the JSON file CHANGE in force, if it is made on the present version."""
-    from granitedock.configuration import client
-    from granitedock.configuration.change_form import parsed
+    from granitedock.configuration import control_client
+    from granitedock.configuration.change_codec import parse_change
 
     data = change.read_bytes()
-    from_control(parsed, data, str(change))
-    made = from_control(client.apply, address, data, within)
+    from_control(parse_change, data, str(change))
+    made = from_control(control_client.apply, address, data, within)
     click.echo(f"version {made['version']}, digest {made['digest']}")
 
 
@@ -87,9 +87,9 @@
     """The document that the control process at ADDRESS holds, as JSON."""
     import orjson
 
-    from granitedock.configuration import client
+    from granitedock.configuration import control_client
 
-    shown = from_control(client.document, address, within)
+    shown = from_control(control_client.document, address, within)
     if plan is not None:
         found = [one for one in shown["plans"] if one["Name"] == plan]
         if not found:
@@ -108,12 +108,12 @@
     how long. Exits with 1 if one lags, or a control process does not answer."""
     import orjson
 
-    from granitedock.configuration import report
+    from granitedock.configuration import status_report
 
-    found = report.gathered(addresses, within)
+    found = status_report.collect(addresses, within)
     if as_json:
         click.echo(orjson.dumps(found.as_json(), option=orjson.OPT_INDENT_2).decode())
     else:
-        for line in report.lines(found, every):
+        for line in status_report.report_lines(found, every):
             click.echo(line)
-    raise SystemExit(0 if found.well() else 1)
+    raise SystemExit(0 if found.healthy() else 1)
--- /dev/null
+++ b/granitedock/configuration/control_client.py
@@ -0,0 +1,49 @@
+"""Requests to a control process from the command line (http.client)."""
+
+from __future__ import annotations
+
+from http.client import HTTPConnection, HTTPException
+from typing import cast
+
+import orjson
+
+from granitedock.configuration import http_paths
+from granitedock.configuration.document import Record
+from granitedock.configuration.errors import ControlRequestError
+from granitedock.configuration.http_records import AppliedChangeRecord, ControlStatusRecord, DocumentRecord
+
+OK = 200
+
+
+def request(address: str, method: str, path: str, body: bytes | None, timeout_s: float) -> Record:
+    """The object that the control process answers. Raises ControlRequestError."""
+    host, _, port = address.rpartition(":")
+    try:
+        connection = HTTPConnection(host.strip("[]"), int(port), timeout=timeout_s)
+        connection.request(method, path, body)
+        response = connection.getresponse()
+        content = orjson.loads(response.read())
+        connection.close()
+    except (OSError, ValueError, HTTPException) as fault:
+        problem = f"{address}: no answer: {type(fault).__name__}: {fault}"
+        raise ControlRequestError(problem) from None
+    if type(content) is not dict or response.status != OK:
+        errors = content.get("errors") if type(content) is dict else None
+        lines = [f"{address}: {error}" for error in errors or [f"status {response.status}"]]
+        raise ControlRequestError("\n".join(lines))
+    return content
+
+
+def apply(address: str, change: bytes, timeout_s: float) -> AppliedChangeRecord:
+    """Apply a change (JSON). Raises ControlRequestError."""
+    return cast(AppliedChangeRecord, request(address, "POST", http_paths.CHANGES, change, timeout_s))
+
+
+def document(address: str, timeout_s: float) -> DocumentRecord:
+    """The whole document. Raises ControlRequestError."""
+    return cast(DocumentRecord, request(address, "GET", http_paths.DOCUMENT, None, timeout_s))
+
+
+def status(address: str, timeout_s: float) -> ControlStatusRecord:
+    """The status of a control process. Raises ControlRequestError."""
+    return cast(ControlStatusRecord, request(address, "GET", http_paths.STATUS, None, timeout_s))
--- /dev/null
+++ b/granitedock/configuration/follower_states.py
@@ -0,0 +1,80 @@
+"""The states of a follower's connection to a control process, the events that move it, and their table."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+from typing import Protocol
+
+from granitedock.configuration.messages import Message
+from granitedock.configuration.snapshot_progress import SnapshotProgress
+
+
+class ConnectionState(Enum):
+    """Where a connection stands; the values are the words of the status."""
+
+    CLOSED = "closed"
+    CONNECTING = "dialling"
+    AWAITING_FIRST_LINE = "asked"
+    FOLLOWING = "following"
+    ABANDONED = "gone"  # another connection takes its place
+
+    __hash__ = object.__hash__
+
+
+class ConnectionEvent(Enum):
+    """What happens to a connection."""
+
+    CONNECT_DUE = "connect due"
+    CONNECTED = "connected"
+    DISCONNECTED = "disconnected"
+    LINE_RECEIVED = "line received"
+    REJECTED = "rejected"
+    TIMED_OUT = "timed out"
+    BEHIND = "behind"
+    RETURN_DUE = "return due"
+
+    __hash__ = object.__hash__
+
+
+class WatchConnection(Protocol):
+    """The network connection under a `Connection`, once it is up."""
+
+    def send(self, message: Message) -> None:
+        """Send a message to the control process."""
+        ...
+
+    def abort(self) -> None:
+        """End the connection at once; nothing more is read from it."""
+        ...
+
+
+@dataclass(eq=False, slots=True)
+class Connection:
+    """One connection to a control process, from its beginning on. Times in ms of the follower's clock."""
+
+    address: str
+    state: ConnectionState = ConnectionState.CLOSED
+    network: WatchConnection | None = None
+    heard_at: float = 0.0
+    behind_since: float | None = None  # the control process has an older version than the follower
+    snapshot_requested: bool = False  # at most once a connection
+    snapshot: SnapshotProgress | None = None  # on its way
+
+
+S, E = ConnectionState, ConnectionEvent
+TRANSITIONS = {
+    (S.CLOSED, E.CONNECT_DUE): (S.CONNECTING, "connect"),
+    (S.CONNECTING, E.CONNECTED): (S.AWAITING_FIRST_LINE, None),
+    (S.CONNECTING, E.DISCONNECTED): (S.ABANDONED, "try_next_address"),
+    (S.AWAITING_FIRST_LINE, E.LINE_RECEIVED): (S.FOLLOWING, None),
+    (S.AWAITING_FIRST_LINE, E.DISCONNECTED): (S.ABANDONED, "try_next_address"),
+    (S.AWAITING_FIRST_LINE, E.REJECTED): (S.ABANDONED, "abort_and_try_next"),
+    (S.AWAITING_FIRST_LINE, E.TIMED_OUT): (S.ABANDONED, "abort_and_try_next"),
+    (S.FOLLOWING, E.DISCONNECTED): (S.ABANDONED, "try_next_address"),
+    (S.FOLLOWING, E.REJECTED): (S.ABANDONED, "abort_and_try_next"),
+    (S.FOLLOWING, E.TIMED_OUT): (S.ABANDONED, "abort_and_try_next"),
+    (S.FOLLOWING, E.BEHIND): (S.ABANDONED, "abort_and_try_next"),
+    (S.FOLLOWING, E.RETURN_DUE): (S.ABANDONED, "abort_and_try_first"),
+    (S.ABANDONED, E.CONNECTED): (S.ABANDONED, "abort"),  # it was on its way when it was given up
+}
--- /dev/null
+++ b/granitedock/configuration/gateway_attachment.py
@@ -0,0 +1,169 @@
+"""The configuration service at one running gateway: the follower, what it acts on, and its local copy."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from pathlib import Path
+from random import Random
+from typing import Any, Protocol
+
+import orjson
+
+from granitedock.configuration.document import Contents, Edit, PreparedEdit, Record, Section, digest_text
+from granitedock.configuration.errors import ConfigurationError
+from granitedock.configuration.follower import Follower, FollowerSettings
+from granitedock.configuration.follower_connection import FollowerTransport
+from granitedock.configuration.gateway_applier import Entry, GatewayApplier
+from granitedock.configuration.gateway_state import GatewayState
+from granitedock.configuration.local_copy import CopiedDocument, LocalCopy
+from granitedock.configuration.messages import VersionedChange
+from granitedock.configuration.replicated_document import ReplicatedDocument
+from granitedock.configuration.settings import GatewayFile
+
+ROLE = "gateway"
+
+
+class GatewayEventLog(Protocol):
+    """The gateway's event log and counters (`granitedock/event_log.py`)."""
+
+    counts: Counter[str]
+
+    def event(self, event: str, **figures: Any) -> None:
+        """Log one event."""
+        ...
+
+
+class GatewayAttachment:
+    """A gateway's part in the configuration service. `clock()` is Unix ms."""
+
+    def __init__(
+        self,
+        file: GatewayFile,
+        name: str,
+        state: GatewayState,
+        reactor: Any,
+        clock: Callable[[], float],
+        event_log: GatewayEventLog,
+    ) -> None:
+        self.file = file
+        self.reactor = reactor
+        self.event_log = event_log
+        self.applier = GatewayApplier(state, clock)
+        self.copy: LocalCopy | None = None
+        self.snapshot_records: list[tuple[Section, Record]] = []  # of a snapshot on its way, for the copy
+        self.document: ReplicatedDocument[Entry] = ReplicatedDocument(self)
+        self.transport = FollowerTransport(reactor, ROLE, event_log.counts)
+        self.follower = Follower(
+            FollowerSettings(name, file.cluster, list(file.control)),
+            self.document,
+            self.transport,
+            Random(f"{name}:{clock()}"),
+            self.log,
+            self.count,
+        )
+
+    def count(self, name: str) -> None:
+        """Count an event among the gateway's counters."""
+        self.event_log.counts["configuration_" + name] += 1
+
+    def log(self, event: str, **figures: Any) -> None:
+        """Log an event in the gateway's log."""
+        self.event_log.event(event, **figures)
+
+    def start(self) -> None:
+        """Go on by the copy, where there is one, then follow."""
+        if self.file.copy_file is not None:
+            self.copy = LocalCopy(Path(self.file.copy_file), self.file.cluster, self.copy_write_failed)
+            self.read_copy(self.copy)
+        self.transport.start(self.follower)
+
+    def stop(self) -> None:
+        """Stop following, and write the rest of the copy."""
+        self.transport.stop()
+        if self.copy is not None:
+            self.copy.stop()
+
+    # The local copy.
+
+    def read_copy(self, copy: LocalCopy) -> None:
+        """Put what the copy holds in force, and begin to write it.
+
+        Guards against a copy that can't be used: it is named, and neither read nor written.
+        """
+        try:
+            copied = copy.read()
+            if copied is not None and copied.version:
+                self.restore(copied)
+                self.log("configuration copy read", file=str(copy.path), version=copied.version)
+        except ConfigurationError as fault:
+            self.count("copy_refused")
+            self.log("configuration copy refused", file=str(copy.path), why=str(fault))
+            self.copy = None
+            return
+        copy.start()
+
+    def restore(self, copied: CopiedDocument) -> None:
+        """Put a copied document in force. Raises ConfigurationError."""
+        upserts: dict[Section, list[Record]] = {section: [] for section in Section}
+        for section, record in copied.entries:
+            upserts[section].append(record)
+        self.document.begin_snapshot()
+        self.document.add_page(Edit({section: tuple(records) for section, records in upserts.items()}))
+        self.snapshot_records = []  # the copy has them already
+        self.document.end_snapshot(copied.version, copied.digest)
+
+    def copy_write_failed(self, why: str) -> None:
+        """Called from the copy's thread, which has ended."""
+        self.reactor.callFromThread(self.drop_copy, why)
+
+    def drop_copy(self, why: str) -> None:
+        """Go on without the copy.
+
+        Guards the memory: nobody writes any more what would be queued for the copy.
+        """
+        self.copy = None
+        self.snapshot_records = []
+        self.count("copy_unwritten")
+        self.log("configuration copy unwritten", why=why)
+
+    # `DocumentConsumer` of the replicated document: what acts here, and what is copied.
+
+    def make_value(self, section: Section, record: Record) -> Entry:
+        """The plan or class of a record, which is kept for the copy. Raises ConfigurationError."""
+        if self.copy is not None and self.document.incoming is not None:
+            self.snapshot_records.append((section, record))
+        return self.applier.make_value(section, record)
+
+    def snapshot_started(self) -> None:
+        """Guards the copy against entries of a snapshot that was cut short and are not in the next."""
+        self.snapshot_records = []
+
+    def apply_change(self, change: VersionedChange, prepared: PreparedEdit[Entry]) -> None:
+        """Put a change in force and copy it."""
+        self.applier.apply_change(change, prepared)
+        if self.copy is not None:
+            self.copy.put(change)
+
+    def apply_snapshot(self, before: Contents[Entry], after: Contents[Entry]) -> None:
+        """Put a whole document in force and copy it."""
+        self.applier.apply_snapshot(before, after)
+        records = self.snapshot_records
+        self.snapshot_records = []
+        if self.copy is not None and records:
+            self.copy.put(CopiedDocument(records, after.version, after.digest))
+
+    # What it can be asked.
+
+    def status_json(self) -> bytes:
+        """What is in force here and from whom, as JSON."""
+        document = self.document
+        state = self.applier.state
+        in_force = {
+            "cluster": self.file.cluster,
+            "version": document.version,
+            "digest": digest_text(document.digest),
+            "plans": len(state.plans),
+            "classes": len(state.request_classes),
+        }
+        return orjson.dumps(in_force | self.follower.status())
--- a/granitedock/configuration/windows.py
+++ b/granitedock/configuration/quota_windows.py
@@ -3,33 +3,37 @@
 Names of counts follow from the window's number, so a plan whose window's length changes is counted under
 other names from then on, and while versions differ half of the fleet counts under each. So a plan keeps its
 window over a change of rate or burst as long as the window fits: between one and four fillings of the burst,
-where a new plan gets two (`policy/decisions.py`). Then all gateways go on with the same totals, whichever
-version they have, and the more generous of both versions bounds the sum."""
+where a new plan gets two (`granitedock.policy`). Then all gateways go on with the same totals, whichever
+version they have, and the more generous of both versions bounds the sum. Times in ms.
+"""
 
 from __future__ import annotations
 
-from granitedock.configuration.change_form import WINDOW
 from granitedock.configuration.document import Record
 from granitedock.policy.decisions import LONGEST_NAME_MS, NAMES_LAST, WINDOW_OF_BURST
 from granitedock.policy.types import Plan
 
-LEAST_WINDOW_MS = 1000.0
+WINDOW_FIELD = "WindowMs"  # of a plan: set by control, never by operators
+SHORTEST_WINDOW_MS = 1000.0
 LONGEST_WINDOW_MS = LONGEST_NAME_MS / NAMES_LAST
-LEAST_FILLINGS, MOST_FILLINGS = 1.0, 4.0  # of the burst in a window that is kept
+# Of the burst, in a window that is kept:
+FEWEST_FILLINGS = 1.0
+MOST_FILLINGS = 4.0
 
 
 def filling_ms(record: Record) -> float:
-    """In how long the rate fills the burst, ms; the longest window where the rate is nothing."""
+    """In how long the rate fills the burst; the longest window where the rate is nothing."""
     rate = float(record.get("Refill") or 0.0) / 1000.0
     return float(record.get("MostAtOnce") or 0.0) / rate if rate > 0 else LONGEST_WINDOW_MS
 
 
 def bounded(window_ms: float) -> float:
-    return min(LONGEST_WINDOW_MS, max(LEAST_WINDOW_MS, window_ms))
+    """The window within the shortest and the longest that there may be."""
+    return min(LONGEST_WINDOW_MS, max(SHORTEST_WINDOW_MS, window_ms))
 
 
 def new_window_ms(record: Record) -> float:
-    """The window of a plan that has none yet, as the decisions would have it."""
+    """The window of a plan that has none yet, as the policy would choose it."""
     return bounded(WINDOW_OF_BURST * filling_ms(record))
 
 
@@ -37,18 +41,20 @@
     """The window of a plan that is put, `before` being the plan as it was."""
     if before is None:
         return new_window_ms(record)
-    kept, filling = float(before[WINDOW]), filling_ms(record)
-    least, most = bounded(LEAST_FILLINGS * filling), bounded(MOST_FILLINGS * filling)
-    return kept if least <= kept <= most else new_window_ms(record)
+    present = float(before[WINDOW_FIELD])
+    filling = filling_ms(record)
+    shortest = bounded(FEWEST_FILLINGS * filling)
+    longest = bounded(MOST_FILLINGS * filling)
+    return present if shortest <= present <= longest else new_window_ms(record)
 
 
 def with_window(record: Record, before: Record | None) -> Record:
-    """The record as the document holds it."""
-    return record | {WINDOW: window_ms(record, before)}
+    """The plan's record as the document holds it, with its window."""
+    return record | {WINDOW_FIELD: window_ms(record, before)}
 
 
 def window_of(plan: Plan) -> float:
-    """The window that the decisions give this plan."""
+    """The window that the policy gives this plan."""
     if plan.window_ms:
         return plan.window_ms
     return bounded(WINDOW_OF_BURST * plan.burst / plan.rate if plan.rate > 0 else LONGEST_WINDOW_MS)
--- a/granitedock/configuration/settings.py
+++ b/granitedock/configuration/settings.py
@@ -1,7 +1,8 @@
 """The operators' files of the configuration service, TOML checked by pydantic.
 
 `GatewayFile`: how a gateway follows (`granitedock serve --configuration FILE`). `ControlFile`: one control
-process (`granitedock control --config FILE`). For operators: docs/configuration-service.md."""
+process (`granitedock control --config FILE`). For operators: docs/configuration-service.md.
+"""
 
 from __future__ import annotations
 
@@ -12,23 +13,28 @@
 
 from granitedock.toml_file import Found, Strict, checked, read
 
+LAST_PORT = 65535
 
-def listen_address(text: str) -> str:
-    """HOST:PORT; port 0 is any free one."""
+
+def check_listen_address(text: str) -> str:
+    """HOST:PORT; port 0 is any free one. Raises ValueError."""
     host, _, port = text.rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
-        raise ValueError(f"not an address, HOST:PORT: {text!r}")
+    if not host or not port.isascii() or not port.isdigit() or int(port) > LAST_PORT:
+        problem = f"not an address, HOST:PORT: {text!r}"
+        raise ValueError(problem)
     return text
 
 
-def address(text: str) -> str:
-    if listen_address(text).endswith(":0"):
-        raise ValueError(f"nobody can be reached at port 0: {text!r}")
+def check_address(text: str) -> str:
+    """HOST:PORT that can be connected to. Raises ValueError."""
+    if check_listen_address(text).endswith(":0"):
+        problem = f"nobody can be reached at port 0: {text!r}"
+        raise ValueError(problem)
     return text
 
 
-Address = Annotated[str, AfterValidator(address)]
-ListenAddress = Annotated[str, AfterValidator(listen_address)]
+Address = Annotated[str, AfterValidator(check_address)]
+ListenAddress = Annotated[str, AfterValidator(check_listen_address)]
 Cluster = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]{0,31}$")]
 
 
@@ -52,17 +58,18 @@
     follow: Annotated[list[Address], Field(max_length=16)] = []
 
 
-def same_address(file: ControlFile) -> Found:
+def check_follow(file: ControlFile) -> Found:
+    """The faults of a control process that would follow itself."""
     if file.listen in file.follow:
         return [(("follow",), f"this process's own address, {file.listen}")]
     return []
 
 
 def load_gateway(path: str | Path) -> GatewayFile:
-    """Read and check a gateway's file. Raises tomlfile.FileError."""
+    """Read and check a gateway's file. Raises toml_file.FileError."""
     return checked(read(path), str(path), GatewayFile)
 
 
 def load_control(path: str | Path) -> ControlFile:
-    """Read and check a control process's file. Raises tomlfile.FileError."""
-    return checked(read(path), str(path), ControlFile, same_address)
+    """Read and check a control process's file. Raises toml_file.FileError."""
+    return checked(read(path), str(path), ControlFile, check_follow)
--- a/granitedock/lab/hollow.py
+++ b/granitedock/lab/hollow.py
@@ -170,23 +170,23 @@
 
     def followed(self) -> Any:
         """This gateway's part in the configuration service, with the moments at which it had each version."""
-        from granitedock.configuration.attach import ConfigurationLink
+        from granitedock.configuration.gateway_attachment import GatewayAttachment
         from granitedock.configuration.settings import GatewayFile
 
         noted, versions = self.noted, self.state.version_at
 
-        class NotedLink(ConfigurationLink):
-            def change(self, change: Any, prepared: Any) -> None:
+        class NotedLink(GatewayAttachment):
+            def apply_change(self, change: Any, prepared: Any) -> None:
                 began = time.perf_counter()
-                super().change(change, prepared)
-                self.diary.counts["apply_us"] += round((time.perf_counter() - began) * 1e6)
+                super().apply_change(change, prepared)
+                self.event_log.counts["apply_us"] += round((time.perf_counter() - began) * 1e6)
                 noted(versions, change.version)
 
-            def replace(self, before: Any, fresh: Any) -> None:
+            def apply_snapshot(self, before: Any, after: Any) -> None:
                 began = time.perf_counter()
-                super().replace(before, fresh)
-                self.diary.counts["replace_us"] = round((time.perf_counter() - began) * 1e6)
-                noted(versions, fresh.version)
+                super().apply_snapshot(before, after)
+                self.event_log.counts["replace_us"] = round((time.perf_counter() - began) * 1e6)
+                noted(versions, after.version)
 
         order = self.order
         file = GatewayFile(enabled=True, cluster=order.cluster, control=order.control)
--- a/granitedock/lab/plansim.py
+++ b/granitedock/lab/plansim.py
@@ -1,7 +1,7 @@
 """A plan that changes while many gateways serve it, each hearing of it at a time of its own: by simulation.
 
 The gateways are those of `sharesim.py` (the program's decisions, a simulated counter and wire). A change acts
-on each by the program's own transition of books (`configuration/gateway.py`); what is measured is what a
+on each by the program's own transition (`configuration/gateway_applier.py`); what is measured is what a
 customer gets over the change, against the bound that `bound` states."""
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from granitedock.configuration.gateway import GatewayConfiguration
+from granitedock.configuration.gateway_applier import GatewayApplier
 from granitedock.lab.fleetsim import Node
 from granitedock.lab.sharesim import Desk, Offer, ShareFleet
 from granitedock.policy.types import Customer, Plan, Request
@@ -37,7 +37,7 @@
         self.request_classes = {
             request_class.name: request_class for request_class in self.gateway.fleet.request_classes
         }
-        self.configuration = GatewayConfiguration(self, fleet.unix)
+        self.configuration = GatewayApplier(self, fleet.unix)
 
     def take(self, offer: Offer, units: float) -> None:
         customer = self.customers.setdefault(offer.key, Customer(offer.key))
@@ -50,7 +50,7 @@
         self.gateway.handle_request(request)
 
     def changed(self, plan: Plan) -> None:
-        self.configuration.put_plans({plan.name: plan}, [])
+        self.configuration.apply_plans({plan.name: plan}, [])
 
 
 class PlanFleet(ShareFleet):
--- a/granitedock/lab/scale/configuration.py
+++ b/granitedock/lab/scale/configuration.py
@@ -16,7 +16,7 @@
 
 import orjson
 
-from granitedock.configuration import client
+from granitedock.configuration import control_client
 from granitedock.lab.scale.fleet import HollowFleet, Usage, commanded, hollow_fleet
 from granitedock.lab.scale.platform import platform_file
 from granitedock.lab.scale.probe import ScaleError, memory_mb, process_cpu_s, quantile
@@ -42,7 +42,7 @@
         return process_cpu_s(self.process.pid)
 
     def status(self) -> dict[str, Any]:
-        return client.status(self.address, ANSWER_S)
+        return control_client.status(self.address, ANSWER_S)
 
 
 def started(folder: Path, name: str, follow: list[str], platform: Path | None) -> ControlRunning:
@@ -106,7 +106,7 @@
     version = writer.status()["version"]
     for n in range(count):
         told_at[str(version + 1)] = time.monotonic()
-        version = client.apply(writer.address, plan_change(version, n), ANSWER_S)["version"]
+        version = control_client.apply(writer.address, plan_change(version, n), ANSWER_S)["version"]
         time.sleep(every_s)
     fleet.wait(lambda state: state.version >= version)
     return [
--- a/granitedock/lab/scale/documents.py
+++ b/granitedock/lab/scale/documents.py
@@ -8,13 +8,14 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from granitedock.configuration.change_form import change_of
-from granitedock.configuration.control import Control
+from granitedock.configuration.change_codec import change_from_record
+from granitedock.configuration.control_node import ControlNode
 from granitedock.configuration.document import Contents
-from granitedock.configuration.followed import FollowedDocument
-from granitedock.configuration.gateway import GatewayConfiguration
-from granitedock.configuration.messages import Page, SnapshotBegins, decoded
-from granitedock.configuration.store import Store
+from granitedock.configuration.document_store import DocumentStore
+from granitedock.configuration.gateway_applier import GatewayApplier
+from granitedock.configuration.message_codec import decode
+from granitedock.configuration.messages import Page, SnapshotBegins
+from granitedock.configuration.replicated_document import ReplicatedDocument
 from granitedock.lab.scale.hosts import reducer
 from granitedock.lab.scale.platform import platform_file, settings
 from granitedock.lab.scale.probe import MIB, allocated_bytes, cpu_ms
@@ -40,28 +41,28 @@
     gateway_change_ms: float
 
 
-def fresh_document() -> FollowedDocument:
+def fresh_document() -> ReplicatedDocument:
     """A gateway that has only the platform's file."""
-    return FollowedDocument(GatewayConfiguration(reducer(platform_file()), lambda: NOW_MS))
+    return ReplicatedDocument(GatewayApplier(reducer(platform_file()), lambda: NOW_MS))
 
 
-def taken_in(document: FollowedDocument, lines: list[bytes]) -> float:
+def taken_in(document: ReplicatedDocument, lines: list[bytes]) -> float:
     """All lines of a snapshot; the ms of the longest."""
     longest = 0.0
     for line in lines:
         began = time.perf_counter()
-        message = decoded(line)
+        message = decode(line)
         if isinstance(message, SnapshotBegins):
-            document.begin()
+            document.begin_snapshot()
         elif isinstance(message, Page):
-            document.page(message.edit)
+            document.add_page(message.edit)
         else:
-            document.end(message.version, message.digest)
+            document.end_snapshot(message.version, message.digest)
         longest = max(longest, time.perf_counter() - began)
     return longest * 1000.0
 
 
-def held(lines: list[bytes]) -> FollowedDocument:
+def held(lines: list[bytes]) -> ReplicatedDocument:
     document = fresh_document()
     taken_in(document, lines)
     return document
@@ -71,26 +72,26 @@
     """One document of `count` plans."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "control.db"
-        control = Control(Store(path, "lab"), True, lambda: 0.0, lambda followers: None)
+        control = ControlNode(DocumentStore(path, "lab"), True, lambda: 0.0, lambda followers: None)
         control.import_settings(settings(count), "made up")
-        lines = control.snapshot()
-        make_ms = cpu_ms(control.snapshot)
+        lines = control.snapshot_lines()
+        make_ms = cpu_ms(control.snapshot_lines)
         take_in_ms = cpu_ms(lambda: held(lines))
         longest = min(taken_in(fresh_document(), lines) for _ in range(3))
         empty = allocated_bytes(fresh_document)
         memory = (allocated_bytes(lambda: held(lines)) - empty) / MIB
         document = held(lines)
         plan = {"Name": "tenant-00000", "Refill": 33, "MostAtOnce": 66}
-        change = change_of({"base": 1, "plans": {"upsert": [plan]}}, "made up")
+        change = change_from_record({"base": 1, "plans": {"upsert": [plan]}}, "made up")
         began = time.perf_counter()
         made = control.apply(change, "made up")
         control_change_ms = (time.perf_counter() - began) * 1000.0
         began = time.perf_counter()
-        document.change(made)
+        document.apply_change(made)
         gateway_change_ms = (time.perf_counter() - began) * 1000.0
         control.store.close()
-        again: Contents[bytes] = Contents(Control.keep)
-        store = Store(path, "lab")
+        again: Contents[bytes] = Contents(ControlNode.make_value)
+        store = DocumentStore(path, "lab")
         open_ms = cpu_ms(lambda: store.load(again), 1)
         store.close()
     return DocumentCost(
--- a/granitedock/service/event_loop.py
+++ b/granitedock/service/event_loop.py
@@ -267,10 +267,10 @@
         of it is so much as imported."""
         if file is None or not file.enabled:
             return None
-        from granitedock.configuration.attach import ConfigurationLink
+        from granitedock.configuration.gateway_attachment import GatewayAttachment
 
-        link = ConfigurationLink(file, name, self.reducer, self.reactor, self.clock, self.log)
-        self.reducer.shown[b"CONFIG"] = link.shown
+        link = GatewayAttachment(file, name, self.reducer, self.reactor, self.clock, self.log)
+        self.reducer.shown[b"CONFIG"] = link.status_json
         self.doors.leaving.append(link.stop)
         return link
 
--- /dev/null
+++ b/tests/configuration/test_change_codec.py
@@ -0,0 +1,61 @@
+"""Changes as operators write them: what is accepted, and what is rejected with its source and field."""
+
+import pytest
+from configuration_helpers import CLASS, PLAN, change
+
+from granitedock.configuration.change_codec import change_from_record, parse_change
+from granitedock.configuration.document import Change
+from granitedock.configuration.errors import ChangeRejectedError
+
+
+@pytest.mark.parametrize(
+    ("told", "fault"),
+    [
+        ([], "(whole change): an object is wanted"),
+        ({"plans": {"upsert": [PLAN]}}, "base: a whole number from 0 is wanted"),
+        ({"base": True, "plans": {"upsert": [PLAN]}}, "base: a whole number from 0 is wanted"),
+        ({"base": 1}, "(whole change): nothing is put or removed"),
+        ({"base": 1, "plan": {}}, "plan: no such field"),
+        ({"base": 1, "plans": []}, "plans: an object is wanted"),
+        ({"base": 1, "plans": {"put": [PLAN]}}, "plans.put: no such field"),
+        ({"base": 1, "plans": {"upsert": PLAN}}, "plans.upsert: a list of objects is wanted"),
+        ({"base": 1, "plans": {"upsert": [PLAN | {"Refil": 1}]}}, "plans.upsert[0].Refil: no such field"),
+        (
+            {"base": 1, "plans": {"upsert": [PLAN | {"WindowMs": 1}]}},
+            "plans.upsert[0].WindowMs: no such field",
+        ),
+        ({"base": 1, "plans": {"upsert": [{"Refill": 1}]}}, "plans.upsert[0].Name: missing"),
+        (
+            {"base": 1, "plans": {"upsert": [PLAN | {"Refill": -1}]}},
+            "plans.upsert[0].Refill: a number from 0",
+        ),
+        (
+            {"base": 1, "plans": {"upsert": [PLAN | {"Refill": "9"}]}},
+            "plans.upsert[0].Refill: a number from 0",
+        ),
+        ({"base": 1, "plans": {"upsert": [PLAN, PLAN]}}, "plans: 'gold' stands twice"),
+        ({"base": 1, "plans": {"upsert": [PLAN], "remove": ["gold"]}}, "plans: 'gold' stands twice"),
+        ({"base": 1, "plans": {"remove": "gold"}}, "plans.remove: a list of names is wanted"),
+        (
+            {"base": 1, "classes": {"upsert": [CLASS | {"Repeat": "twice"}]}},
+            "classes.upsert[0].Repeat: one of",
+        ),
+    ],
+)
+def test_a_change_that_is_not_right_is_refused_whole_with_its_source_and_field(told, fault):
+    with pytest.raises(ChangeRejectedError) as refused:
+        change_from_record(told, "new.json")
+    assert any(line.startswith(f"new.json: {fault}") for line in refused.value.faults), refused.value.faults
+
+
+def test_a_change_that_is_no_json_or_has_no_end_is_refused(monkeypatch):
+    with pytest.raises(ChangeRejectedError, match="new.json: .*not JSON"):
+        parse_change(b"{", "new.json")
+    monkeypatch.setattr("granitedock.configuration.change_codec.MOST_CHANGE_BYTES", 10)
+    with pytest.raises(ChangeRejectedError, match="more than 10 bytes"):
+        parse_change(b" " * 11, "new.json")
+
+
+def test_a_change_is_typed():
+    made = change(7, [PLAN], ["old"])
+    assert isinstance(made, Change) and (made.base, len(made.edit)) == (7, 2)
--- a/tests/configuration/test_configuration_processes.py
+++ b/tests/configuration/test_configuration_processes.py
@@ -13,7 +13,7 @@
 from twisted.internet import reactor
 
 from granitedock.__main__ import main
-from granitedock.configuration import client, follower, lines
+from granitedock.configuration import control_client, follower, line_framing
 from granitedock.configuration.settings import GatewayFile
 from granitedock.lab.rig import on_loop
 from granitedock.lab.scale.configuration import CLUSTER, controls, started, wait_version
@@ -31,7 +31,7 @@
     try:
         yield live
     finally:
-        live.service.configuration.carrier.follower.on = False
+        live.service.configuration.transport.follower.running = False
         live.close()
 
 
@@ -85,14 +85,14 @@
         live.counts = False  # the counter holds its answer back
         first.send(live.request())
         until(live, lambda: live.reducer.errands)
-        client.apply(writer.address, change(1, remove=["p"]), 5.0)
+        control_client.apply(writer.address, change(1, remove=["p"]), 5.0)
         has(live, 2)
         live.counts = True
         attempt(live).send(VALUE)
         assert answer_of(live, first) == VALUE
         second.send(live.request())
         assert answer_of(live, second) == b"-ERR unknown product or plan\r\n"
-        assert client.apply(writer.address, change(2, [PLAN]), 5.0)["version"] == 3
+        assert control_client.apply(writer.address, change(2, [PLAN]), 5.0)["version"] == 3
         has(live, 3)
         assert served(live, live.client()) == VALUE
 
@@ -102,7 +102,7 @@
     with controls(3, 1) as (writer,):
         with gateway(tmp_path, [writer.address], copy_file=copy) as live:
             has(live, 1)
-            client.apply(writer.address, change(1, [PLAN | {"Name": "new"}]), 5.0)
+            control_client.apply(writer.address, change(1, [PLAN | {"Name": "new"}]), 5.0)
             has(live, 2)
             writer.process.kill()
             until(live, lambda: live.service.configuration.follower.counts["dials"] >= 3)
@@ -144,9 +144,9 @@
 def test_what_is_no_control_process_is_refused_and_the_next_address_followed(
     tmp_path, monkeypatch, answer, why
 ):
-    monkeypatch.setattr(follower, "own_order", lambda name, addresses: addresses)
-    monkeypatch.setattr(lines, "MOST_LINE_BYTES", 1 << 20)
-    monkeypatch.setattr(lines.LineBuffer.__init__, "__defaults__", (1 << 20,))
+    monkeypatch.setattr(follower, "address_order", lambda name, addresses: addresses)
+    monkeypatch.setattr(line_framing, "MOST_LINE_BYTES", 1 << 20)
+    monkeypatch.setattr(line_framing.LineBuffer.__init__, "__defaults__", (1 << 20,))
     strange = Server()
     with controls(2, 1) as (writer,), gateway(tmp_path, [strange.address, writer.address]) as live:
         peers = []
@@ -189,7 +189,7 @@
                 on_loop(weather.set, Fate(cut=True), ways)
                 for base in (1, 2, 3):
                     plan = PLAN | {"Refill": 1000 + base}
-                    client.apply(writer.address, change(base, [plan]), 5.0)
+                    control_client.apply(writer.address, change(base, [plan]), 5.0)
                 # Cut off: the replica has given its connection up and dials again and again, in vain.
                 until(live, lambda: replica.status()["following"]["counts"]["dials"] >= 4)
                 assert live.service.configuration.document.version == 1
@@ -223,7 +223,7 @@
         had = {one["name"] for one in lost.status()["followers"]}
         assert had  # by the gateways' own orders, which hang on the addresses: some follow each with any luck
         lost.process.kill()
-        client.apply(writer.address, change(1, [PLAN]), 5.0)
+        control_client.apply(writer.address, change(1, [PLAN]), 5.0)
         fleet.wait(lambda state: state.version == 2)
         now = {one["name"] for other in (writer, kept) for one in other.status()["followers"]}
         assert had <= now
--- /dev/null
+++ b/tests/configuration/test_follower.py
@@ -0,0 +1,165 @@
+"""A follower against control processes' cores: snapshots, changes, faults, timeouts. Times in ms."""
+
+import pytest
+from configuration_helpers import PLAN, Clock, LoopbackTransport, change, control_node
+
+from granitedock.configuration.control_node import ControlNode
+from granitedock.configuration.document_store import DocumentStore
+from granitedock.configuration.follower_timing import address_order
+from granitedock.configuration.message_codec import encode
+from granitedock.configuration.messages import Resend
+from granitedock.lab.scale.platform import settings as platform_settings
+
+
+def test_a_follower_takes_the_whole_document_and_then_each_change(writer):
+    transport = LoopbackTransport({"a": writer})
+    transport.start()
+    transport.hears_all()
+    assert transport.same(writer) and transport.follower.counts["in_force"] == 1
+    for n in range(3):
+        writer.apply(change(1 + n, [PLAN | {"Refill": 10 + n}]), "test")
+        transport.hears_all()
+        assert transport.same(writer)
+    assert writer.publisher.status(0.0)[0].version == 4
+    assert writer.publisher.status(0.0)[0].lag_ms == 0.0
+
+
+def test_a_follower_without_a_version_gets_the_whole_document_also_where_a_first_change_comes(tmp_path):
+    """It may have plans of the platform's file, which a change would leave in force."""
+    empty = ControlNode(DocumentStore(tmp_path / "w.db", "lab"), True, Clock(), lambda followers: None)
+    transport = LoopbackTransport({"a": empty})
+    transport.start()
+    transport.hears_all()
+    assert transport.document.version == 0
+    first = empty.import_settings(platform_settings(2), "platform.json")
+    transport.hears(encode(first))
+    assert transport.document.version == 0 and transport.sent == [Resend()]
+    transport.hears_all()
+    assert transport.same(empty) and transport.follower.counts["gaps"] == 1
+
+
+def test_a_doubled_change_is_left_alone_and_a_gap_asks_for_a_whole_snapshot_once(writer):
+    transport = LoopbackTransport({"a": writer})
+    transport.start()
+    transport.hears_all()
+    lines = []
+    for n in range(4):
+        writer.apply(change(1 + n, [PLAN | {"Refill": 10 + n}]), "test")
+        lines += transport.lines()
+    transport.hears(lines[0])
+    transport.hears(lines[0])
+    assert transport.document.version == 2 and transport.follower.counts["doubled"] == 1
+    transport.hears(lines[2])
+    transport.hears(lines[3])
+    assert transport.document.version == 2
+    assert [message for message in transport.sent if isinstance(message, Resend)] == [Resend()]
+    transport.hears_all()
+    assert transport.same(writer) and writer.publisher.counts["resends"] == 1
+
+
+def test_a_snapshot_cut_short_changes_nothing(writer):
+    transport = LoopbackTransport({"a": writer})
+    transport.start()
+    *most, _ = transport.lines()
+    for line in most:
+        transport.hears(line)
+    assert transport.document.version == 0 and transport.document.contents.count() == 0
+    transport.cut()
+    transport.up()
+    transport.hears_all()
+    assert transport.same(writer)
+
+
+def test_a_digest_that_differs_asks_for_a_whole_snapshot_once_and_then_gives_the_address_up(writer):
+    transport = LoopbackTransport({"a": writer})
+    transport.start()
+    transport.hears_all()
+    writer.apply(change(1, [PLAN]), "test")
+    (line,) = transport.lines()
+    transport.hears(line.replace(b'"Refill":50', b'"Refill":51'))
+    assert transport.document.version == 1 and transport.follower.counts["differing"] == 1
+    transport.hears_all()
+    assert transport.same(writer) and transport.follower.counts["resends"] == 1
+    writer.apply(change(2, [PLAN | {"Refill": 60}]), "test")
+    (line,) = transport.lines()
+    transport.hears(line.replace(b'"Refill":60', b'"Refill":61'))
+    assert transport.aborted == [transport.connection] and transport.document.version == 2
+    transport.up()
+    transport.hears_all()
+    assert transport.same(writer)
+
+
+def test_a_follower_never_goes_back_to_an_older_version_and_leaves_control_that_stays_behind(
+    writer, tmp_path
+):
+    old = control_node(tmp_path / "old.db", plans=5)
+    writer.apply(change(1, [PLAN]), "test")
+    first, second = address_order("g1", ["a", "b"])
+    transport = LoopbackTransport({first: writer, second: old})
+    transport.start()
+    transport.hears_all()
+    assert transport.document.version == 2
+    transport.cut()
+    transport.up()
+    assert transport.core is old
+    transport.hears_all()
+    assert transport.document.version == 2
+    transport.now += 3001.0
+    transport.follower.line_received(transport.connection, b"", transport.now)
+    transport.follower.check_timeouts(transport.now)
+    assert transport.follower.counts["behind"] == 1
+    transport.up()
+    assert transport.core is writer and transport.document.version == 2
+
+
+def test_an_older_snapshot_is_read_past(writer, tmp_path):
+    """As control sends it that has lost its log and does not know that the follower is ahead."""
+    transport = LoopbackTransport({"a": writer})
+    transport.start()
+    older = list(transport.lines())
+    for line in older:
+        transport.hears(line)
+    writer.apply(change(1, [PLAN]), "test")
+    transport.hears_all()
+    for line in older:
+        transport.hears(line)
+    assert transport.same(writer) and transport.follower.counts["snapshots"] == 1
+
+
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"<html><body>login</body></html>",
+        b'{"type":"current","cluster":"other","version":1,"digest":"%032x"}' % 0,
+        b'{"type":"change","version":-1,"digest":"00"}',
+        b'{"type":"page","number":0}',
+        b'{"type":"page","number":0,"plans":{"upsert":[{"Refill":1}]}}',
+        b'{"type":"resend"}',
+        b"[]",
+        b'{"type":[]}',
+        b'{"type":"page","number":0,"plans":{"upsert":7}}',
+    ],
+)
+def test_what_is_no_watch_on_this_clusters_configuration_ends_its_connection_only(writer, line):
+    transport = LoopbackTransport({"a": writer, "b": writer})
+    first = transport.start()
+    transport.hears(line)
+    assert transport.aborted == [first] and transport.document.version == 0
+    transport.up()
+    assert transport.connection.address != first.address
+    transport.hears_all()
+    assert transport.same(writer)
+
+
+def test_silence_ends_a_connection_and_heartbeats_keep_it(writer):
+    transport = LoopbackTransport({"a": writer, "b": writer})
+    transport.start()
+    transport.hears_all()
+    for _ in range(10):
+        transport.now += 1000.0
+        transport.hears(b"\n")
+        transport.follower.check_timeouts(transport.now)
+    assert not transport.aborted
+    transport.now += 3001.0
+    transport.follower.check_timeouts(transport.now)
+    assert transport.aborted == [transport.connection] and transport.follower.counts["silences"] == 1
--- a/tests/configuration/test_plan_changes.py
+++ b/tests/configuration/test_plan_changes.py
@@ -3,8 +3,8 @@
 import pytest
 from fake_gateway import Story
 
-from granitedock.configuration.transition import Transitions, carried
-from granitedock.configuration.windows import window_of, with_window
+from granitedock.configuration.plan_transition import PlanHistory, carry_over
+from granitedock.configuration.quota_windows import window_of, with_window
 from granitedock.lab.plansim import PlanChange, PlanFleet, worst_part
 from granitedock.lab.sharesim import Offer
 from granitedock.policy.decisions import QuotaAccount, TokenBucket
@@ -75,7 +75,7 @@
     before, after = plan(20, 40), plan(30, 40, 4000.0)
     account = used_up(before)
     account.current, account.previous, account.debt = 33.0, 21.0, 2.0
-    made = carried(account, after, 100_000.0)
+    made = carry_over(account, after, 100_000.0)
     assert (made.window_ms, made.window, made.current, made.previous, made.debt) == (
         4000.0,
         account.window,
@@ -89,7 +89,7 @@
 def test_changes_to_and_fro_give_no_burst():
     account = used_up(plan(20, 40))
     for after in (plan(20, 400), plan(1, 2), plan(20, 400), plan(20, 40)):
-        account = carried(account, after, 100_000.0)
+        account = carry_over(account, after, 100_000.0)
     assert account.spell_at(100_000.0) == 40.0
 
 
@@ -97,7 +97,7 @@
     account = used_up(plan(20, 40))
     account.lets_in(1.0, 100_500.0, 2)
     held = account.local.room(100_500.0)
-    made = carried(account, plan(20, 400), 100_500.0)
+    made = carry_over(account, plan(20, 400), 100_500.0)
     assert made.local.room(100_500.0) == held
     assert made.local.rate == 0.01
 
@@ -106,18 +106,18 @@
     before = plan(20, 40, ceiling=(20.0, 40.0, 8.0))
     account = QuotaAccount(before, 2, 100_000.0)
     account.ceiling = TokenBucket(0.01, 20.0, 20.0, 100_000.0)  # full, of two gateways
-    low = carried(account, plan(20, 40, ceiling=(2.0, 4.0, 1.0)), 100_000.0)
+    low = carry_over(account, plan(20, 40, ceiling=(2.0, 4.0, 1.0)), 100_000.0)
     assert (low.ceiling.room(100_000.0), low.ceiling.rate) == (2.0, 0.001)
-    high = carried(low, plan(20, 40, ceiling=(200.0, 400.0, 8.0)), 100_000.0)
+    high = carry_over(low, plan(20, 40, ceiling=(200.0, 400.0, 8.0)), 100_000.0)
     assert high.ceiling.room(100_000.0) == 2.0
     assert high.ceiling.room(100_010.0) == 3.0  # ten milliseconds of a half of 200 a second
 
 
 def test_a_customer_first_seen_after_a_raise_has_a_ceiling_grown_by_the_old_rate_until_then():
-    transitions = Transitions()
+    history = PlanHistory()
     before, after = plan(20, 40, ceiling=(2.0, 40.0, 8.0)), plan(20, 40, ceiling=(200.0, 4000.0, 8.0))
-    transitions.changed(before, 120_000.0)
-    account = transitions.open_book(after, 2, 120_000.0, 0, 110_000.0)
+    history.changed(before, 120_000.0)
+    account = history.open_account(after, 2, 120_000.0, 0, 110_000.0)
     assert (
         account.ceiling.room(120_000.0) == 2.0 + 10.0
     )  # half of the slack's share, ten seconds at 1 a second
@@ -126,18 +126,18 @@
 
 
 def test_a_customer_first_seen_after_a_change_of_window_has_its_rate_and_no_burst():
-    transitions = Transitions()
-    transitions.changed(plan(10, 20), 100_000.0)
-    account = transitions.open_book(plan(40, 240), 2, 100_250.0, 0, 0.0)
+    history = PlanHistory()
+    history.changed(plan(10, 20), 100_000.0)
+    account = history.open_account(plan(40, 240), 2, 100_250.0, 0, 0.0)
     assert account.spell_at(100_250.0) == 20.0 - 10.0  # of what could have been used, paid at the new rate
-    assert transitions.open_book(plan(40, 240), 2, 161_000.0, 0, 0.0).spell_at(161_000.0) == 0.0
+    assert history.open_account(plan(40, 240), 2, 161_000.0, 0, 0.0).spell_at(161_000.0) == 0.0
 
 
 def test_what_was_in_force_is_forgotten_in_time():
-    transitions = Transitions()
+    history = PlanHistory()
     for n in range(100):
-        transitions.changed(plan(10, 20), 1000.0 * n)
-    assert len(transitions.former["p"]) <= 61
+        history.changed(plan(10, 20), 1000.0 * n)
+    assert len(history.former["p"]) <= 61
 
 
 def test_a_window_is_kept_while_it_holds_one_to_four_fillings_of_the_burst():
@@ -154,7 +154,7 @@
     """Its call to the counter and its attempt were begun under the old one."""
     story, customer = Story(), Customer(99)
     story.ask(customer=customer, plan=plan(10, 20))
-    customer.account = carried(customer.account, plan(10, 400), story.gateway.now)
+    customer.account = carry_over(customer.account, plan(10, 400), story.gateway.now)
     story.counter(total=1)
     assert len(story.attempts) == 1 and customer.account.in_flight == 1
     story.ends(Outcome.DONE)
--- a/tests/golden/test_golden_wire.py
+++ b/tests/golden/test_golden_wire.py
@@ -88,16 +88,16 @@
 
 def line_kinds():
     """Each message by the word of its line."""
-    from granitedock.configuration.messages import KINDS
+    from granitedock.configuration.message_codec import KINDS
 
     return KINDS
 
 
 def line_fields(line):
     """What a line says: its kind and its fields by name; an edit by section; raises `line_error`."""
-    from granitedock.configuration.messages import NAMES, decoded
+    from granitedock.configuration.message_codec import NAMES, decode
 
-    message = decoded(line)
+    message = decode(line)
     fields = {"kind": NAMES[type(message)]}
     for name in message.__slots__:
         value = getattr(message, name)
@@ -122,30 +122,30 @@
 
 
 def line_from(fields):
-    from granitedock.configuration.messages import encoded
+    from granitedock.configuration.message_codec import encode
 
     values = {name: value for name, value in fields.items() if name != "kind"}
     if "edit" in values:
         values["edit"] = edit_from(values["edit"])
-    return encoded(line_kinds()[fields["kind"]](**values))
+    return encode(line_kinds()[fields["kind"]](**values))
 
 
 def line_error():
-    from granitedock.configuration.messages import Malformed
+    from granitedock.configuration.errors import MalformedLineError
 
-    return Malformed
+    return MalformedLineError
 
 
 def split_lines(pieces, most):
     """The lines in a body that comes in pieces; raises `line_error`."""
-    from granitedock.configuration.lines import LineBuffer
+    from granitedock.configuration.line_framing import LineBuffer
 
     buffer = LineBuffer(most)
     return [line.decode() for piece in pieces for line in buffer.lines(piece)]
 
 
 def heartbeat_line():
-    from granitedock.configuration.messages import HEARTBEAT
+    from granitedock.configuration.message_codec import HEARTBEAT
 
     return HEARTBEAT
 
@@ -328,17 +328,17 @@
 
 def follower_watch_request():
     """The bytes with which a gateway opens its watch on the configuration, and reports a version."""
-    from granitedock.configuration.link import WatchLink
+    from granitedock.configuration.follower_connection import WatchProtocol
     from granitedock.configuration.messages import InForce
 
     document = SimpleNamespace(version=3, digest=255)
     follower = SimpleNamespace(
-        name="g0 a", cluster=CLUSTER, document=document, up=lambda connection, link, now: None
+        name="g0 a", cluster=CLUSTER, document=document, connected=lambda connection, network, now: None
     )
     carrier = SimpleNamespace(
         follower=follower, role="gateway", now=lambda: 0.0, counts={"configuration_bytes_out": 0}
     )
-    link = WatchLink(carrier, SimpleNamespace(address="127.0.0.1:98"))
+    link = WatchProtocol(carrier, SimpleNamespace(address="127.0.0.1:98"))
     link.makeConnection(transport())
     link.send(InForce(3, 255))
     return link.transport.value().decode()
@@ -348,15 +348,16 @@
     """What a control process over the stored document answers to each of the requests."""
     from test_stored_data import close_control, copied, open_control
 
-    from granitedock.configuration.server import ControlLink, ControlService
+    from granitedock.configuration.control_connection import ControlConnection
+    from granitedock.configuration.control_server import ControlServer
 
     path = copied(tmp_path, "control_store.db")
     control = open_control(path, CLUSTER)
     reactor = SimpleNamespace(callLater=lambda delay, act: None)
-    service = ControlService(reactor, control, lambda event, **figures: None)
+    service = ControlServer(reactor, control, lambda event, **figures: None)
     answers = []
     for request in requests:
-        link = ControlLink(service)
+        link = ControlConnection(service)
         link.makeConnection(transport())
         link.dataReceived(request.encode())
         answers.append(link.transport.value().decode())
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -40,10 +40,10 @@
 
 def open_control(path, cluster):
     """A control process (writer) over the store at `path`; closed by `close_control`."""
-    from granitedock.configuration.control import Control
-    from granitedock.configuration.store import Store
+    from granitedock.configuration.control_node import ControlNode
+    from granitedock.configuration.document_store import DocumentStore
 
-    return Control(Store(path, cluster), True, lambda: 0.0, lambda followers: None)
+    return ControlNode(DocumentStore(path, cluster), True, lambda: 0.0, lambda followers: None)
 
 
 def close_control(control):
@@ -52,37 +52,37 @@
 
 def shown_document(control):
     """The whole document in the operators' words."""
-    return control.shown()
+    return control.document_record()
 
 
 def logged_changes(control):
     """The log of changes, each as the line that followers get."""
-    from granitedock.configuration.messages import encoded
+    from granitedock.configuration.message_codec import encode
 
-    return [json.loads(encoded(change)) for change in control.store.changes()]
+    return [json.loads(encode(change)) for change in control.store.changes()]
 
 
 def snapshot_lines(control):
-    return [json.loads(line) for line in control.snapshot()]
+    return [json.loads(line) for line in control.snapshot_lines()]
 
 
 def apply_change(control, told):
-    from granitedock.configuration.change_form import change_of
+    from granitedock.configuration.change_codec import change_from_record
 
-    return control.apply(change_of(told, "test"), "test")
+    return control.apply(change_from_record(told, "test"), "test")
 
 
 def configuration_error():
-    from granitedock.configuration.document import ConfigurationError
+    from granitedock.configuration.errors import ConfigurationError
 
     return ConfigurationError
 
 
 def read_configuration_copy(path, cluster):
     """(entries as (section, record), version, digest) of a gateway's copy."""
-    from granitedock.configuration.copy_file import CopyFile
+    from granitedock.configuration.local_copy import LocalCopy
 
-    entries, version, digest = CopyFile(path, cluster, pytest.fail).read()
+    entries, version, digest = LocalCopy(path, cluster, pytest.fail).read()
     return [(section.value, record) for section, record in entries], version, digest
 
 
--- /dev/null
+++ b/tests/helpers/configuration_helpers.py
@@ -0,0 +1,126 @@
+"""Control processes' cores and followers without sockets, for tests. Times in ms."""
+
+from random import Random
+
+from granitedock.configuration.change_codec import change_from_record
+from granitedock.configuration.control_node import ControlNode
+from granitedock.configuration.document_store import DocumentStore
+from granitedock.configuration.follower import Follower, FollowerSettings
+from granitedock.configuration.messages import Resend
+from granitedock.configuration.replicated_document import ReplicatedDocument
+from granitedock.lab.scale.platform import settings as platform_settings
+
+PLAN = {"Name": "gold", "Refill": 50, "MostAtOnce": 100}
+CLASS = {"Name": "read", "Repeat": "safe", "TargetMs": 1000, "GiveUpMs": 4000}
+
+
+def change(base, put=(), remove=()):
+    return change_from_record({"base": base, "plans": {"upsert": list(put), "remove": list(remove)}}, "test")
+
+
+class Clock:
+    now = 0.0
+
+    def __call__(self):
+        return self.now
+
+
+def control_node(path, plans=3, writes=True, cluster="lab"):
+    """A control process's core over its store; the writer's is filled where it is empty."""
+    made = ControlNode(DocumentStore(path, cluster), writes, Clock(), lambda followers: None)
+    if writes and not made.contents.version:
+        made.import_settings(platform_settings(plans), "platform.json")
+    return made
+
+
+class RecordKeeper:
+    """Keeps records as they are."""
+
+    def make_value(self, section, record):
+        return record
+
+    def snapshot_started(self):
+        pass
+
+    def apply_change(self, change, prepared):
+        pass
+
+    def apply_snapshot(self, before, after):
+        pass
+
+
+class LoopbackTransport:
+    """A follower's transport to control processes' cores in this process, line by line, as the test says."""
+
+    def __init__(self, controls):
+        self.controls = controls
+        self.connecting, self.sent, self.timers, self.aborted = [], [], [], []
+        self.events = []
+        self.document = ReplicatedDocument(RecordKeeper())
+        self.follower = Follower(
+            FollowerSettings("g1", "lab", list(controls)), self.document, self, Random(1), self.log
+        )
+        self.now = 0.0
+        self.session = None
+
+    def log(self, event, **figures):
+        self.events.append(event)
+
+    def connect(self, connection, address):
+        self.connecting.append((connection, address))
+
+    def send(self, connection, message):
+        self.sent.append(message)
+
+    def abort(self, connection):
+        self.aborted.append(connection)
+        self.follower.disconnected(connection, self.now)
+
+    def call_later(self, after_ms, act):
+        self.timers.append(act)
+
+    def start(self):
+        self.follower.start(self.now)
+        return self.up()
+
+    def up(self):
+        """The connection on its way succeeds: the control core's publisher has a new follower."""
+        while not self.connecting:
+            self.timers.pop(0)()
+        connection, address = self.connecting.pop()
+        core = self.controls[address]
+        self.core = core
+        self.session = core.publisher.open_session(
+            "g1", "gateway", self, self.document.version, self.document.digest, self.now
+        )
+        self.follower.connected(connection, self, self.now)
+        self.connection = connection
+        return connection
+
+    def line(self):
+        return self.core.publisher.next_line(self.session, self.now)
+
+    def lines(self):
+        while (line := self.line()) is not None:
+            yield line
+
+    def hears(self, line):
+        self.follower.line_received(self.connection, line.rstrip(b"\n"), self.now)
+
+    def hears_all(self):
+        """Everything that is due, also what the follower asks for meanwhile."""
+        while True:
+            for line in self.lines():
+                self.hears(line)
+            asked, self.sent = self.sent, []
+            for message in asked:
+                self.core.publisher.message_received(self.session, message)
+            if not any(isinstance(message, Resend) for message in asked):
+                return
+
+    def cut(self):
+        self.core.publisher.close_session(self.session)
+        self.follower.disconnected(self.connection, self.now)
+
+    def same(self, core):
+        return (self.document.version, self.document.digest) == (core.contents.version, core.contents.digest)
