--- a/granitedock/configuration/gateway_state.py
+++ b/granitedock/configuration/gateway_state.py
@@ -2,10 +2,9 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
-from typing import Protocol
+from collections.abc import Iterable
+from typing import Any, Protocol
 
-from granitedock.policy.decisions import QuotaAccount
 from granitedock.policy.types import Customer, Plan, RequestClass
 
 
@@ -19,9 +18,17 @@
 class GatewayPolicy(Protocol):
     """The policy of a gateway (`granitedock.policy`)."""
 
-    accounts: Iterable[Customer]  # those that have an account
-    fleet: HostPolicy
-    open_book: Callable[[Plan, int, float, int, float], QuotaAccount]
+    open_book: Any  # makes a customer's account; called like QuotaAccount, which it is unless replaced
+
+    @property
+    def accounts(self) -> Iterable[Customer]:
+        """The customers that have an account."""
+        ...
+
+    @property
+    def fleet(self) -> HostPolicy:
+        """The policy's part for hosts."""
+        ...
 
     def advance_clock(self, now: float) -> None:
         """Bring the policy to `now`, Unix ms."""
@@ -33,4 +40,8 @@
 
     plans: dict[str, Plan]
     request_classes: dict[str, RequestClass]
-    gateway: GatewayPolicy
+
+    @property
+    def gateway(self) -> GatewayPolicy:
+        """The gateway's policy."""
+        ...
--- a/granitedock/lab/scale/configuration.py
+++ b/granitedock/lab/scale/configuration.py
@@ -12,11 +12,11 @@
 from contextlib import ExitStack, contextmanager
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 import orjson
 
 from granitedock.configuration import control_client
+from granitedock.configuration.http_records import ControlStatusRecord
 from granitedock.lab.scale.fleet import HollowFleet, Usage, commanded, hollow_fleet
 from granitedock.lab.scale.platform import platform_file
 from granitedock.lab.scale.probe import ScaleError, memory_mb, process_cpu_s, quantile
@@ -41,7 +41,7 @@
     def cpu_s(self) -> float:
         return process_cpu_s(self.process.pid)
 
-    def status(self) -> dict[str, Any]:
+    def status(self) -> ControlStatusRecord:
         return control_client.status(self.address, ANSWER_S)
 
 
