--- a/granitedock/configuration/control_process.py
+++ b/granitedock/configuration/control_process.py
@@ -78,7 +78,7 @@
         Where there is a version, nothing is done, so that a restart by the same command goes on by the store.
         """
         if self.node.contents.version:
-            self.log.event("import left alone", file=source, version=self.node.contents.version)
+            self.log.event("import skipped", file=source, version=self.node.contents.version)
         else:
             self.node.import_settings(settings, source)
 
--- a/granitedock/configuration/control_server.py
+++ b/granitedock/configuration/control_server.py
@@ -82,7 +82,7 @@
     def rejected(self, why: str) -> None:
         """A request or a report was malformed: it is counted and logged, and its connection ends."""
         self.node.publisher.counts["refused"] += 1
-        self.log("request refused", why=why)
+        self.log("request rejected", why=why)
 
     def change_applied(self, change: VersionedChange, source: str) -> None:
         """A change of the operators' came in force."""
--- a/granitedock/configuration/follower.py
+++ b/granitedock/configuration/follower.py
@@ -117,7 +117,7 @@
         """What came is no watch on the configuration: another status, another cluster, no message."""
         self.now = now
         self.count("refused")
-        self.log("configuration refused", control=connection.address, why=why[:MOST_REASON])
+        self.log("control connection rejected", control=connection.address, why=why[:MOST_REASON])
         self.advance(connection, ConnectionEvent.REJECTED)
 
     def line_received(self, connection: Connection, line: bytes, now: float) -> None:
--- a/granitedock/configuration/gateway_attachment.py
+++ b/granitedock/configuration/gateway_attachment.py
@@ -98,7 +98,7 @@
                 self.log("configuration copy read", file=str(copy.path), version=copied.version)
         except ConfigurationError as fault:
             self.count("copy_refused")
-            self.log("configuration copy refused", file=str(copy.path), why=str(fault))
+            self.log("configuration copy rejected", file=str(copy.path), why=str(fault))
             self.copy = None
             return
         copy.start()
@@ -125,7 +125,7 @@
         self.copy = None
         self.snapshot_records = []
         self.count("copy_unwritten")
-        self.log("configuration copy unwritten", why=why)
+        self.log("configuration copy write failed", why=why)
 
     # `DocumentConsumer` of the replicated document: what acts here, and what is copied.
 
--- a/granitedock/configuration/message_handler.py
+++ b/granitedock/configuration/message_handler.py
@@ -117,7 +117,7 @@
             return
         connection.snapshot_requested = True
         self.count("resends")
-        self.log("configuration asked for whole", control=connection.address, why=why[:MOST_REASON])
+        self.log("configuration snapshot requested", control=connection.address, why=why[:MOST_REASON])
         self.transport.send(connection, Resend())
 
     def snapshot_begins(self, connection: Connection, message: SnapshotBegins, now: float) -> None:
@@ -145,7 +145,7 @@
             connection.behind_since = None
             self.count("snapshots")
             self.log(
-                "configuration taken whole",
+                "configuration snapshot applied",
                 control=connection.address,
                 version=message.version,
                 digest=digest_text(message.digest),
--- a/tests/configuration/test_change_codec.py
+++ b/tests/configuration/test_change_codec.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "fault"),
+    ("record", "fault"),
     [
         ([], "(whole change): an object is wanted"),
         ({"plans": {"upsert": [PLAN]}}, "base: a whole number from 0 is wanted"),
@@ -42,9 +42,9 @@
         ),
     ],
 )
-def test_a_change_that_is_not_right_is_refused_whole_with_its_source_and_field(told, fault):
+def test_a_change_that_is_not_right_is_refused_whole_with_its_source_and_field(record, fault):
     with pytest.raises(ChangeRejectedError) as refused:
-        change_from_record(told, "new.json")
+        change_from_record(record, "new.json")
     assert any(line.startswith(f"new.json: {fault}") for line in refused.value.faults), refused.value.faults
 
 
--- a/tests/configuration/test_configuration_processes.py
+++ b/tests/configuration/test_configuration_processes.py
@@ -119,7 +119,7 @@
     copy = tmp_path / "g.copy"
     copy.write_bytes(b"no store at all" * 100)
     with controls(2, 1) as (writer,), gateway(tmp_path, [writer.address], copy_file=str(copy)) as live:
-        refused = [figures for event, figures in live.events if event == "configuration copy refused"]
+        refused = [figures for event, figures in live.events if event == "configuration copy rejected"]
         assert refused and str(copy) in refused[0]["why"]
         has(live, 1)
 
@@ -168,7 +168,7 @@
 
         answered.done = False
         until(live, answered)
-        said = [figures["why"] for event, figures in live.events if event == "configuration refused"]
+        said = [figures["why"] for event, figures in live.events if event == "control connection rejected"]
         assert len(said) == 1 and why in said[0], said
         assert live.service.configuration.follower.counts["refused"] == 1
     strange.sock.close()
--- a/tests/configuration/test_document_store.py
+++ b/tests/configuration/test_document_store.py
@@ -17,8 +17,8 @@
 def test_a_store_that_is_torn_is_not_served(tmp_path):
     path = tmp_path / "w.db"
     control_node(path).store.close()
-    with sqlite3.connect(path) as link:
-        link.execute("UPDATE entries SET record = replace(record, '\"Refill\":11', '\"Refill\":12')")
+    with sqlite3.connect(path) as database:
+        database.execute("UPDATE entries SET record = replace(record, '\"Refill\":11', '\"Refill\":12')")
     with pytest.raises(StoreError, match="w.db: torn: its entries make digest"):
         control_node(path)
     path.write_bytes(path.read_bytes()[:8192] + b"\0" * 4096)
--- a/tests/configuration/test_gateway_attachment.py
+++ b/tests/configuration/test_gateway_attachment.py
@@ -19,11 +19,11 @@
     code = (
         "import sys, granitedock.service.event_loop\nprint([m for m in sys.modules if 'configuration' in m])"
     )
-    said = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
-    assert said.strip() == "[]"
+    output = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
+    assert output.strip() == "[]"
 
 
-class Gateway:
+class GatewayStub:
     """Reactor and log of a gateway's part; what a thread asks of the loop is done at once."""
 
     def __init__(self):
@@ -32,40 +32,40 @@
     def event(self, event, **figures):
         self.events.append(event)
 
-    def callFromThread(self, act, *what, **named):
-        act(*what, **named)
+    def callFromThread(self, function, *arguments, **named):
+        function(*arguments, **named)
 
 
-def followed_by_gateway(tmp_path, copy):
+def attached_gateway(tmp_path, copy):
     """A gateway's part that keeps a copy, with no connection to control."""
-    told = platform_file()
-    gateway = Gateway()
+    settings = platform_file()
+    gateway = GatewayStub()
     file = GatewayFile(enabled=True, cluster="lab", control=["127.0.0.1:1"], copy_file=str(copy))
-    link = GatewayAttachment(file, "g1", reducer(told), gateway, lambda: 1e12, gateway)
-    link.copy = LocalCopy(copy, "lab", link.copy_write_failed)
-    return link, gateway
+    attachment = GatewayAttachment(file, "g1", reducer(settings), gateway, lambda: 1e12, gateway)
+    attachment.copy = LocalCopy(copy, "lab", attachment.copy_write_failed)
+    return attachment, gateway
 
 
-def take_in(link, lines):
+def apply_lines(attachment, lines):
     """A snapshot's lines, as far as they are given."""
     for line in lines:
         message = decode(line)
         if isinstance(message, SnapshotBegins):
-            link.document.begin_snapshot()
+            attachment.document.begin_snapshot()
         elif isinstance(message, Page):
-            link.document.add_page(message.edit)
+            attachment.document.add_page(message.edit)
         else:
-            link.document.end_snapshot(message.version, message.digest)
+            attachment.document.end_snapshot(message.version, message.digest)
 
 
 def test_a_snapshot_cut_short_leaves_nothing_in_the_copy_of_the_next(writer, tmp_path):
-    link, gateway = followed_by_gateway(tmp_path, tmp_path / "g.copy")
-    link.copy.start()
-    take_in(link, writer.snapshot_lines()[:-1])
+    attachment, gateway = attached_gateway(tmp_path, tmp_path / "g.copy")
+    attachment.copy.start()
+    apply_lines(attachment, writer.snapshot_lines()[:-1])
     writer.apply(change(1, [PLAN], ["tenant-00001"]), "test")
-    take_in(link, writer.snapshot_lines())
-    link.copy.stop()
-    again, gateway = followed_by_gateway(tmp_path, tmp_path / "g.copy")
+    apply_lines(attachment, writer.snapshot_lines())
+    attachment.copy.stop()
+    again, gateway = attached_gateway(tmp_path, tmp_path / "g.copy")
     again.read_copy(again.copy)
     assert gateway.events == ["configuration copy read"]
     assert again.document.version == 2
@@ -73,10 +73,10 @@
 
 
 def test_a_copy_that_cannot_be_written_is_named_and_nothing_waits_for_it(writer, tmp_path):
-    link, gateway = followed_by_gateway(tmp_path, tmp_path / "none" / "g.copy")
-    thread = link.copy.thread
-    link.copy.start()
+    attachment, gateway = attached_gateway(tmp_path, tmp_path / "none" / "g.copy")
+    thread = attachment.copy.thread
+    attachment.copy.start()
     thread.join(5.0)
-    assert gateway.events == ["configuration copy unwritten"]
-    take_in(link, writer.snapshot_lines())
-    assert link.copy is None and link.snapshot_records == [] and link.document.version == 1
+    assert gateway.events == ["configuration copy write failed"]
+    apply_lines(attachment, writer.snapshot_lines())
+    assert attachment.copy is None and attachment.snapshot_records == [] and attachment.document.version == 1
--- a/tests/configuration/test_plan_changes.py
+++ b/tests/configuration/test_plan_changes.py
@@ -1,4 +1,4 @@
-"""A plan that changes in service: what a customer gets, and its books. Simulated; times in ms."""
+"""A plan that changes in service: what a customer gets, and its quota accounts. Simulated; times in ms."""
 
 import pytest
 from fake_gateway import Story
@@ -35,13 +35,13 @@
     fleet = PlanFleet(gateways, [offer], [change] if after is not before else [], seed=1)
     if forget:
         for desk in fleet.desks.values():
-            desk.changed = lambda new, desk=desk: fresh_books(desk, new)
+            desk.changed = lambda new, desk=desk: fresh_accounts(desk, new)
     end = FROM_MS + HEARD_MS + AFTER_MS
     fleet.run(end)
     return worst_part(offer, change, window_of(before) == window_of(after), end)
 
 
-def fresh_books(desk, new):
+def fresh_accounts(desk, new):
     """As if nothing was carried over."""
     desk.plans[new.name] = new
     for customer in desk.gateway.accounts:
@@ -64,7 +64,7 @@
 
 
 def used_up(before, now=100_000.0):
-    """A book whose customer has taken its whole burst."""
+    """An account whose customer has taken its whole burst."""
     account = QuotaAccount(before, 2, now)
     account.turn(now)
     account.spell, account.seen_at, account.in_flight = before.burst, now, 3
@@ -150,7 +150,7 @@
     assert with_window({"Name": "p", "Refill": 100, "MostAtOnce": 20}, raised)["WindowMs"] == 1000.0
 
 
-def test_a_request_in_hand_ends_on_the_new_book():
+def test_a_request_in_hand_ends_on_the_new_account():
     """Its call to the counter and its attempt were begun under the old one."""
     story, customer = Story(), Customer(99)
     story.ask(customer=customer, plan=plan(10, 20))
--- a/tests/helpers/configuration_helpers.py
+++ b/tests/helpers/configuration_helpers.py
@@ -112,10 +112,10 @@
         while True:
             for line in self.lines():
                 self.hears(line)
-            asked, self.sent = self.sent, []
-            for message in asked:
+            sent, self.sent = self.sent, []
+            for message in sent:
                 self.core.publisher.message_received(self.session, message)
-            if not any(isinstance(message, Resend) for message in asked):
+            if not any(isinstance(message, Resend) for message in sent):
                 return
 
     def cut(self):
