--- a/granitedock/configuration/control_client.py
+++ b/granitedock/configuration/control_client.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from http.client import HTTPConnection, HTTPException
 from typing import cast
 
@@ -12,8 +13,6 @@
 from granitedock.configuration.errors import ControlRequestError
 from granitedock.configuration.http_records import AppliedChangeRecord, ControlStatusRecord, DocumentRecord
 
-OK = 200
-
 
 def request(address: str, method: str, path: str, body: bytes | None, timeout_s: float) -> Record:
     """The object that the control process answers. Raises ControlRequestError."""
@@ -27,7 +26,7 @@
     except (OSError, ValueError, HTTPException) as fault:
         problem = f"{address}: no answer: {type(fault).__name__}: {fault}"
         raise ControlRequestError(problem) from None
-    if type(content) is not dict or response.status != OK:
+    if type(content) is not dict or response.status != HTTPStatus.OK:
         errors = content.get("errors") if type(content) is dict else None
         lines = [f"{address}: {error}" for error in errors or [f"status {response.status}"]]
         raise ControlRequestError("\n".join(lines))
--- a/granitedock/configuration/control_connection.py
+++ b/granitedock/configuration/control_connection.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Any, Protocol
 from urllib.parse import urlsplit
 
@@ -31,13 +32,6 @@
 from granitedock.configuration.messages import InForce, Resend, VersionedChange
 from granitedock.configuration.watch_request import parse_watch_request
 
-OK = 200
-BAD_REQUEST = 400
-NOT_FOUND = 404
-CONFLICT = 409
-CONTENT_TOO_LARGE = 413
-MISDIRECTED_REQUEST = 421
-INTERNAL_SERVER_ERROR = 500
 MOST_REPORT_BYTES = 4096  # one line of a follower
 MOST_REASON = 200  # characters of a reason in the log
 IDLE_MS = 30_000.0  # a connection that completes no request, and is no watch
@@ -159,7 +153,7 @@
         self.body_size += len(data)
         if self.body_size > MOST_CHANGE_BYTES:
             problem = f"(whole change): more than {MOST_CHANGE_BYTES:,} bytes"
-            raise HttpError(CONTENT_TOO_LARGE, [problem])
+            raise HttpError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, [problem])
         self.body.append(data)
 
     def request_complete(self) -> None:
@@ -174,8 +168,8 @@
         }
         answer = routes.get((self.method, self.path))
         if answer is None:
-            raise HttpError(NOT_FOUND, [f"{self.method} {self.path}: no such request"])
-        self.respond(OK, answer())
+            raise HttpError(HTTPStatus.NOT_FOUND, [f"{self.method} {self.path}: no such request"])
+        self.respond(HTTPStatus.OK, answer())
         self.idle_since = self.node.clock()
         if not self.ended:
             self.http.start_next_cycle()
@@ -187,13 +181,13 @@
         try:
             made = self.node.apply(parse_change(b"".join(self.body), source), source)
         except VersionConflictError as fault:
-            raise HttpError(CONFLICT, fault.faults) from None
+            raise HttpError(HTTPStatus.CONFLICT, fault.faults) from None
         except ChangeRejectedError as fault:
-            raise HttpError(BAD_REQUEST, fault.faults) from None
+            raise HttpError(HTTPStatus.BAD_REQUEST, fault.faults) from None
         except NotWriterError as fault:
-            raise HttpError(MISDIRECTED_REQUEST, [str(fault)]) from None
+            raise HttpError(HTTPStatus.MISDIRECTED_REQUEST, [str(fault)]) from None
         except ConfigurationError as fault:
-            raise HttpError(INTERNAL_SERVER_ERROR, [str(fault)]) from None
+            raise HttpError(HTTPStatus.INTERNAL_SERVER_ERROR, [str(fault)]) from None
         self.server.change_applied(made, source)
         return {"version": made.version, "digest": digest_text(made.digest)}
 
@@ -201,12 +195,12 @@
         """Send a whole answer; after an error the connection ends."""
         body = orjson.dumps(content)
         headers = [*JSON_HEADERS, ("Content-Length", str(len(body)))]
-        if status != OK:
+        if status != HTTPStatus.OK:
             headers.append(("Connection", "close"))
         response = h11.Response(status_code=status, headers=headers)
         parts = (response, h11.Data(data=body), h11.EndOfMessage())
         self.transport.write(b"".join(self.http.send(part) or b"" for part in parts))
-        if status != OK:
+        if status != HTTPStatus.OK:
             self.ended = True
             self.transport.loseConnection()
 
@@ -215,7 +209,7 @@
     def begin_watch(self, query: str) -> None:
         """Answer a watch, and add its follower. Raises HttpError."""
         watch = parse_watch_request(query, self.node.store.cluster)
-        self.transport.write(self.http.send(h11.Response(status_code=OK, headers=WATCH_HEADERS)))
+        self.transport.write(self.http.send(h11.Response(status_code=HTTPStatus.OK, headers=WATCH_HEADERS)))
         now = self.node.clock()
         self.session = self.publisher.open_session(
             watch.name, watch.role, self, watch.version, watch.digest, now
--- a/granitedock/configuration/errors.py
+++ b/granitedock/configuration/errors.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from pathlib import Path
 
 from granitedock.errors import GranitedockError
@@ -58,7 +59,7 @@
 class HttpError(GranitedockError):
     """A request that is answered by an HTTP error: its status, and a text for each fault."""
 
-    def __init__(self, status: int, errors: list[str]) -> None:
+    def __init__(self, status: HTTPStatus, errors: list[str]) -> None:
         super().__init__(status, errors)
         self.status = status
         self.errors = errors
--- a/granitedock/configuration/follower_connection.py
+++ b/granitedock/configuration/follower_connection.py
@@ -7,6 +7,7 @@
 
 from collections import Counter
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Any
 
 import h11
@@ -24,7 +25,6 @@
 
 CONNECT_TIMEOUT_S = 1.0
 CHECK_S = 0.25
-OK = 200
 
 
 class WatchProtocol(Protocol):
@@ -71,7 +71,7 @@
     def handle_event(self, event: Any) -> None:
         """One event of h11. Raises ConfigurationError."""
         if isinstance(event, h11.Response):
-            if event.status_code != OK:
+            if event.status_code != HTTPStatus.OK:
                 problem = f"status {event.status_code}"
                 raise ConfigurationError(problem)
         elif isinstance(event, h11.Data):
--- a/granitedock/configuration/follower_ports.py
+++ b/granitedock/configuration/follower_ports.py
@@ -44,7 +44,7 @@
     """What the follower asks of its transport (`follower_connection.py`)."""
 
     def connect(self, connection: Connection, address: str) -> None:
-        """Begin to connect; the follower is told of its success or failure."""
+        """Begin to connect; `connected` or `disconnected` of the follower says how it went."""
         ...
 
     def send(self, connection: Connection, message: Message) -> None:
--- a/granitedock/configuration/follower_states.py
+++ b/granitedock/configuration/follower_states.py
@@ -62,19 +62,20 @@
     snapshot: SnapshotProgress | None = None  # on its way
 
 
-S, E = ConnectionState, ConnectionEvent
+State = ConnectionState
+Event = ConnectionEvent
 TRANSITIONS = {
-    (S.CLOSED, E.CONNECT_DUE): (S.CONNECTING, "connect"),
-    (S.CONNECTING, E.CONNECTED): (S.AWAITING_FIRST_LINE, None),
-    (S.CONNECTING, E.DISCONNECTED): (S.ABANDONED, "try_next_address"),
-    (S.AWAITING_FIRST_LINE, E.LINE_RECEIVED): (S.FOLLOWING, None),
-    (S.AWAITING_FIRST_LINE, E.DISCONNECTED): (S.ABANDONED, "try_next_address"),
-    (S.AWAITING_FIRST_LINE, E.REJECTED): (S.ABANDONED, "abort_and_try_next"),
-    (S.AWAITING_FIRST_LINE, E.TIMED_OUT): (S.ABANDONED, "abort_and_try_next"),
-    (S.FOLLOWING, E.DISCONNECTED): (S.ABANDONED, "try_next_address"),
-    (S.FOLLOWING, E.REJECTED): (S.ABANDONED, "abort_and_try_next"),
-    (S.FOLLOWING, E.TIMED_OUT): (S.ABANDONED, "abort_and_try_next"),
-    (S.FOLLOWING, E.BEHIND): (S.ABANDONED, "abort_and_try_next"),
-    (S.FOLLOWING, E.RETURN_DUE): (S.ABANDONED, "abort_and_try_first"),
-    (S.ABANDONED, E.CONNECTED): (S.ABANDONED, "abort"),  # it was on its way when it was given up
+    (State.CLOSED, Event.CONNECT_DUE): (State.CONNECTING, "connect"),
+    (State.CONNECTING, Event.CONNECTED): (State.AWAITING_FIRST_LINE, None),
+    (State.CONNECTING, Event.DISCONNECTED): (State.ABANDONED, "try_next_address"),
+    (State.AWAITING_FIRST_LINE, Event.LINE_RECEIVED): (State.FOLLOWING, None),
+    (State.AWAITING_FIRST_LINE, Event.DISCONNECTED): (State.ABANDONED, "try_next_address"),
+    (State.AWAITING_FIRST_LINE, Event.REJECTED): (State.ABANDONED, "abort_and_try_next"),
+    (State.AWAITING_FIRST_LINE, Event.TIMED_OUT): (State.ABANDONED, "abort_and_try_next"),
+    (State.FOLLOWING, Event.DISCONNECTED): (State.ABANDONED, "try_next_address"),
+    (State.FOLLOWING, Event.REJECTED): (State.ABANDONED, "abort_and_try_next"),
+    (State.FOLLOWING, Event.TIMED_OUT): (State.ABANDONED, "abort_and_try_next"),
+    (State.FOLLOWING, Event.BEHIND): (State.ABANDONED, "abort_and_try_next"),
+    (State.FOLLOWING, Event.RETURN_DUE): (State.ABANDONED, "abort_and_try_first"),
+    (State.ABANDONED, Event.CONNECTED): (State.ABANDONED, "abort"),  # it was on its way when it was given up
 }
--- a/granitedock/configuration/watch_request.py
+++ b/granitedock/configuration/watch_request.py
@@ -3,14 +3,12 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from http import HTTPStatus
 from urllib.parse import parse_qs, urlencode
 
 from granitedock.configuration.document import digest_text
 from granitedock.configuration.errors import HttpError
 
-BAD_REQUEST = 400
-CONFLICT = 409
-
 
 @dataclass(frozen=True, slots=True)
 class WatchRequest:
@@ -39,7 +37,7 @@
     """The one value of a query's field. Raises HttpError."""
     values = fields.get(name, [])
     if len(values) != 1:
-        raise HttpError(BAD_REQUEST, [f"{name}: wanted once in the request's query"])
+        raise HttpError(HTTPStatus.BAD_REQUEST, [f"{name}: wanted once in the request's query"])
     return values[0]
 
 
@@ -52,10 +50,12 @@
     version_digits = single_value(fields, "after")
     digest_digits = single_value(fields, "digest")
     if cluster != own_cluster:
-        raise HttpError(CONFLICT, [f"cluster: this is {own_cluster!r}, not {cluster!r}"])
+        raise HttpError(HTTPStatus.CONFLICT, [f"cluster: this is {own_cluster!r}, not {cluster!r}"])
     try:
         version = int(version_digits)
         digest = int(digest_digits, 16)
     except ValueError:
-        raise HttpError(BAD_REQUEST, ["after, digest: a whole number and hex digits are wanted"]) from None
+        raise HttpError(
+            HTTPStatus.BAD_REQUEST, ["after, digest: a whole number and hex digits are wanted"]
+        ) from None
     return WatchRequest(name, role, cluster, version, digest)
