--- a/granitedock/__main__.py
+++ b/granitedock/__main__.py
@@ -8,16 +8,18 @@
 
 from granitedock import __version__
 
-GATEWAY, ASKING = "granitedock.commands.gateway", "granitedock.commands.asking"
-CONTROL, LABORATORY = "granitedock.commands.control", "granitedock.commands.laboratory"
-COMMANDS = {  # where each stands, and its name there
+GATEWAY = "granitedock.commands.gateway"
+QUERIES = "granitedock.commands.queries"
+CONTROL = "granitedock.commands.control"
+LABORATORY = "granitedock.commands.laboratory"
+COMMANDS = {  # name on the command line: (module, attribute)
     "serve": (GATEWAY, "serve"),
     "check": (GATEWAY, "check"),
-    "counters": (ASKING, "counters"),
-    "metrics": (ASKING, "metrics"),
-    "fleet": (ASKING, "fleet"),
-    "hosts": (ASKING, "hosts"),
-    "configuration": (ASKING, "configuration"),
+    "counters": (QUERIES, "counters"),
+    "metrics": (QUERIES, "metrics"),
+    "fleet": (QUERIES, "fleet"),
+    "hosts": (QUERIES, "hosts"),
+    "configuration": (QUERIES, "configuration"),
     "control": (CONTROL, "control"),
     "config": (CONTROL, "config_group"),
     "lab": (LABORATORY, "lab"),
@@ -28,12 +30,14 @@
 
 
 class LazyGroup(click.Group):
-    """Commands whose modules are loaded when they are called, so that a start loads only its own."""
+    """A group that imports a command's module when it is called, so that a start imports only its own."""
 
-    def list_commands(self, context: click.Context) -> list[str]:
+    def list_commands(self, context: click.Context) -> list[str]:  # noqa: ARG002 - click calls it with one
+        """The names of all commands, without importing them."""
         return sorted([*COMMANDS, *self.commands])
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
+        """The command of this name, imported now, or None if there is none."""
         if name not in COMMANDS:
             return super().get_command(context, name)
         module, attribute = COMMANDS[name]
--- a/granitedock/commands/__init__.py
+++ b/granitedock/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of `python -m granitedock`, a module for each party; loaded when one is called."""
+"""The commands of `python -m granitedock`, one module for each topic; loaded when one is called."""
--- a/granitedock/commands/control.py
+++ b/granitedock/commands/control.py
@@ -1,16 +1,28 @@
-"""The configuration service: control processes, and changes of what is in force."""
+"""Commands of the configuration service: run a control process, and check, apply and show changes."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from pathlib import Path
+from typing import ParamSpec, TypeVar
 
 import click
 
+from granitedock.commands.errors import CommandError
+
+Parameters = ParamSpec("Parameters")
+Result = TypeVar("Result")
+
 
 @click.command()
-@click.option("--config", required=True, type=click.Path(dir_okay=False), help="This process's TOML file.")
 @click.option(
-    "--follow", multiple=True, help="Be a replica of the control process here, instead of the file's."
+    "--config", "path", required=True, type=click.Path(dir_okay=False), help="This process's TOML file."
+)
+@click.option(
+    "--follow",
+    "leaders",
+    multiple=True,
+    help="Be a replica of the control process here, instead of the file's.",
 )
 @click.option(
     "--import",
@@ -18,25 +30,25 @@
     type=click.Path(exists=True, dir_okay=False),
     help="A platform's file whose plans and classes become version 1 of an empty store.",
 )
-def control(config: str, follow: tuple[str, ...], imported: str | None) -> None:
+def control(path: str, leaders: tuple[str, ...], imported: str | None) -> None:
     """Serve plans and request classes to gateways until SIGTERM: the writer, or a replica."""
     from granitedock.configuration.document import ConfigurationError
     from granitedock.configuration.process import run
     from granitedock.configuration.settings import load_control
     from granitedock.platform_file import ToldError
-    from granitedock.platform_file import load as load_told
+    from granitedock.platform_file import load as load_platform_file
     from granitedock.toml_file import FileError
 
     try:
-        file = load_control(config)
-        if follow:
-            file = file.model_validate(file.model_dump() | {"follow": list(follow)})
-        settings = load_told(imported)["settings"] if imported else None
+        file = load_control(path)
+        if leaders:
+            file = file.model_validate(file.model_dump() | {"follow": list(leaders)})
+        settings = load_platform_file(imported)["settings"] if imported else None
         raise SystemExit(run(file, settings, imported or ""))
-    except (FileError, ToldError, ConfigurationError) as fault:
-        raise click.ClickException(str(fault)) from None
-    except ValueError as fault:
-        raise click.ClickException(f"--follow: {fault}") from None
+    except (FileError, ToldError, ConfigurationError) as error:
+        raise click.ClickException(str(error)) from None
+    except ValueError as error:
+        raise CommandError("--follow", error) from None
 
 
 @click.group("config")
@@ -44,14 +56,16 @@
     """Plans and request classes in force while gateways run (docs/configuration-service.md)."""
 
 
-def from_control(act, *what):
-    """What a control process says, or the command's error."""
+def call(
+    function: Callable[Parameters, Result], *args: Parameters.args, **kwargs: Parameters.kwargs
+) -> Result:
+    """The function's result; its ConfigurationError becomes the command's error, click.ClickException."""
     from granitedock.configuration.document import ConfigurationError
 
     try:
-        return act(*what)
-    except ConfigurationError as fault:
-        raise click.ClickException(str(fault)) from None
+        return function(*args, **kwargs)
+    except ConfigurationError as error:
+        raise click.ClickException(str(error)) from None
 
 
 @config_group.command("check")
@@ -60,60 +74,68 @@
     """Check the change in the JSON file CHANGE by its form alone; nothing is asked or sent."""
     from granitedock.configuration.change_form import parsed
 
-    made = from_control(parsed, change.read_bytes(), str(change))
-    click.echo(f"{change}: {len(made.edit)} entries on version {made.base}")
+    read = call(parsed, change.read_bytes(), str(change))
+    click.echo(f"{change}: {len(read.edit)} entries on version {read.base}")
 
 
 @config_group.command("apply")
 @click.argument("change", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.option("--to", "address", required=True, help="The writer's address.")
-@click.option("--within", default=10.0, show_default=True, help="Seconds to wait for the answer.")
-def config_apply(change: Path, address: str, within: float) -> None:
+@click.option(
+    "--within", "timeout_s", default=10.0, show_default=True, help="Seconds to wait for the answer."
+)
+def config_apply(change: Path, address: str, timeout_s: float) -> None:
     """Put the change in the JSON file CHANGE in force, if it is made on the present version."""
     from granitedock.configuration import client
     from granitedock.configuration.change_form import parsed
 
     data = change.read_bytes()
-    from_control(parsed, data, str(change))
-    made = from_control(client.apply, address, data, within)
-    click.echo(f"version {made['version']}, digest {made['digest']}")
+    call(parsed, data, str(change))
+    applied = call(client.apply, address, data, timeout_s)
+    click.echo(f"version {applied['version']}, digest {applied['digest']}")
 
 
 @config_group.command("show")
 @click.argument("address")
 @click.option("--plan", help="Only the plan of this name.")
-@click.option("--within", default=10.0, show_default=True, help="Seconds to wait for the answer.")
-def config_show(address: str, plan: str | None, within: float) -> None:
+@click.option(
+    "--within", "timeout_s", default=10.0, show_default=True, help="Seconds to wait for the answer."
+)
+def config_show(address: str, plan: str | None, timeout_s: float) -> None:
     """The document that the control process at ADDRESS holds, as JSON."""
     import orjson
 
     from granitedock.configuration import client
 
-    shown = from_control(client.document, address, within)
+    shown = call(client.document, address, timeout_s)
     if plan is not None:
-        found = [one for one in shown["plans"] if one["Name"] == plan]
-        if not found:
-            raise click.ClickException(f"{address}: no plan {plan!r}")
-        shown = found[0]
+        matching = [record for record in shown["plans"] if record["Name"] == plan]
+        if not matching:
+            raise CommandError(address, f"no plan {plan!r}")
+        shown = matching[0]
     click.echo(orjson.dumps(shown, option=orjson.OPT_INDENT_2).decode())
 
 
 @config_group.command("status")
 @click.argument("addresses", nargs=-1, required=True)
-@click.option("--all", "every", is_flag=True, help="A line for each follower, also those that lack nothing.")
+@click.option(
+    "--all", "include_current", is_flag=True, help="A line for each follower, also those that lack nothing."
+)
 @click.option("--json", "as_json", is_flag=True, help="All of it, in JSON.")
-@click.option("--within", default=10.0, show_default=True, help="Seconds to wait for each answer.")
-def config_status(addresses: tuple[str, ...], every: bool, as_json: bool, within: float) -> None:
+@click.option(
+    "--within", "timeout_s", default=10.0, show_default=True, help="Seconds to wait for each answer."
+)
+def config_status(addresses: tuple[str, ...], include_current: bool, as_json: bool, timeout_s: float) -> None:
     """Which version the followers of the control processes at ADDRESSES have in force, how many lag and by
     how long. Exits with 1 if one lags, or a control process does not answer."""
     import orjson
 
     from granitedock.configuration import report
 
-    found = report.gathered(addresses, within)
+    status = report.gathered(addresses, timeout_s)
     if as_json:
-        click.echo(orjson.dumps(found.as_json(), option=orjson.OPT_INDENT_2).decode())
+        click.echo(orjson.dumps(status.as_json(), option=orjson.OPT_INDENT_2).decode())
     else:
-        for line in report.lines(found, every):
+        for line in report.lines(status, include_current):
             click.echo(line)
-    raise SystemExit(0 if found.well() else 1)
+    raise SystemExit(0 if status.well() else 1)
--- a/granitedock/commands/gateway.py
+++ b/granitedock/commands/gateway.py
@@ -1,15 +1,23 @@
-"""Serving, and reading the files that a gateway would serve by."""
+"""Commands of a gateway: serve, and show the settings that it would serve with."""
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING, Any
+
 import click
 
-from granitedock.commands.files import configuration_file, fleet_file
+from granitedock.commands.errors import CommandError
+from granitedock.commands.settings_files import load_configuration_file, load_fleet_file
+
+if TYPE_CHECKING:
+    from granitedock.membership.settings import FleetFile
+    from granitedock.service.limits import Limits
 
 
 @click.command()
 @click.option(
     "--told",
+    "platform_path",
     envvar="LB_CONFIG",
     required=True,
     type=click.Path(exists=True, dir_okay=False),
@@ -17,82 +25,105 @@
 )
 @click.option(
     "--fleet",
+    "fleet_path",
     envvar="GRANITEDOCK_FLEET",
     type=click.Path(dir_okay=False),
     help="The operators' TOML file that turns the view of the fleet on (deploy/fleet.toml).",
 )
 @click.option(
     "--config",
+    "settings_path",
     envvar="GRANITEDOCK_CONFIG",
     type=click.Path(dir_okay=False),
     help="The operators' TOML file of the gateway's own settings (deploy/gateway.toml).",
 )
 @click.option(
     "--configuration",
+    "configuration_path",
     envvar="GRANITEDOCK_CONFIGURATION",
     type=click.Path(dir_okay=False),
     help="The operators' TOML file that turns the configuration service on (docs/configuration-service.md).",
 )
-def serve(told: str, fleet: str | None, config: str | None, configuration: str | None) -> None:
+def serve(
+    platform_path: str, fleet_path: str | None, settings_path: str | None, configuration_path: str | None
+) -> None:
     """Serve until SIGTERM."""
     from granitedock.service.event_loop import serve as run
 
-    raise SystemExit(run(told, fleet_file(fleet), config, configuration_file(configuration)))
+    fleet_file = load_fleet_file(fleet_path)
+    raise SystemExit(
+        run(platform_path, fleet_file, settings_path, load_configuration_file(configuration_path))
+    )
 
 
-def fleet_shown(file, born: dict) -> dict:
-    """What `check` says of the operators' file: whether it acts here, its times, and the bound on quotas."""
+def fleet_summary(file: FleetFile, settings: dict[str, Any]) -> dict[str, Any]:
+    """What the membership file turns on for this gateway, its timing, and the bound on quota overshoot."""
     from granitedock import platform_settings
     from granitedock.membership.settings import may_talk
     from granitedock.quota_sharing.bound import told
     from granitedock.quota_sharing.state import Bounds
 
-    gateways = max(1, int(born.get("Balancers") or 1))
+    gateways = max(1, int(settings.get("Balancers") or 1))
     return {
-        "on": file.enabled and may_talk(born),
-        "shared": file.enabled and may_talk(born) and file.shared.enabled,
+        "on": file.enabled and may_talk(settings),
+        "shared": file.enabled and may_talk(settings) and file.shared.enabled,
         "pace": file.pace(),
-        "bound": told(platform_settings.plans(born), gateways, file.pace(), Bounds().tell_ms),
+        "bound": told(platform_settings.plans(settings), gateways, file.pace(), Bounds().tell_ms),
+    }
+
+
+def settings_summary(platform_file: dict[str, Any], limits: Limits) -> dict[str, Any]:
+    """What a gateway reads out of the platform's file, under the names that `check` prints."""
+    from granitedock import platform_settings
+
+    settings = platform_file["settings"]
+    return {
+        "limits": limits,
+        "seat": platform_settings.seat(int(platform_file["seed"], 16), settings),
+        "leave": platform_settings.leave(settings),
+        "cold": platform_settings.cold(settings),
+        "products": platform_settings.request_classes(settings),
+        "plans": platform_settings.plans(settings),
     }
 
 
 @click.command()
-@click.option("--told", envvar="LB_CONFIG", required=True, type=click.Path(exists=True, dir_okay=False))
-@click.option("--fleet", envvar="GRANITEDOCK_FLEET", type=click.Path(dir_okay=False))
-@click.option("--config", envvar="GRANITEDOCK_CONFIG", type=click.Path(dir_okay=False))
-@click.option("--configuration", envvar="GRANITEDOCK_CONFIGURATION", type=click.Path(dir_okay=False))
-def check(told: str, fleet: str | None, config: str | None, configuration: str | None) -> None:
+@click.option(
+    "--told", "platform_path", envvar="LB_CONFIG", required=True, type=click.Path(exists=True, dir_okay=False)
+)
+@click.option("--fleet", "fleet_path", envvar="GRANITEDOCK_FLEET", type=click.Path(dir_okay=False))
+@click.option("--config", "settings_path", envvar="GRANITEDOCK_CONFIG", type=click.Path(dir_okay=False))
+@click.option(
+    "--configuration",
+    "configuration_path",
+    envvar="GRANITEDOCK_CONFIGURATION",
+    type=click.Path(dir_okay=False),
+)
+def check(
+    platform_path: str, fleet_path: str | None, settings_path: str | None, configuration_path: str | None
+) -> None:
     """Read such a file and print what the gateway would serve with."""
     import orjson
 
-    from granitedock import platform_settings
     from granitedock.platform_file import ToldError
-    from granitedock.platform_file import load as load_told
+    from granitedock.platform_file import load as load_platform_file
     from granitedock.service.limits import Limits
     from granitedock.toml_file import FileError
 
     try:
-        record = load_told(told)
-        born = record["settings"]
-        limits = Limits.told(record)
-        if config is not None:
+        platform_file = load_platform_file(platform_path)
+        limits = Limits.told(platform_file)
+        if settings_path is not None:
             from granitedock.service.operator_settings import load
 
-            limits = load(config).over(limits)
-        shown = {
-            "limits": limits,
-            "seat": platform_settings.seat(int(record["seed"], 16), born),
-            "leave": platform_settings.leave(born),
-            "cold": platform_settings.cold(born),
-            "products": platform_settings.request_classes(born),
-            "plans": platform_settings.plans(born),
-        }
-        if (file := fleet_file(fleet)) is not None:
-            shown["fleet"] = fleet_shown(file, born)
-        if (file := configuration_file(configuration)) is not None:
-            shown["configuration"] = file.model_dump()
-    except (FileError, ToldError) as fault:
-        raise click.ClickException(str(fault)) from None
-    except (ValueError, KeyError, TypeError, AttributeError) as fault:
-        raise click.ClickException(f"{told}: {type(fault).__name__}: {fault}") from None
-    click.echo(orjson.dumps(shown, option=orjson.OPT_INDENT_2).decode())
+            limits = load(settings_path).over(limits)
+        summary = settings_summary(platform_file, limits)
+        if (fleet_file := load_fleet_file(fleet_path)) is not None:
+            summary["fleet"] = fleet_summary(fleet_file, platform_file["settings"])
+        if (configuration_file := load_configuration_file(configuration_path)) is not None:
+            summary["configuration"] = configuration_file.model_dump()
+    except (FileError, ToldError) as error:
+        raise click.ClickException(str(error)) from None
+    except (ValueError, KeyError, TypeError, AttributeError) as error:
+        raise CommandError(platform_path, f"{type(error).__name__}: {error}") from None
+    click.echo(orjson.dumps(summary, option=orjson.OPT_INDENT_2).decode())
--- a/granitedock/commands/laboratory.py
+++ b/granitedock/commands/laboratory.py
@@ -1,4 +1,4 @@
-"""The laboratory, the load tool and the explorer."""
+"""Commands of the laboratory, the load generator and the model checker."""
 
 from __future__ import annotations
 
@@ -15,59 +15,70 @@
 @lab.command("run")
 @click.argument("scenario", required=False, type=click.Path(dir_okay=False))
 @click.option(
-    "--out", type=click.Path(file_okay=False), help="Keep files, logs, rows and plots in this folder."
+    "--out",
+    "output",
+    type=click.Path(file_okay=False),
+    help="Keep files, logs, rows and plots in this folder.",
 )
-def lab_run(scenario: str | None, out: str | None) -> None:
+def lab_run(scenario: str | None, output: str | None) -> None:
     """Play SCENARIO with real gateways (without one: a minute of two gateways and a zone that slows); exits
     with 1 if it does not show what it expects."""
     from granitedock.lab.play import DEFAULT, play
     from granitedock.lab.scenario import ScenarioError
 
     try:
-        raise SystemExit(play(scenario or DEFAULT, out, click.echo))
-    except ScenarioError as fault:
-        raise click.ClickException(str(fault)) from None
+        raise SystemExit(play(scenario or DEFAULT, output, click.echo))
+    except ScenarioError as error:
+        raise click.ClickException(str(error)) from None
 
 
 @click.command("load")
 @click.argument("scenario", type=click.Path(dir_okay=False))
 @click.option("--to", "addresses", multiple=True, required=True, help="A gateway; once for each, in order.")
-@click.option("--seconds", type=float, help="Instead of the scenario's own length.")
-@click.option("--out", type=click.Path(file_okay=False), help="Keep the rows and plots in this folder.")
-def load_gateways(scenario: str, addresses: tuple[str, ...], seconds: float | None, out: str | None) -> None:
+@click.option("--seconds", "length_s", type=float, help="Instead of the scenario's own length.")
+@click.option(
+    "--out", "output", type=click.Path(file_okay=False), help="Keep the rows and plots in this folder."
+)
+def load_gateways(
+    scenario: str, addresses: tuple[str, ...], length_s: float | None, output: str | None
+) -> None:
     """Put the load of SCENARIO's clients on gateways that run already; exits with 1 if an answer broke the
     first rule. Its faults are not played: those are for `lab run`."""
     from granitedock.lab.play import loaded
     from granitedock.lab.scenario import ScenarioError
 
     try:
-        raise SystemExit(loaded(scenario, list(addresses), seconds, out, click.echo))
-    except (ScenarioError, TimeoutError, ValueError) as fault:
-        raise click.ClickException(str(fault)) from None
+        raise SystemExit(loaded(scenario, list(addresses), length_s, output, click.echo))
+    except (ScenarioError, TimeoutError, ValueError) as error:
+        raise click.ClickException(str(error)) from None
 
 
 @click.command("report")
 @click.argument("runs", nargs=-1, required=True, type=click.Path(file_okay=False))
-@click.option("--out", default="report.png", show_default=True, type=click.Path(dir_okay=False))
-def report_runs(runs: tuple[str, ...], out: str) -> None:
+@click.option("--out", "output", default="report.png", show_default=True, type=click.Path(dir_okay=False))
+def report_runs(runs: tuple[str, ...], output: str) -> None:
     """Report on RUNS, folders that `lab run` left: one, or several side by side."""
     from granitedock.lab import report
 
     try:
-        found = [report.read(run) for run in runs]
-    except report.ReportError as fault:
-        raise click.ClickException(str(fault)) from None
-    for run in found:
+        loaded = [report.read(folder) for folder in runs]
+    except report.ReportError as error:
+        raise click.ClickException(str(error)) from None
+    for run in loaded:
         for line in report.lines(run):
             click.echo(line)
-    report.plot(found, Path(out))
-    click.echo(f"plots in {out}")
+    report.plot(loaded, Path(output))
+    click.echo(f"plots in {output}")
 
 
 @lab.command("scale")
 @click.option("--quick", is_flag=True, help="Smaller sizes and shorter runs: under two minutes.")
 @click.option(
-    "--out", default="lab-runs/scale.json", show_default=True, type=click.Path(dir_okay=False, path_type=Path)
+    "--out",
+    "output",
+    default="lab-runs/scale.json",
+    show_default=True,
+    type=click.Path(dir_okay=False, path_type=Path),
 )
 @click.option(
     "--page",
@@ -79,12 +90,15 @@
 )
 @click.option(
     "--again",
+    "show_only",
     is_flag=True,
     help="Measure nothing: show what the file of --out holds.",
 )
-@click.option("--only", help="Measure one kind anew, as the results name it, and keep the rest of --out.")
-def lab_scale(
-    quick: bool, out: Path, page: Path | None, plots: Path | None, again: bool, only: str | None
+@click.option(
+    "--only", "kind", help="Measure one kind anew, as the results name it, and keep the rest of --out."
+)
+def lab_scale(  # noqa: PLR0913 - a parameter for each option
+    quick: bool, output: Path, page: Path | None, plots: Path | None, show_only: bool, kind: str | None
 ) -> None:
     """Measure what hosts, plans, gateways, requests, calls and changes cost, up to the operators' size; keeps
     one JSON and makes the tables of docs/CAPACITY.md. Exits with 1 if a measurement could not be taken."""
@@ -92,13 +106,13 @@
     from granitedock.lab.scale.probe import ScaleError
 
     try:
-        if again:
-            command.shown(results.read(out), page, plots, click.echo)
+        if show_only:
+            command.shown(results.read(output), page, plots, click.echo)
             return
-        out.parent.mkdir(parents=True, exist_ok=True)
-        raise SystemExit(command.scale(quick, out, page, plots, only, click.echo))
-    except ScaleError as fault:
-        raise click.ClickException(str(fault)) from None
+        output.parent.mkdir(parents=True, exist_ok=True)
+        raise SystemExit(command.scale(quick, output, page, plots, kind, click.echo))
+    except ScaleError as error:
+        raise click.ClickException(str(error)) from None
 
 
 @click.command("check-model")
@@ -109,29 +123,48 @@
 @click.option("--faults", type=click.IntRange(0, 5), default=1, show_default=True)
 @click.option("--warm", type=click.IntRange(0, 50), default=0, show_default=True, help="Tasks served before.")
 @click.option("--window-ms", default=1200.0, show_default=True, help="With --views: faults begin within it.")
-@click.option("--most", default=5_000_000, show_default=True, help="States to visit at most.")
+@click.option("--most", "max_states", default=5_000_000, show_default=True, help="States to visit at most.")
 @click.option("--workers", type=click.IntRange(1, 64), default=1, show_default=True, help="Processes.")
-@click.option("--trace", default="trace.json", show_default=True, type=click.Path(dir_okay=False))
-@click.option("--replay", type=click.Path(dir_okay=False), help="Play this trace again instead.")
+@click.option(
+    "--trace", "trace_path", default="trace.json", show_default=True, type=click.Path(dir_okay=False)
+)
+@click.option(
+    "--replay", "replay_path", type=click.Path(dir_okay=False), help="Play this trace again instead."
+)
 @click.option("--quiet", is_flag=True, help="Say only what came of it.")
-def check_model(
-    views, gateways, hosts, tasks, faults, warm, window_ms, most, workers, trace, replay, quiet
+def check_model(  # noqa: PLR0913 - a parameter for each option
+    views: bool,
+    gateways: int,
+    hosts: int,
+    tasks: tuple[str, ...],
+    faults: int,
+    warm: int,
+    window_ms: float,
+    max_states: int,
+    workers: int,
+    trace_path: str,
+    replay_path: str | None,
+    quiet: bool,
 ) -> None:
     """Visit every state of a small world through the program's own state machines; exits with 1 and a trace
     if a property is broken (docs/model.md)."""
     from granitedock.model_checking import command
 
     if views:
-        told = command.fleet_of(command.Fleet(gateways, faults, window_ms))
+        world = command.fleet_of(command.Fleet(gateways, faults, window_ms))
     else:
         tasks = tasks or ("once", "mark", "read")
-        told = command.shape_of(command.Shape(gateways, hosts, tasks, faults, warm))
-    said: list[str] = []
-    say = said.append if quiet else click.echo
+        world = command.shape_of(command.Shape(gateways, hosts, tasks, faults, warm))
+    lines: list[str] = []
+    echo = lines.append if quiet else click.echo
     try:
-        code = command.replay(replay, say) if replay else command.check(told, most, workers, trace, say)
-    except command.TraceError as fault:
-        raise click.ClickException(str(fault)) from None
-    for line in (line for line in said if not line.startswith("depth")):
-        click.echo(line)
+        if replay_path:
+            code = command.replay(replay_path, echo)
+        else:
+            code = command.check(world, max_states, workers, trace_path, echo)
+    except command.TraceError as error:
+        raise click.ClickException(str(error)) from None
+    for line in lines:
+        if not line.startswith("depth"):
+            click.echo(line)
     raise SystemExit(code)
--- /dev/null
+++ b/granitedock/commands/queries.py
@@ -0,0 +1,131 @@
+"""Commands that query running gateways over the gateways' own client port (RESP)."""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable, Iterable
+from typing import Any
+
+import click
+
+from granitedock.commands.errors import CommandError
+
+JsonObject = dict[str, Any]
+Formatter = Callable[[JsonObject], Iterable[str]]
+
+
+def query_gateway(address: str, command: bytes, timeout_s: float) -> bytes:
+    """Send one RESP command without arguments to a running gateway and return its bulk string reply.
+
+    Raises click.ClickException if the gateway can't be reached in time or replies with something else.
+    """
+    host, _, port = address.rpartition(":")
+    try:
+        with socket.create_connection((host.strip("[]"), int(port)), timeout=timeout_s) as connection:
+            connection.sendall(b"*1\r\n$%d\r\n%b\r\n" % (len(command), command))
+            with connection.makefile("rb") as reply:
+                header = reply.readline()
+                if header.startswith(b"$"):
+                    return reply.read(int(header[1:]))
+    except (OSError, ValueError) as error:
+        raise CommandError(address, error) from None
+    message = f"{address} answers {header.strip().decode('latin-1')!r}"
+    raise click.ClickException(message)
+
+
+@click.command()
+@click.argument("address")
+@click.option("--within", "timeout_s", default=3.0, show_default=True, help="Seconds to wait for the answer.")
+def counters(address: str, timeout_s: float) -> None:
+    """Ask the running gateway at ADDRESS for its counters."""
+    click.echo(query_gateway(address, b"INFO", timeout_s).decode().replace("\r\n", "\n"), nl=False)
+
+
+@click.command()
+@click.argument("addresses", nargs=-1, required=True)
+@click.option("--listen", help="Serve them at this address, HOST:PORT, until stopped, instead of once.")
+@click.option(
+    "--within",
+    "timeout_s",
+    default=3.0,
+    show_default=True,
+    help="Seconds to wait for a gateway's answer.",
+)
+def metrics(addresses: tuple[str, ...], listen: str | None, timeout_s: float) -> None:
+    """The counters of the running gateways at ADDRESSES, as Prometheus reads them."""
+    from granitedock.metrics import GatewayCollector, exposition_text, serve
+
+    collector = GatewayCollector(addresses, lambda address: query_gateway(address, b"INFO", timeout_s))
+    if listen is None:
+        click.echo(exposition_text(collector), nl=False)
+        return
+    try:
+        serve(collector, listen, click.echo)
+    except (OSError, ValueError) as error:
+        raise CommandError(listen, error) from None
+
+
+def json_command(query: bytes, help_text: str) -> Callable[[Formatter], click.Command]:
+    """Decorate a formatter to make the command of its name, which queries a gateway for a JSON object.
+
+    The command prints the formatter's lines, or with --json the reply as it came.
+    """
+
+    def decorate(formatter: Formatter) -> click.Command:
+        @click.command(formatter.__name__, help=help_text)
+        @click.argument("address")
+        @click.option("--json", "as_json", is_flag=True, help="As the gateway words it, in JSON.")
+        @click.option(
+            "--within", "timeout_s", default=3.0, show_default=True, help="Seconds to wait for the answer."
+        )
+        def command(address: str, as_json: bool, timeout_s: float) -> None:
+            import orjson
+
+            reply = query_gateway(address, query, timeout_s)
+            for line in [reply.decode()] if as_json else formatter(orjson.loads(reply)):
+                click.echo(line)
+
+        return command
+
+    return decorate
+
+
+@json_command(b"FLEET", "Show what the running gateway at ADDRESS holds of the other gateways.")
+def fleet(view: JsonObject) -> Iterable[str]:
+    """Format the gateway's membership list."""
+    yield f"{view['name']} at {view['address']}: {view['live']} live, unwell {view['unwell']}"
+    row = "{:<20} {:<21} {:<8} {:>5} {:>10}  {}".format
+    yield row("member", "address", "state", "seat", "since s", "its share")
+    for member in view["members"]:
+        share = "taken over" if member["share_taken_over"] else ""
+        since = f"{member['since_ms'] / 1000:.1f}"
+        yield row(member["name"], member["address"], member["state"], member["seat"], since, share)
+
+
+@json_command(
+    b"HOSTS",
+    "Show what the running gateway at ADDRESS knows of the hosts, from whom, and what it does by it.",
+)
+def hosts(view: JsonObject) -> Iterable[str]:
+    """Format the hosts' status, ejections, and the observations that other gateways sent."""
+    row = "{:<24} {:<9} {:<9} {:<9} {}".format
+    yield row("host", "listed", "own eyes", "kept out", "told by (age s: failures in a row)")
+    for name, host in view["hosts"].items():
+        observers = ", ".join(
+            f"{observation['by']} ({observation['age_ms'] / 1000:.1f}: {observation['failures']})"
+            for observation in host["told"]
+        )
+        yield row(name, host["status"], host["state"] or "", host["out"] or "", observers)
+    if view["set_apart"]:
+        yield f"set apart, as they call most hosts bad: {', '.join(view['set_apart'])}"
+
+
+@json_command(
+    b"CONFIG", "Show which configuration the running gateway at ADDRESS has in force, and from whom."
+)
+def configuration(view: JsonObject) -> Iterable[str]:
+    """Format the configuration's version and the gateway's link to the configuration service."""
+    yield f"version {view['version']}, digest {view['digest']}, cluster {view['cluster']}"
+    yield f"{view['plans']} plans, {view['classes']} classes"
+    yield f"{view['state']} {view['control']}; own order {', '.join(view['addresses'])}"
+    yield ", ".join(f"{name} {count}" for name, count in sorted(view["counts"].items()))
--- a/granitedock/lab/scale/requests.py
+++ b/granitedock/lab/scale/requests.py
@@ -18,7 +18,7 @@
 
 import orjson
 
-from granitedock.commands.asking import asked
+from granitedock.commands.queries import query_gateway
 from granitedock.lab.load import Load, Row
 from granitedock.lab.scale.platform import settings
 from granitedock.lab.scale.probe import ScaleError, memory_mb, process_cpu_s, quantile
@@ -108,7 +108,7 @@
 
 def figures(address: str) -> dict[str, int]:
     """The counters of a running gateway."""
-    lines = asked(address, b"INFO", 3.0).decode().split()
+    lines = query_gateway(address, b"INFO", 3.0).decode().split()
     return {name: int(value) for name, _, value in (line.partition(":") for line in lines)}
 
 
--- a/tests/golden/test_golden_names.py
+++ b/tests/golden/test_golden_names.py
@@ -29,9 +29,9 @@
 
 def metrics_text(addresses, ask):
     """What Prometheus reads of the gateways at these addresses; `ask` gives the reply of each to INFO."""
-    from granitedock.metrics import Gateways, text
+    from granitedock.metrics import GatewayCollector, exposition_text
 
-    return text(Gateways(addresses, ask))
+    return exposition_text(GatewayCollector(addresses, ask))
 
 
 def call_endings():
--- a/tests/test_small_functions.py
+++ b/tests/test_small_functions.py
@@ -114,9 +114,9 @@
 
 
 def test_metrics_figures():
-    from granitedock.metrics import figures
+    from granitedock.metrics import parse_counters
 
-    assert figures(b"done:7\r\ntasks_now:2\r\nbad line\r\nhalf:\r\n") == {"done": 7, "tasks_now": 2}
+    assert parse_counters(b"done:7\r\ntasks_now:2\r\nbad line\r\nhalf:\r\n") == {"done": 7, "tasks_now": 2}
 
 
 def test_model_canon_digest():
