--- a/granitedock/commands/control.py
+++ b/granitedock/commands/control.py
@@ -35,9 +35,9 @@
     from granitedock.configuration.document import ConfigurationError
     from granitedock.configuration.process import run
     from granitedock.configuration.settings import load_control
-    from granitedock.platform_file import ToldError
+    from granitedock.platform_file import PlatformFileError
     from granitedock.platform_file import load as load_platform_file
-    from granitedock.toml_file import FileError
+    from granitedock.toml_file import TomlFileError
 
     try:
         file = load_control(path)
@@ -45,7 +45,7 @@
             file = file.model_validate(file.model_dump() | {"follow": list(leaders)})
         settings = load_platform_file(imported)["settings"] if imported else None
         raise SystemExit(run(file, settings, imported or ""))
-    except (FileError, ToldError, ConfigurationError) as error:
+    except (TomlFileError, PlatformFileError, ConfigurationError) as error:
         raise click.ClickException(str(error)) from None
     except ValueError as error:
         raise CommandError("--follow", error) from None
--- a/granitedock/commands/gateway.py
+++ b/granitedock/commands/gateway.py
@@ -105,10 +105,10 @@
     """Read such a file and print what the gateway would serve with."""
     import orjson
 
-    from granitedock.platform_file import ToldError
+    from granitedock.platform_file import PlatformFileError
     from granitedock.platform_file import load as load_platform_file
     from granitedock.service.limits import Limits
-    from granitedock.toml_file import FileError
+    from granitedock.toml_file import TomlFileError
 
     try:
         platform_file = load_platform_file(platform_path)
@@ -122,7 +122,7 @@
             summary["fleet"] = fleet_summary(fleet_file, platform_file["settings"])
         if (configuration_file := load_configuration_file(configuration_path)) is not None:
             summary["configuration"] = configuration_file.model_dump()
-    except (FileError, ToldError) as error:
+    except (TomlFileError, PlatformFileError) as error:
         raise click.ClickException(str(error)) from None
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise CommandError(platform_path, f"{type(error).__name__}: {error}") from None
--- a/granitedock/commands/settings_files.py
+++ b/granitedock/commands/settings_files.py
@@ -16,11 +16,11 @@
     if path is None:
         return None
     from granitedock.membership.settings import load
-    from granitedock.toml_file import FileError
+    from granitedock.toml_file import TomlFileError
 
     try:
         return load(path)
-    except FileError as error:
+    except TomlFileError as error:
         raise click.ClickException(str(error)) from None
 
 
@@ -29,9 +29,9 @@
     if path is None:
         return None
     from granitedock.configuration.settings import load_gateway
-    from granitedock.toml_file import FileError
+    from granitedock.toml_file import TomlFileError
 
     try:
         return load_gateway(path)
-    except FileError as error:
+    except TomlFileError as error:
         raise click.ClickException(str(error)) from None
--- a/granitedock/configuration/change_form.py
+++ b/granitedock/configuration/change_form.py
@@ -14,7 +14,8 @@
 import orjson
 
 from granitedock.configuration.document import Change, ConfigurationError, Edit, Record, Section
-from granitedock.platform_file import CLASS_RULES, MOST_FAULTS, PLAN_RULES, FieldRule, record_faults
+from granitedock.field_rules import FieldRule, record_errors
+from granitedock.platform_file import CLASS_RULES, MAX_REPORTED_ERRORS, PLAN_RULES
 
 RULES: dict[Section, list[FieldRule]] = {Section.CLASSES: CLASS_RULES, Section.PLANS: PLAN_RULES}
 WINDOW = "WindowMs"  # of a plan: set by control, never by operators (`windows.py`)
@@ -27,9 +28,9 @@
     """A change that is not right; `faults` has a line for each fault, SOURCE: FIELD: WHAT."""
 
     def __init__(self, source: str, faults: list[str]) -> None:
-        self.faults = [f"{source}: {fault}" for fault in faults[:MOST_FAULTS]]
-        if len(faults) > MOST_FAULTS:
-            self.faults.append(f"{source}: and {len(faults) - MOST_FAULTS} more")
+        self.faults = [f"{source}: {fault}" for fault in faults[:MAX_REPORTED_ERRORS]]
+        if len(faults) > MAX_REPORTED_ERRORS:
+            self.faults.append(f"{source}: and {len(faults) - MAX_REPORTED_ERRORS} more")
         super().__init__("\n".join(self.faults))
 
 
@@ -57,7 +58,7 @@
     found = []
     for number, record in enumerate(records):
         place = f"{at}[{number}]."
-        found += record_faults(record, rules, place) + unknown_fields(record, known, place)
+        found += record_errors(record, rules, place) + unknown_fields(record, known, place)
     return found
 
 
--- a/granitedock/configuration/settings.py
+++ b/granitedock/configuration/settings.py
@@ -10,7 +10,8 @@
 
 from pydantic import AfterValidator, Field
 
-from granitedock.toml_file import Found, Strict, checked, read
+from granitedock.toml_file import FieldErrors, StrictModel, read_text
+from granitedock.toml_file import parse as parse_toml
 
 
 def listen_address(text: str) -> str:
@@ -32,7 +33,7 @@
 Cluster = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]{0,31}$")]
 
 
-class GatewayFile(Strict):
+class GatewayFile(StrictModel):
     """Where a gateway finds control, and where it keeps a copy of what it has in force over its restarts."""
 
     enabled: bool
@@ -41,7 +42,7 @@
     copy_file: str | None = None
 
 
-class ControlFile(Strict):
+class ControlFile(StrictModel):
     """One control process. `follow` names the writer, or other replicas, for a replica; the writer has
     none."""
 
@@ -52,17 +53,17 @@
     follow: Annotated[list[Address], Field(max_length=16)] = []
 
 
-def same_address(file: ControlFile) -> Found:
+def same_address(file: ControlFile) -> FieldErrors:
     if file.listen in file.follow:
         return [(("follow",), f"this process's own address, {file.listen}")]
     return []
 
 
 def load_gateway(path: str | Path) -> GatewayFile:
-    """Read and check a gateway's file. Raises tomlfile.FileError."""
-    return checked(read(path), str(path), GatewayFile)
+    """Read and check a gateway's file. Raises toml_file.TomlFileError."""
+    return parse_toml(read_text(path), str(path), GatewayFile)
 
 
 def load_control(path: str | Path) -> ControlFile:
-    """Read and check a control process's file. Raises tomlfile.FileError."""
-    return checked(read(path), str(path), ControlFile, same_address)
+    """Read and check a control process's file. Raises toml_file.TomlFileError."""
+    return parse_toml(read_text(path), str(path), ControlFile, same_address)
--- a/granitedock/lab/scenario.py
+++ b/granitedock/lab/scenario.py
@@ -17,12 +17,13 @@
 
 from pydantic import Field, model_validator
 
-from granitedock.toml_file import FileError, Strict, checked, read
+from granitedock.toml_file import StrictModel, TomlFileError, read_text
+from granitedock.toml_file import parse as parse_toml
 
 Positive = Annotated[float, Field(gt=0)]
 
 
-class Service(Strict):
+class Service(StrictModel):
     """How long a host takes for one task, in ms: `fixed`, `exponential` about a mean, or `lognormal` with a
     heavy tail (`sigma` is the spread of the logarithm)."""
 
@@ -31,7 +32,7 @@
     sigma: Annotated[float, Field(ge=0, le=4)] = 1.0
 
 
-class Zone(Strict):
+class Zone(StrictModel):
     """Hosts that fail together; each has `slots` tasks at once and a queue of `queue` behind them."""
 
     name: Annotated[str, Field(pattern=r"^[a-z][a-z0-9-]*$")]
@@ -42,7 +43,7 @@
     service: Service = Service()
 
 
-class Plan(Strict):
+class Plan(StrictModel):
     """A plan as the gateways are told it: units a second, at once, and a hard ceiling (0: none)."""
 
     name: str = "p"
@@ -53,7 +54,7 @@
     ceiling_slack: Annotated[float, Field(ge=0)] = 0.0
 
 
-class Fleet(Strict):
+class Fleet(StrictModel):
     gateways: Annotated[int, Field(ge=1, le=64)] = 2
     talk: bool = False  # whether the settings let gateways talk to each other
     hosts: bool = False  # and what is known of hosts
@@ -71,7 +72,7 @@
         return self
 
 
-class Clients(Strict):
+class Clients(StrictModel):
     """Open-loop load of one customer: arrivals drawn in advance, Poisson at `rate` or in bursts."""
 
     customer: Annotated[int, Field(ge=0)]
@@ -116,7 +117,7 @@
 PARTIES = ("counter", "discovery", "hosts")
 
 
-class Fault(Strict):
+class Fault(StrictModel):
     """One fault of the timeline: from `at_s`, for `for_s` (0 for the rest of the run), to `target`: a zone's
     name, `HOST` as `zone/n`, `counter`, `discovery`, one gateway as `gateway/n` or a group of them as
     `gateway/0-2,5`. `factor` slows, `rate` is a share of tasks hit. `cut` and `wire` take the wires between
@@ -137,7 +138,7 @@
     twice: Annotated[float, Field(ge=0, le=1)] = 0.0
 
 
-class Expect(Strict):
+class Expect(StrictModel):
     """What the run must show: a customer's units done, of the tasks sent from `from_s` to `to_s`, as a part
     of what its plan's rate allows in that time."""
 
@@ -148,7 +149,7 @@
     most: Annotated[float, Field(ge=0)] = 1e9
 
 
-class Scenario(Strict):
+class Scenario(StrictModel):
     name: str = "scenario"
     seed: Annotated[int, Field(ge=0)] = 1
     length_s: Annotated[float, Field(gt=0, le=3600)] = 60.0
@@ -221,15 +222,15 @@
     return set()
 
 
-class ScenarioError(FileError):
+class ScenarioError(TomlFileError):
     """A scenario that cannot be used; its text has a line for each fault, `FILE:LINE: PATH: WHAT`."""
 
 
 def load(path: str | Path) -> Scenario:
     """Read and check a scenario file. Raises ScenarioError; nothing is started from a file that fails."""
-    return parse(read(path, ScenarioError), str(path))
+    return parse(read_text(path, ScenarioError), str(path))
 
 
 def parse(text: str, name: str = "<scenario>") -> Scenario:
     """Check a scenario given as TOML text; `name` stands for the file in errors."""
-    return checked(text, name, Scenario, crossed, ScenarioError)
+    return parse_toml(text, name, Scenario, crossed, ScenarioError)
--- a/granitedock/membership/settings.py
+++ b/granitedock/membership/settings.py
@@ -11,7 +11,8 @@
 
 from granitedock.membership.pace import Pace
 from granitedock.membership.wire import is_address
-from granitedock.toml_file import Found, Strict, checked, read
+from granitedock.toml_file import FieldErrors, StrictModel, read_text
+from granitedock.toml_file import parse as parse_toml
 
 
 def address(text: str) -> str:
@@ -25,7 +26,7 @@
 DEFAULT = Pace()
 
 
-class Timing(Strict):
+class Timing(StrictModel):
     """Times in ms, as `Pace` names them; those left out stand as there."""
 
     period_ms: Ms = DEFAULT.period_ms
@@ -43,7 +44,7 @@
     lease_ms: Ms = DEFAULT.lease_ms
 
 
-class SharedFile(Strict):
+class SharedFile(StrictModel):
     """Units let in uncounted, told to the others (docs/shared.md)."""
 
     enabled: bool = False
@@ -52,7 +53,7 @@
     snapshot: str | None = None  # a file that holds over a restart what was let in uncounted
 
 
-class HostsFile(Strict):
+class HostsFile(StrictModel):
     """What is known of hosts, told to the others (docs/judgement.md)."""
 
     enabled: bool = False
@@ -60,7 +61,7 @@
     most_out: Annotated[float, Field(ge=0, le=0.5)] = 0.25
 
 
-class FleetFile(Strict):
+class FleetFile(StrictModel):
     enabled: bool
     cluster: Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]{0,31}$")] = "granitedock"
     listen: Address
@@ -74,7 +75,7 @@
         return Pace(**self.timing.model_dump())
 
 
-def crossed(told: FleetFile) -> Found:
+def crossed(told: FleetFile) -> FieldErrors:
     timing, found = told.timing, []
 
     def below(less: str, more: str) -> None:
@@ -91,12 +92,12 @@
 
 
 def load(path: str | Path) -> FleetFile:
-    """Read and check the operators' file. Raises tomlfile.FileError."""
-    return parse(read(path), str(path))
+    """Read and check the operators' file. Raises toml_file.TomlFileError."""
+    return parse(read_text(path), str(path))
 
 
 def parse(text: str, name: str = "<fleet>") -> FleetFile:
-    return checked(text, name, FleetFile, crossed)
+    return parse_toml(text, name, FleetFile, crossed)
 
 
 def may_talk(born: dict[str, Any]) -> bool:
--- a/granitedock/service/event_loop.py
+++ b/granitedock/service/event_loop.py
@@ -25,7 +25,7 @@
 
 from granitedock import BEGAN_MS
 from granitedock.event_log import EventLog
-from granitedock.platform_file import ToldError, load
+from granitedock.platform_file import PlatformFileError, load
 from granitedock.service.client_protocol import ClientDoor
 from granitedock.service.connector import Dialler
 from granitedock.service.counter_protocol import CounterLink
@@ -195,13 +195,13 @@
 
 
 def known_list(told: dict[str, Any], path: str) -> Listing | None:
-    """The list of hosts as this gateway last had it. Raises ToldError where it is none."""
+    """The list of hosts as this gateway last had it. Raises PlatformFileError where it is none."""
     if not told.get("known"):
         return None
     try:
         return listing(told["known"])
     except (ValueError, KeyError, TypeError, AttributeError) as fault:
-        raise ToldError(f"{path}: known: no list of hosts: {type(fault).__name__}: {fault}") from None
+        raise PlatformFileError(f"{path}: known: no list of hosts: {type(fault).__name__}: {fault}") from None
 
 
 class Service:
@@ -350,7 +350,7 @@
             self.read_operators_anew()
         try:
             there = parties(load(self.path))
-        except ToldError as fault:
+        except PlatformFileError as fault:
             self.log.counts["files_refused"] += 1
             self.log.event("file refused", why=str(fault))
             return
@@ -383,7 +383,7 @@
     try:
         service = Service(path, reactor, fleet, operators, configuration)
         service.start()
-    except ToldError as fault:
+    except PlatformFileError as fault:
         print(f"granitedock: cannot start: {fault}", file=sys.stderr)
         return 1
     except (OSError, ValueError, KeyError, TypeError, AttributeError, CannotListenError) as fault:
--- a/granitedock/service/operator_settings.py
+++ b/granitedock/service/operator_settings.py
@@ -14,16 +14,17 @@
 from pydantic import Field
 
 from granitedock.service.limits import Limits
-from granitedock.toml_file import Strict, checked, read
+from granitedock.toml_file import StrictModel, read_text
+from granitedock.toml_file import parse as parse_toml
 
 Ms = Annotated[float, Field(ge=1, le=600_000)]
 
 
-class LogLines(Strict):
+class LogLines(StrictModel):
     lines_a_second: Annotated[int, Field(ge=1, le=10_000)] = 50  # beyond it they are counted and dropped
 
 
-class Peers(Strict):
+class Peers(StrictModel):
     """Times of connections, in ms, and the listener's queue; what is left out stands as in the program. The
     bounds of each are its neighbours': a client's half command is waited for no longer than a rested one."""
 
@@ -38,7 +39,7 @@
     watch_most_ms: Ms | None = None
 
 
-class Operators(Strict):
+class Operators(StrictModel):
     log: LogLines = LogLines()
     limits: Peers = Peers()
 
@@ -56,5 +57,5 @@
 
 
 def load(path: str | Path) -> Operators:
-    """Read and check the file. Raises FileError."""
-    return checked(read(path), str(path), Operators, crossed)
+    """Read and check the file. Raises TomlFileError."""
+    return parse_toml(read_text(path), str(path), Operators, crossed)
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -49,7 +49,7 @@
     assert form(rows, "plans", "file_bytes") == "linear"
     assert form(rows, "plans", "memory_mb") == "linear"
     files = {count: platform_file(count) for count in (200, 800)}
-    checked = [steps(lambda file=file: told.faults(file)) / count for count, file in files.items()]
+    checked = [steps(lambda file=file: told.validation_errors(file)) / count for count, file in files.items()]
     assert checked[1] < 1.2 * checked[0]
 
 
@@ -62,10 +62,10 @@
 def test_names_that_stand_twice_are_looked_for_in_one_pass_over_the_plans():
     """Guards the platform's file of 21,000 plans, read in 0.06 s, against 3.8 s by a pass for each name."""
     files = {count: platform_file(count) for count in (1_000, 8_000)}
-    took = {count: cpu_ms(lambda file=file: told.faults(file), 5) for count, file in files.items()}
+    took = {count: cpu_ms(lambda file=file: told.validation_errors(file), 5) for count, file in files.items()}
     assert took[8_000] < 24 * took[1_000]  # 8 in line, 64 by a pass for each name
     files[1_000]["settings"]["Tariffs"][7]["Name"] = "tenant-00100"
-    assert told.faults(files[1_000]) == ["settings.Tariffs[].Name: 'tenant-00100' stands twice"]
+    assert told.validation_errors(files[1_000]) == ["settings.Tariffs[].Name: 'tenant-00100' stands twice"]
 
 
 def test_the_views_load_of_a_gateway_does_not_grow_with_the_fleet():
--- a/tests/membership/test_membership_simulated.py
+++ b/tests/membership/test_membership_simulated.py
@@ -15,7 +15,7 @@
 from granitedock.membership.seats import Seats
 from granitedock.membership.settings import parse
 from granitedock.membership.wire import MOST_BYTES, Kind, Malformed, Message, cost, decode, encode, room
-from granitedock.toml_file import FileError
+from granitedock.toml_file import TomlFileError
 
 PACE = Pace()
 STEPS = st.one_of(
@@ -280,6 +280,6 @@
         (good + "[timing]\ngap_ms = 3000\n", "f:6: timing.gap_ms: must not be more than suspect_ms (2000)"),
         ('enabled = true\nlisten = "0.0.0.0:7946"\n', "advertise: must be named"),
     ):
-        with raises(FileError) as caught:
+        with raises(TomlFileError) as caught:
             parse(text, "f")
         assert fault in str(caught.value)
--- a/tests/service/test_platform_file.py
+++ b/tests/service/test_platform_file.py
@@ -13,7 +13,7 @@
 from loopback import VALUE, Live
 
 from granitedock import platform_settings
-from granitedock.platform_file import ToldError, faults, load
+from granitedock.platform_file import PlatformFileError, load, validation_errors
 from granitedock.policy.types import Idempotency, IdempotencyScope
 from granitedock.service.limits import Limits
 
@@ -85,21 +85,21 @@
 def test_a_field_that_is_missing_or_of_another_type_is_named_with_the_file(tmp_path, path, value, told):
     file = tmp_path / "told.json"
     file.write_text(json.dumps(with_field(path, value)))
-    with pytest.raises(ToldError) as fault:
+    with pytest.raises(PlatformFileError) as fault:
         load(file)
     assert str(fault.value).startswith(f"{file}: {told}")
 
 
 def test_a_file_with_many_faults_tells_several_at_once_and_one_that_is_right_none(tmp_path):
-    assert faults(TOLD) == [] and faults([]) == ["(whole file): an object is wanted"]
+    assert validation_errors(TOLD) == [] and validation_errors([]) == ["(whole file): an object is wanted"]
     file = tmp_path / "told.json"
     file.write_text(json.dumps({"name": "", "settings": {"Lanes": [{}, {}]}}))
-    with pytest.raises(ToldError, match="listen: missing.*; and [0-9]+ more$"):
+    with pytest.raises(PlatformFileError, match="listen: missing.*; and [0-9]+ more$"):
         load(file)
     file.write_text("{")
-    with pytest.raises(ToldError, match="told.json: not JSON: "):
+    with pytest.raises(PlatformFileError, match="told.json: not JSON: "):
         load(file)
-    with pytest.raises(ToldError, match="none.json: cannot be read: No such file"):
+    with pytest.raises(PlatformFileError, match="none.json: cannot be read: No such file"):
         load(tmp_path / "none.json")
 
 
@@ -234,7 +234,7 @@
 def test_a_deployment_of_our_own_is_read_as_it_says_and_served(tmp_path, path):
     site = tomllib.loads(path.read_text())
     told = TOLD | {"settings": settings_of(site)}
-    assert faults(told) == []
+    assert validation_errors(told) == []
     request_classes = platform_settings.request_classes(told["settings"])
     assert [(it.name, it.latency_objective_ms, it.deadline_ms) for it in request_classes] == [
         (it["name"], it["aim_ms"], it["deadline_ms"]) for it in site["class"]
