--- a/granitedock/simulator_adapter/__main__.py
+++ b/granitedock/simulator_adapter/__main__.py
@@ -1,6 +1,6 @@
 """Run the decisions on the simulator's wire: python -m granitedock.simulator_adapter."""
 
-from granitedock.simulator_adapter.pipe import run
+from granitedock.simulator_adapter.batches import run
 
 if __name__ == "__main__":
     raise SystemExit(run())
--- a/tests/simulator_adapter/test_simulator_adapter.py
+++ b/tests/simulator_adapter/test_simulator_adapter.py
@@ -1,15 +1,18 @@
-"""Stories of the adapter: lists, restarts, and what makes no sense."""
+"""The simulator's adapter: endpoint lists, restarts, and malformed input."""
 
 import io
+import json
 
-from granitedock.simulator_adapter.pipe import Pipe, run
+from granitedock.simulator_adapter.batches import BatchProcessor, run
 
-BORN = (
+SETTINGS = (
     '{"Me":0,"Balancers":1,"Lanes":[{"Name":"r","Repeat":"safe","TargetMs":1000,"GiveUpMs":4000,"Worth":1}],'
     '"Tariffs":[{"Name":"p","Refill":0,"MostAtOnce":0}],"Allowed":{"MaxAttempts":3,"SecondCopies":false},'
     '"Safety":{"ColdFrom":0.2,"ColdMs":1000,"OverloadFactor":2,"TipAfterMs":1000},"Specifics":null,"New":1}'
 )
-HELLO = f'["Hello",7,{BORN}],["List",0,[[null,null,null,"h:1",null,null,"IN"]]],["RosterChange",0,"SAVED",1]'
+HELLO = (
+    f'["Hello",7,{SETTINGS}],["List",0,[[null,null,null,"h:1",null,null,"IN"]]],["RosterChange",0,"SAVED",1]'
+)
 REQ = '["Req",%d,"%s","p","00000000000000a1",4000.0,null,null,null,null]'
 
 
@@ -18,19 +21,23 @@
     return line.encode()
 
 
+def replies(processor, *events):
+    return json.loads(processor.process(batch(*events)))
+
+
 def test_a_task_goes_to_the_listed_host_and_a_stop_and_hello_in_one_batch_start_anew():
-    pipe = Pipe()
-    assert pipe.batch(batch(HELLO, REQ % (1, "r"))) == {
+    processor = BatchProcessor()
+    assert replies(processor, HELLO, REQ % (1, "r")) == {
         "groups": [{"Who": "gateway-0", "cmds": [["Send", 1, 0, "h:1"]]}]
     }
-    restarted = pipe.batch(batch(REQ % (2, "r"), '["Stop"]', HELLO, '["Aborted",1]', REQ % (3, "r")))
+    restarted = replies(processor, REQ % (2, "r"), '["Stop"]', HELLO, '["Aborted",1]', REQ % (3, "r"))
     assert restarted["groups"][0]["cmds"] == [["Send", 3, 0, "h:1"]]
 
 
 def test_an_unknown_product_bails_out_and_what_is_no_batch_ends_the_run():
-    commands = Pipe().batch(batch(HELLO, REQ % (1, "x")))["groups"][0]["cmds"]
+    commands = replies(BatchProcessor(), HELLO, REQ % (1, "x"))["groups"][0]["cmds"]
     assert [command[0] for command in commands] == ["BailOut"]
     assert run(io.BytesIO(b"not json\n"), io.BytesIO()) == 1
-    replies = io.BytesIO()
-    assert run(io.BytesIO(b'{"MomentMs":1,"groups":[]}\n'), replies) == 0
-    assert replies.getvalue() == b'{"groups":[]}\n'
+    output = io.BytesIO()
+    assert run(io.BytesIO(b'{"MomentMs":1,"groups":[]}\n'), output) == 0
+    assert output.getvalue() == b'{"groups":[]}\n'
