--- a/granitedock/commands/laboratory.py
+++ b/granitedock/commands/laboratory.py
@@ -149,12 +149,14 @@
     """Visit every state of a small world through the program's own state machines; exits with 1 and a trace
     if a property is broken (docs/model.md)."""
     from granitedock.model_checking import command
+    from granitedock.model_checking.errors import TraceError
+    from granitedock.model_checking.trace import Fleet, Shape, describe_gateways, describe_views
 
     if views:
-        world = command.fleet_of(command.Fleet(gateways, faults, window_ms))
+        world = describe_views(Fleet(gateways, faults, window_ms))
     else:
         tasks = tasks or ("once", "mark", "read")
-        world = command.shape_of(command.Shape(gateways, hosts, tasks, faults, warm))
+        world = describe_gateways(Shape(gateways, hosts, tasks, faults, warm))
     lines: list[str] = []
     echo = lines.append if quiet else click.echo
     try:
@@ -162,7 +164,7 @@
             code = command.replay(replay_path, echo)
         else:
             code = command.check(world, max_states, workers, trace_path, echo)
-    except command.TraceError as error:
+    except TraceError as error:
         raise click.ClickException(str(error)) from None
     for line in lines:
         if not line.startswith("depth"):
--- a/granitedock/model_checking/gateways.py
+++ b/granitedock/model_checking/gateways.py
@@ -4,7 +4,7 @@
 come up or not, hosts that answer in any way they can, a counter, clients, a list that says that a host
 drains, gateways that are killed or stopped, and a clock that goes from one due wake to the next. What is due
 may come in any order; what is out of the ordinary costs one of `faults`. Time does not pass while something
-is due, unless it was made late. The rules are told from the outside (`broken`).
+is due, unless it was made late. The rules are told from the outside (`violations`).
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from typing import Any
 
 from granitedock.lab.rules import CEILING_SLACK_S, GRACE_S, SLACK_S
-from granitedock.model_checking.canon import digest
 from granitedock.model_checking.explore import Move
-from granitedock.model_checking.still import keep, maker, still
+from granitedock.model_checking.shared_objects import pickle_by_name, register, register_factory
+from granitedock.model_checking.state_digest import state_digest
 from granitedock.policy.types import (
     EndpointStatus,
     GatewayIdentity,
@@ -202,7 +202,7 @@
             *reducer.request_classes.items(),
             *(("plan " + name, plan) for name, plan in reducer.plans.items()),
         ]
-        keep("gateways", shape, number, parts)
+        register("gateways", shape, number, parts)
         self.tell("start")
         watch = self.reducer.watch
         self.tell("watch up", watch, Link(self, "watch", watch))
@@ -533,7 +533,7 @@
 
     # What is asked of a world.
 
-    def broken(self) -> list[str]:
+    def violations(self) -> list[str]:
         """What does not hold. At an end, each task that came to a gateway that lives has its answer."""
         found = list(self.wrong)
         if not found and not self.moves():
@@ -547,11 +547,11 @@
         jobs = [self.jobs[name] for name in sorted(self.jobs)]
         pending = [(name, pending[name]) for pending in (self.due, self.late) for name in sorted(pending)]
         gates = [(gate.up, gate.reducer if gate.up else None, sorted_wakes(gate)) for gate in self.gates]
-        return digest(state, jobs, gates, sorted(self.late), pending)
+        return state_digest(state, jobs, gates, sorted(self.late), pending)
 
 
-still(Limits, RequestClass, Plan, PermittedFeatures, SlowStart, GatewayIdentity)
-maker("gateways", Small)
+pickle_by_name(Limits, RequestClass, Plan, PermittedFeatures, SlowStart, GatewayIdentity)
+register_factory("gateways", Small)
 
 
 def totals(pending: dict[tuple, Any]) -> list[tuple[tuple, Any]]:
--- a/granitedock/model_checking/views.py
+++ b/granitedock/model_checking/views.py
@@ -16,8 +16,8 @@
 from granitedock.lab.fleetsim import Node, World
 from granitedock.membership.member import State
 from granitedock.membership.pace import Pace
-from granitedock.model_checking.canon import digest
 from granitedock.model_checking.explore import Move
+from granitedock.model_checking.state_digest import state_digest
 
 LATE_MS = 1000.0  # past every time-out of a probe
 PAUSE_MS = 3000.0  # longer than a period, a gap and the shortest suspicion
@@ -140,14 +140,14 @@
                 who = f"g{node.number} divides by {counted} while {serving} of {count} serve"
                 self.wrong.append(f"{who}, at {self.now:.0f} ms")
 
-    def broken(self) -> list[str]:
+    def violations(self) -> list[str]:
         return self.wrong
 
     def digest(self) -> bytes:
         """What was made when is left out; events of one moment keep their order."""
         events = [(due, act.__name__, what) for due, _, act, what in sorted(self.events, key=order)]
         state = [self.now, self.left, self.settled, sorted(self.cuts), self.since, self.leaving]
-        return digest(state, self.nodes, events)
+        return state_digest(state, self.nodes, events)
 
 
 def order(event: tuple) -> tuple:
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -119,11 +119,12 @@
 def replay_trace(path):
     """(lines said, exit code or the reason why the trace cannot go on) of `check-model --replay`."""
     from granitedock.model_checking import command
+    from granitedock.model_checking.errors import TraceError
 
     said = []
     try:
         return said, str(command.replay(str(path), said.append))
-    except command.TraceError as error:
+    except TraceError as error:
         return said, str(error).removeprefix(f"{path}: ")
 
 
@@ -136,11 +137,11 @@
 
 def explored(told):
     """What an exploration of the world that is told comes to: counts of states, moves and ends, and more."""
-    from granitedock.model_checking import command, explore
+    from granitedock.model_checking import explore, trace
 
-    found = explore.explore(command.world_of(told))
-    names = ("states", "moves", "ends", "depth", "complete", "broken")
-    return {name: getattr(found, name) for name in names}
+    found = explore.explore(trace.make_world(told))
+    names = ("states", "moves", "ends", "depth", "complete")
+    return {name: getattr(found, name) for name in names} | {"broken": found.violations}
 
 
 def planted_faults():
--- a/tests/model_checking/test_model_checking.py
+++ b/tests/model_checking/test_model_checking.py
@@ -11,8 +11,10 @@
 
 from granitedock import platform_settings
 from granitedock.model_checking import command, explore
-from granitedock.model_checking.canon import digest
+from granitedock.model_checking.errors import TraceError
 from granitedock.model_checking.gateways import Shape, Small
+from granitedock.model_checking.state_digest import state_digest
+from granitedock.model_checking.trace import describe_gateways
 from granitedock.model_checking.views import Fleet, Views
 from granitedock.policy.decisions import QuotaAccount
 from granitedock.policy.types import CounterCall, Customer, Plan
@@ -30,7 +32,7 @@
 )
 def test_every_state_of_a_small_world_keeps_the_rules(shape, least):
     found = explore.explore(Small(shape))
-    assert found.complete and not found.broken and found.states >= least and found.ends > 10, found
+    assert found.complete and not found.violations and found.states >= least and found.ends > 10, found
 
 
 def test_the_ways_that_matter_are_reached():
@@ -65,10 +67,10 @@
 @mark.parametrize("name", PLANTED)
 def test_a_planted_fault_is_found_with_a_trace_that_plays_again(name, monkeypatch, tmp_path):
     plant, shape, told = PLANTED[name]
-    assert not explore.explore(Small(shape)).broken
+    assert not explore.explore(Small(shape)).violations
     plant(monkeypatch)
     keep = tmp_path / "trace.json"
-    assert command.check(command.shape_of(shape), 20_000, 1, str(keep), lambda _: None) == 1
+    assert command.check(describe_gateways(shape), 20_000, 1, str(keep), lambda _: None) == 1
     assert orjson.loads(keep.read_bytes())["broken"][0].startswith(told)
     said = []
     assert command.replay(str(keep), said.append) == 1
@@ -76,13 +78,13 @@
     monkeypatch.undo()
     try:
         assert command.replay(str(keep), said.append) == 0  # without the fault the same way ends well,
-    except command.TraceError as fault:
+    except TraceError as fault:
         assert "cannot happen here" in str(fault)  # or cannot be gone
 
 
 def test_views_agree_and_no_share_is_taken_over_whatever_single_fault_comes_first():
     found = explore.explore(Views(Fleet(3, 1, 200.0)))
-    assert found.complete and not found.broken and found.ends > 100, found
+    assert found.complete and not found.violations and found.ends > 100, found
 
 
 @mark.parametrize(
@@ -92,7 +94,7 @@
 def test_a_fault_planted_in_the_view_is_found(plant, told, monkeypatch):
     plant(monkeypatch)
     found = explore.explore(Views(Fleet(3, 1, 50.0)))
-    assert found.broken and told in found.broken[0], found
+    assert found.violations and told in found.violations[0], found
 
 
 def test_the_command_says_what_it_did_and_a_wrong_trace_is_refused(tmp_path):
@@ -106,10 +108,10 @@
     few = subprocess.run([*run, "--task", "once", "--most", "5"], capture_output=True, text=True, timeout=60)
     assert few.returncode == 2 and "ended at 5 states" in few.stdout
     trace = tmp_path / "trace.json"
-    told = command.shape_of(Shape(1, 1, ("read",), 0))
+    told = describe_gateways(Shape(1, 1, ("read",), 0))
     for text, why in (("{", "no trace"), (orjson.dumps(told | {"moves": [["kill", 0]]}).decode(), "cannot")):
         trace.write_text(text)
-        with raises(command.TraceError, match=why):
+        with raises(TraceError, match=why):
             command.replay(str(trace), lambda _: None)
 
 
@@ -169,4 +171,4 @@
     other.play(("due", "ask", 0, "t0", "asked"))
     assert one.digest() == other.digest()
     shared = [1.5]
-    assert digest([shared, shared]) == digest([[1.5], [1.5]])
+    assert state_digest([shared, shared]) == state_digest([[1.5], [1.5]])
--- a/tests/test_small_functions.py
+++ b/tests/test_small_functions.py
@@ -120,10 +120,13 @@
 
 
 def test_model_canon_digest():
-    from granitedock.model_checking.canon import digest
+    from granitedock.model_checking.state_digest import state_digest
 
     a, b = [1, "x", {2: 3.0}], [1, "x", {2: 3.0}]
-    assert (digest(a) == digest(b), digest(a) == digest([1, "x", {2: 3.5}])) == (True, False)
+    assert (state_digest(a) == state_digest(b), state_digest(a) == state_digest([1, "x", {2: 3.5}])) == (
+        True,
+        False,
+    )
 
 
 def test_ring_ring():
