--- /dev/null
+++ b/tests/quota_sharing/test_quota_sharing_examples.py
@@ -0,0 +1,42 @@
+"""Examples of small functions of quota sharing: what each gives for what."""
+
+import re
+
+import pytest
+
+
+def test_shared_bound_detection_ms():
+    from granitedock.quota_sharing.bound import Pace, detection_ms
+
+    assert (detection_ms(Pace()), detection_ms(Pace(), 200) > 13300) == (9500.0, True)
+
+
+def test_shared_bound_excess():
+    from granitedock.quota_sharing.bound import Pace, Plan, excess
+
+    plan = Plan("p", 0.04, 40, 0, 1, 0, 0, 0, 0, 0)
+    assert excess(plan, 4, Pace(), 100.0).of(isolated=2) == 210.0
+
+
+def test_shared_counts_merged():
+    from granitedock.quota_sharing.counts import Row, merged
+
+    row = Row("g1", 5, 161, 7, 1000, 3000, 1000)
+    assert merged(row, Row("g1", 5, 161, 7, 1000, 2000, 2000)).paid == 2000
+
+
+def test_shared_snapshot_unpack():
+    from granitedock.quota_sharing.snapshot import Refused, Row, pack, unpack
+
+    row = Row("g1", 5, 161, 7, 1000, 3000)
+    assert unpack("g1", pack("g1", [row])) == [row]
+    with pytest.raises(Refused, match=re.escape("torn: its checksum is another")):
+        unpack("g1", pack("g1", [row])[:-1])
+
+
+def test_shared_state_reserve():
+    from granitedock.policy.types import Plan
+    from granitedock.quota_sharing.state import SharedQuota, reserve
+
+    quota = SharedQuota(Plan("p", 0.04, 40, 0, 1, 0, 0, 0, 0, 0), 0, 4, 2000.0)
+    assert (reserve(quota, 5, 11000.0, 11500.0), reserve(quota, 5, 3000.0, 11500.0)) == (15.0, 15.0)
