--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,16 +1,20 @@
-"""The list of tests that are known to fail (KNOWN-RED.txt at the root): they must fail, and nothing else may.
+"""Hooks for all tests: known failures, the order and grouping of tests with real processes, shared fixtures.
 
-A line is `tests/test_x.py::test_y | cause | issue`. The run ends with an error where there are more than
-three, a line is not of that form, or a name is none that was collected; a listed test that passes has failed.
+KNOWN-RED.txt at the root lists tests that are known to fail, a line each: `tests/test_x.py::test_y | cause |
+issue`. They must fail, and nothing else may. The run ends with a usage error where there are more than three,
+a line is not of that form, or a name is none that was collected; a listed test that passes has failed.
 """
 
 import pytest
 
-MOST = 3
-# Stories with fleets of real processes measure shares over seconds of real time: of these, so many run at
-# once at most, in a run over several processes, each group one after another. They begin first, as they take
-# the longest.
-FLEETS = {
+KNOWN_FAILURES = "KNOWN-RED.txt"
+MAX_KNOWN_FAILURES = 3
+FIELDS = 3  # of a line: test, cause, issue
+
+# Tests with fleets of real gateway processes measure shares over seconds of real time. In a run over several
+# processes each group is run by one of them, one test after another, so that at most as many fleets as there
+# are groups run at once. These tests begin first, as they take the longest.
+FLEET_GROUPS = {
     "test_quota_sharing.py": ("fleets-1", "fleets-2"),
     "test_outlier_detection.py": ("fleets-3",),
     "test_membership_processes.py": ("fleets-4",),
@@ -19,61 +23,72 @@
 }
 
 
-def listed(path):
-    """(test, cause, issue) of each line. Raises pytest.UsageError."""
+def read_known_failures(path):
+    """(test, cause, issue) of each line of the list. Raises pytest.UsageError."""
     rows = []
     for number, line in enumerate(path.read_text().splitlines() if path.exists() else (), 1):
         if not line.strip() or line.startswith("#"):
             continue
-        parts = [part.strip() for part in line.split("|")]
-        if len(parts) != 3 or not all(parts):
+        fields = [field.strip() for field in line.split("|")]
+        if len(fields) != FIELDS or not all(fields):
             raise pytest.UsageError(f"{path.name}:{number}: not of the form TEST | CAUSE | ISSUE")
-        rows.append(tuple(parts))
-    if len(rows) > MOST:
-        raise pytest.UsageError(f"{path.name}: {len(rows)} tests are listed, {MOST} at most may be")
+        rows.append(tuple(fields))
+    if len(rows) > MAX_KNOWN_FAILURES:
+        raise pytest.UsageError(
+            f"{path.name}: {len(rows)} tests are listed, {MAX_KNOWN_FAILURES} at most may be"
+        )
     return rows
 
 
 def pytest_configure(config):
     """Guards a run over several processes, whose own could not end it with a usage error."""
-    listed(config.rootpath / "KNOWN-RED.txt")
+    read_known_failures(config.rootpath / KNOWN_FAILURES)
 
 
 @pytest.hookimpl(tryfirst=True)  # before any selection by words, which drops tests
 def pytest_collection_modifyitems(config, items):
-    items.sort(key=lambda item: item.path.name not in FLEETS)
+    """Group the tests with fleets and put them first; expect the known failures to fail."""
+    items.sort(key=lambda item: item.path.name not in FLEET_GROUPS)
     for number, item in enumerate(items):
-        if groups := FLEETS.get(item.path.name):
+        if groups := FLEET_GROUPS.get(item.path.name):
             item.add_marker(pytest.mark.xdist_group(groups[number % len(groups)]))
-    path = config.rootpath / "KNOWN-RED.txt"
-    rows = listed(path)
-    by_name = {item.nodeid: item for item in items}
-    files = {item.nodeid.partition("::")[0] for item in items}
-    single = any("::" in arg for arg in config.args)
-    for name, cause, issue in rows:
+    expect_known_failures(config, items)
+
+
+def expect_known_failures(config, items):
+    """Mark each listed test as a strict expected failure. Raises pytest.UsageError for one that is unknown.
+
+    A run of single tests, or one that did not collect the listed test's file, says nothing of it.
+    """
+    path = config.rootpath / KNOWN_FAILURES
+    items_by_name = {item.nodeid: item for item in items}
+    collected_files = {item.nodeid.partition("::")[0] for item in items}
+    runs_single_tests = any("::" in argument for argument in config.args)
+    for name, cause, issue in read_known_failures(path):
         file = name.partition("::")[0]
-        if name in by_name:
-            by_name[name].add_marker(pytest.mark.xfail(strict=True, reason=f"{cause} (issue {issue})"))
-        elif not single and (file in files or not (config.rootpath / file).is_file()):
+        if name in items_by_name:
+            items_by_name[name].add_marker(pytest.mark.xfail(strict=True, reason=f"{cause} (issue {issue})"))
+        elif not runs_single_tests and (file in collected_files or not (config.rootpath / file).is_file()):
             raise pytest.UsageError(f"{path.name}: no such test: {name}")
 
 
 def pytest_terminal_summary(terminalreporter, config):
-    for name, cause, issue in listed(config.rootpath / "KNOWN-RED.txt"):
+    """Print the known failures at the end of a run."""
+    for name, cause, issue in read_known_failures(config.rootpath / KNOWN_FAILURES):
         terminalreporter.write_line(f"known red: {name}: {cause} (issue {issue})")
 
 
 @pytest.fixture
 def live(tmp_path):
-    """Makes gateways on real sockets (`live.Live`), ended with the story."""
+    """A factory of gateways on real sockets (`loopback.Live`), which are closed after the test."""
     from loopback import Live
 
-    made = []
+    gateways = []
 
-    def make(**more):
-        made.append(Live(tmp_path, **more))
-        return made[-1]
+    def make(**options):
+        gateways.append(Live(tmp_path, **options))
+        return gateways[-1]
 
     yield make
-    for one in made:
-        one.close()
+    for gateway in gateways:
+        gateway.close()
--- a/tests/helpers/process_fleet.py
+++ b/tests/helpers/process_fleet.py
@@ -1,4 +1,7 @@
-"""The scenario that tests with fleets of real gateway processes share, and their time limit."""
+"""The scenario that tests with fleets of real gateway processes share, and their time limit.
+
+One zone of four hosts at 5 ms a request, and one customer with four times its plan's rate.
+"""
 
 from granitedock.lab.scenario import parse
 
@@ -24,9 +27,11 @@
 spread = 4
 left_ms = 800
 """
-WITHIN_S = 10.0  # the stated time in which the live ones agree again (docs/fleet.md), on a loaded machine
+# The stated time in which the live gateways agree again after a change (docs/fleet.md), on a loaded machine.
+WITHIN_S = 10.0
 
 
 def world(count, *replace):
+    """The scenario with `count` gateways; `replace`, (old, new), changes its text first."""
     text = (WORLD % count).replace("spread = 4", f"spread = {min(4, count)}")
     return parse(text.replace(*replace) if replace else text)
