--- a/tests/helpers/emulators.py
+++ b/tests/helpers/emulators.py
@@ -1,4 +1,4 @@
-"""The laboratory's emulators of hosts, counter and discovery, run as processes on loopback for their tests."""
+"""The laboratory's emulators of hosts, counter and discovery as loopback processes, for their own tests."""
 
 import json
 import subprocess
