--- a/granitedock/configuration/change_validation.py
+++ b/granitedock/configuration/change_validation.py
@@ -10,7 +10,8 @@
 from typing import Any
 
 from granitedock.configuration.document import Record, Section
-from granitedock.platform_file import CLASS_RULES, PLAN_RULES, FieldRule, record_faults
+from granitedock.field_rules import FieldRule, record_errors
+from granitedock.platform_file import CLASS_RULES, PLAN_RULES
 
 SECTION_RULES: dict[Section, list[FieldRule]] = {Section.CLASSES: CLASS_RULES, Section.PLANS: PLAN_RULES}
 CHANGE_FIELDS = {"base", *(section.value for section in Section)}
@@ -36,7 +37,7 @@
     found: list[str] = []
     for index, record in enumerate(records):
         prefix = f"{place}[{index}]."
-        found += record_faults(record, rules, prefix)
+        found += record_errors(record, rules, prefix)
         found += unknown_field_faults(record, known, prefix)
     return found
 
--- a/granitedock/configuration/errors.py
+++ b/granitedock/configuration/errors.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from granitedock.errors import GranitedockError
-from granitedock.platform_file import MOST_FAULTS
+from granitedock.platform_file import MAX_REPORTED_ERRORS
 
 
 class ConfigurationError(GranitedockError, ValueError):
@@ -25,9 +25,9 @@
     """A change that is not valid; `faults` has a line for each fault, SOURCE: FIELD: WHAT."""
 
     def __init__(self, source: str, faults: list[str]) -> None:
-        self.faults = [f"{source}: {fault}" for fault in faults[:MOST_FAULTS]]
-        if len(faults) > MOST_FAULTS:
-            self.faults.append(f"{source}: and {len(faults) - MOST_FAULTS} more")
+        self.faults = [f"{source}: {fault}" for fault in faults[:MAX_REPORTED_ERRORS]]
+        if len(faults) > MAX_REPORTED_ERRORS:
+            self.faults.append(f"{source}: and {len(faults) - MAX_REPORTED_ERRORS} more")
         super().__init__("\n".join(self.faults))
 
 
--- a/granitedock/configuration/settings.py
+++ b/granitedock/configuration/settings.py
@@ -11,7 +11,8 @@
 
 from pydantic import AfterValidator, Field
 
-from granitedock.toml_file import Found, Strict, checked, read
+from granitedock.toml_file import FieldErrors, StrictModel, read_text
+from granitedock.toml_file import parse as parse_toml
 
 LAST_PORT = 65535
 
@@ -38,7 +39,7 @@
 Cluster = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]{0,31}$")]
 
 
-class GatewayFile(Strict):
+class GatewayFile(StrictModel):
     """Where a gateway finds control, and where it keeps a copy of what it has in force over its restarts."""
 
     enabled: bool
@@ -47,7 +48,7 @@
     copy_file: str | None = None
 
 
-class ControlFile(Strict):
+class ControlFile(StrictModel):
     """One control process. `follow` names the writer, or other replicas, for a replica; the writer has
     none."""
 
@@ -58,18 +59,18 @@
     follow: Annotated[list[Address], Field(max_length=16)] = []
 
 
-def check_follow(file: ControlFile) -> Found:
-    """The faults of a control process that would follow itself."""
+def check_follow(file: ControlFile) -> FieldErrors:
+    """The errors of a control process that would follow itself."""
     if file.listen in file.follow:
         return [(("follow",), f"this process's own address, {file.listen}")]
     return []
 
 
 def load_gateway(path: str | Path) -> GatewayFile:
-    """Read and check a gateway's file. Raises toml_file.FileError."""
-    return checked(read(path), str(path), GatewayFile)
+    """Read and check a gateway's file. Raises toml_file.TomlFileError."""
+    return parse_toml(read_text(path), str(path), GatewayFile)
 
 
 def load_control(path: str | Path) -> ControlFile:
-    """Read and check a control process's file. Raises toml_file.FileError."""
-    return checked(read(path), str(path), ControlFile, check_follow)
+    """Read and check a control process's file. Raises toml_file.TomlFileError."""
+    return parse_toml(read_text(path), str(path), ControlFile, check_follow)
