--- a/tests/configuration/test_plan_changes.py
+++ b/tests/configuration/test_plan_changes.py
@@ -1,7 +1,7 @@
 """A plan that changes in service: what a customer gets, and its books. Simulated; times in ms."""
 
 import pytest
-from fake_gateway import Story
+from fake_gateway import GatewayHarness
 
 from granitedock.configuration.transition import Transitions, carried
 from granitedock.configuration.windows import window_of, with_window
@@ -155,11 +155,11 @@
 
 def test_a_request_in_hand_ends_on_the_new_book():
     """Its call to the counter and its attempt were begun under the old one."""
-    story, customer = Story(), Customer(99)
-    story.ask(customer=customer, plan=plan(10, 20))
-    customer.account = carried(customer.account, plan(10, 400), story.gateway.now)
-    story.counter(total=1)
-    assert len(story.attempts) == 1 and customer.account.in_flight == 1
-    story.ends(Outcome.DONE)
+    harness, customer = GatewayHarness(), Customer(99)
+    harness.ask(customer=customer, plan=plan(10, 20))
+    customer.account = carried(customer.account, plan(10, 400), harness.gateway.now)
+    harness.answer_call(total=1)
+    assert len(harness.attempts) == 1 and customer.account.in_flight == 1
+    harness.finish(Outcome.DONE)
     assert customer.account.in_flight == 0
-    assert not story.errored and not story.deferred
+    assert not harness.failed and not harness.rejected
--- a/tests/helpers/fake_gateway.py
+++ b/tests/helpers/fake_gateway.py
@@ -28,85 +28,111 @@
 from granitedock.service.resp import command
 
 READ = RequestClass("read", Idempotency.IDEMPOTENT, IdempotencyScope.ALL, 0, 1000, 4000, 1, 0, False)
-STAMPED = RequestClass("stamped", Idempotency.KEYED, IdempotencyScope.ALL, 3000, 2000, 5000, 1, 0, False)
-BY_ZONE = RequestClass("by zone", Idempotency.KEYED, IdempotencyScope.ZONE, 3000, 2000, 5000, 1, 0, False)
-ONE_SHOT = RequestClass(
+KEYED = RequestClass("stamped", Idempotency.KEYED, IdempotencyScope.ALL, 3000, 2000, 5000, 1, 0, False)
+KEYED_BY_ZONE = RequestClass(
+    "by zone", Idempotency.KEYED, IdempotencyScope.ZONE, 3000, 2000, 5000, 1, 0, False
+)
+NON_IDEMPOTENT = RequestClass(
     "one-shot", Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, 0, 2000, 8000, 1, 0, False
 )
 PLAN = Plan("plan", 0.01, 20, 0, 1, 0, 0.5, 0, 0, 0)  # ten units a second, twenty at once
 CAPPED = Plan("capped", 0.01, 20, 0, 1, 0, 0.5, 0.02, 40, 4)
-FEW_OUT = Plan("few out", 0, 0, 4, 1, 0, 0.5, 0, 0, 0)
+FEW_IN_FLIGHT = Plan("few out", 0, 0, 4, 1, 0, 0.5, 0, 0, 0)
 
 
-class Story:
-    """A gateway, the door it acts on, and what came out of it."""
+class GatewayHarness:
+    """A gateway's decisions, the effect handler of them, and a record of all effects. Times in ms."""
 
     def __init__(
-        self, hosts=3, number=0, gateways=2, copies=False, at=100000.0, request_classes=None, **cold
+        self, hosts=3, number=0, gateways=2, copies=False, at=100000.0, request_classes=None, **listed
     ):
-        self.attempts, self.deferred, self.errored, self.calls = [], [], [], []
-        self.wakes, self.withdrawn, self.lines, self.stops = [], [], [], []
+        self.attempts = []
+        self.attempt_deadlines = []
+        self.rejected = []  # (request, retry after)
+        self.failed = []
+        self.cancelled = []
+        self.calls = []
+        self.timers = []  # (when, what)
+        self.log_lines = []
         self.hosts = [Host() for _ in range(hosts)]
-        permitted = PermittedFeatures(3, copies, True, True, 2000)
-        slow_start = SlowStart(0.2, 10000, 2, 1000)
-        request_classes = request_classes or [READ, STAMPED, BY_ZONE, ONE_SHOT]
-        identity = GatewayIdentity(7 + number, number, gateways)
-        settings = GatewaySettings(identity, request_classes, permitted, slow_start, has_counter=True)
+        settings = GatewaySettings(
+            identity=GatewayIdentity(7 + number, number, gateways),
+            request_classes=request_classes or [READ, KEYED, KEYED_BY_ZONE, NON_IDEMPOTENT],
+            permitted=PermittedFeatures(3, copies, True, True, 2000),
+            slow_start=SlowStart(0.2, 10000, 2, 1000),
+            has_counter=True,
+        )
         self.gateway = Gateway(self, at, settings)
-        self.roster(EndpointStatus.READY, *self.hosts, **cold)
+        self.update_endpoints(EndpointStatus.READY, *self.hosts, **listed)
+
+    # The effect handler.
 
-    # The door.
     def send_attempt(self, attempt, attempt_deadline):
         self.attempts.append(attempt)
-        self.stops.append(attempt_deadline)
+        self.attempt_deadlines.append(attempt_deadline)
 
     def reject(self, request, retry_after_ms):
-        self.deferred.append((request, retry_after_ms))
+        self.rejected.append((request, retry_after_ms))
 
     def fail(self, request):
-        self.errored.append(request)
+        self.failed.append(request)
 
     def cancel(self, attempt):
-        self.withdrawn.append(attempt)
+        self.cancelled.append(attempt)
 
     def call_counter(self, call):
         self.calls.append(call)
 
     def start_timer(self, after_ms, why):
-        self.wakes.append((self.gateway.now + after_ms, why))
+        self.timers.append((self.gateway.now + after_ms, why))
 
     def log_decision(self, line):
-        self.lines.append(line)
+        self.log_lines.append(line)
+
+    # What the surroundings do.
 
-    # What the world does.
-    def roster(self, status, *hosts, started_at=0.0, zones=None, size=1.0):
-        sightings = [
+    def update_endpoints(self, status, *hosts, started_at=0.0, zones=None, size=1.0):
+        updates = [
             EndpointUpdate(host, size, "m", (zones or {}).get(host, "z"), 0, started_at, status)
             for host in hosts
         ]
-        self.gateway.update_endpoints(sightings, False)
+        self.gateway.update_endpoints(updates, False)
 
     def pass_ms(self, ms):
-        """Let time pass, with the wakes that fall due on the way."""
+        """Let time pass, with the timers that are due on the way."""
         end = self.gateway.now + ms
-        while due := sorted((w for w in self.wakes if w[0] <= end), key=lambda w: w[0]):
-            self.wakes.remove(due[0])
+        while due := sorted((timer for timer in self.timers if timer[0] <= end), key=lambda timer: timer[0]):
+            self.timers.remove(due[0])
             self.gateway.advance_clock(due[0][0])
             self.gateway.timer_fired(due[0][1])
         self.gateway.advance_clock(end)
 
     def ask(self, request_class=READ, plan=PLAN, customer=None, units=1.0, subset_size=2, left=None):
+        """A new request, with `left` ms until its deadline."""
         now = self.gateway.now
         left = request_class.deadline_ms if left is None else left
         request = Request(request_class, plan, customer or Customer(99), now, now + left, units, subset_size)
         self.gateway.handle_request(request)
         return request
 
-    def counter(self, outcome=Outcome.DONE, total=None, call=None):
+    def answer_call(self, outcome=Outcome.DONE, total=None, call=None):
         """The counter answers the latest call, or the one given."""
         call = call or self.calls[-1]
         self.gateway.counter_call_finished(call, outcome, call.amount if total is None else total)
 
+    def admit(self, request_class=READ, **more):
+        """A new request that the counter admits."""
+        request = self.ask(request_class, **more)
+        self.answer_call(total=1)
+        return request
+
+    def finish(self, outcome, took=50.0, attempt=None):
+        """The latest attempt ends, or the one given."""
+        attempt = attempt or self.attempts[-1]
+        self.gateway.attempt_finished(attempt, outcome, took, outcome is Outcome.DONE, 0, 0)
+
+    # What the gateway holds.
+
     def capacity_share(self, host):
         return self.gateway.load_balancer.slow_start.capacity_share(host, self.gateway.now)
 
@@ -114,15 +140,6 @@
         """Of a request of one unit, in mean requests."""
         return self.gateway.load_balancer.estimates.work(self.gateway.now, request_class, 1)
 
-    def admitted(self, request_class=READ, **more):
-        request = self.ask(request_class, **more)
-        self.counter(total=1)
-        return request
-
-    def ends(self, outcome, took=50.0, attempt=None):
-        attempt = attempt or self.attempts[-1]
-        self.gateway.attempt_finished(attempt, outcome, took, outcome is Outcome.DONE, 0, 0)
-
 
 BORN = {
     "Me": 0,
--- a/tests/policy/test_fleet_quotas.py
+++ b/tests/policy/test_fleet_quotas.py
@@ -1,6 +1,6 @@
 """Quotas hold for the fleet: simulated, many gateways with the program's own decisions before one counter.
 
-What is let in beyond the quotas is measured against the true store of each customer, and against a policy
+What is admitted beyond the quotas is measured against the true store of each customer, and against a policy
 that sees the true state of that store, late. Times in ms.
 """
 
@@ -82,11 +82,11 @@
         if self.late[customer].seen(self.now - LATE) >= 1.0:
             self.sent_late += 1
             self.late[customer].take(self.now)
-        self.random.choice(self.members).take(customer)
+        self.random.choice(self.members).handle_request(customer)
 
 
 class Member:
-    """A gateway with its door; the counter's answers and the host's come by the fleet's clock."""
+    """A gateway and its effect handler; the answers of counter and hosts come by the fleet's clock."""
 
     def __init__(self, fleet, number, gateways, customers):
         self.fleet, self.gateways, self.sent = fleet, gateways, []
@@ -106,7 +106,7 @@
         self.gateway.update_endpoints(hosts, True)
         self.customers = [Customer(n) for n in range(customers)]
 
-    def take(self, customer):
+    def handle_request(self, customer):
         now = self.fleet.now
         self.gateway.advance_clock(now)
         request = Request(
@@ -116,14 +116,14 @@
 
     def call_counter(self, call):
         fleet = self.fleet
-        fleet.at(fleet.now + fleet.random.uniform(0.5, 3.0), self.land, call)
+        fleet.at(fleet.now + fleet.random.uniform(0.5, 3.0), self.apply_call, call)
 
-    def land(self, call):
+    def apply_call(self, call):
         fleet = self.fleet
         total = fleet.totals[call.name] = fleet.totals.get(call.name, 0.0) + call.amount
-        fleet.at(fleet.now + fleet.random.uniform(0.5, 3.0), self.told, call, total)
+        fleet.at(fleet.now + fleet.random.uniform(0.5, 3.0), self.call_finished, call, total)
 
-    def told(self, call, total):
+    def call_finished(self, call, total):
         self.gateway.advance_clock(self.fleet.now)
         self.gateway.counter_call_finished(call, Outcome.DONE, total)
 
@@ -132,22 +132,22 @@
         if len(attempt.request.attempts) == 1:
             self.sent.append(attempt)
             fleet.stores[attempt.request.customer.key].take(fleet.now)
-        fleet.at(fleet.now + fleet.random.expovariate(1 / 40), self.done, attempt)
+        fleet.at(fleet.now + fleet.random.expovariate(1 / 40), self.attempt_finished, attempt)
 
-    def done(self, attempt):
+    def attempt_finished(self, attempt):
         if attempt.outcome is None:
             self.gateway.advance_clock(self.fleet.now)
             self.gateway.attempt_finished(attempt, Outcome.DONE, self.fleet.now - attempt.sent_at, True, 0, 0)
 
     def start_timer(self, after_ms, why):
-        self.fleet.at(self.fleet.now + after_ms, self.woke, why)
+        self.fleet.at(self.fleet.now + after_ms, self.timer_fired, why)
 
-    def woke(self, why):
+    def timer_fired(self, why):
         self.gateway.advance_clock(self.fleet.now)
         self.gateway.timer_fired(why)
 
     def cancel(self, attempt):
-        self.fleet.at(self.fleet.now, self.done, attempt)
+        self.fleet.at(self.fleet.now, self.attempt_finished, attempt)
 
     def reject(self, request, retry_after_ms):
         pass
@@ -156,7 +156,9 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 4, 20, 30, 200])
-def test_on_a_quiet_day_little_more_is_let_in_beyond_quotas_than_where_the_true_state_is_seen_late(gateways):
+def test_on_a_quiet_day_little_more_is_admitted_beyond_quotas_than_where_the_true_state_is_seen_late(
+    gateways,
+):
     for seed in range(3):
         fleet = Fleet(seed, gateways, customers=60, use=0.5).run()
         beyond = sum(store.beyond for store in fleet.stores) / fleet.offered
