--- a/granitedock/policy/quota_account.py
+++ b/granitedock/policy/quota_account.py
@@ -2,7 +2,8 @@
 
 The count is the source's sliding window: current + previous x remaining / window. The burst usage follows
 from the same totals what was used since the customer was last at rest, beyond what the rate has refilled, and
-may not pass the burst. Without totals the local fallback bucket holds an even share of rate and burst.
+may not pass the burst. Without totals the local fallback bucket, the source's emergency limiter, holds
+an even share of rate and burst.
 """
 
 from __future__ import annotations
--- a/granitedock/policy/rate_limiter.py
+++ b/granitedock/policy/rate_limiter.py
@@ -222,8 +222,8 @@
         return account.corrected_total(call, total, uncounted, before)
 
     def record_uncounted(self, request: Request, account: QuotaAccount, sharing: QuotaSharingPort) -> None:
-        """Units admitted that the counter does not know are told to the others, and go with our next
-        increment. Where the end of a call is not known they stay told, and are not added again: it may have
+        """Units admitted that the counter does not know are reported to the others, and go with our
+        next increment. Where a call's end is not known they stay reported, and are not added again: it may have
         been applied. Counting twice refuses some, where not counting would admit more than the quota."""
         call = request.counter_call
         sharing.record_uncounted(request.customer.key, account.window, account.quota, request.units)
--- a/granitedock/policy/types.py
+++ b/granitedock/policy/types.py
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """What a gateway is told at its start."""
+    """What a gateway starts with."""
 
     identity: GatewayIdentity
     request_classes: list[RequestClass]
