--- a/granitedock/configuration/attach.py
+++ b/granitedock/configuration/attach.py
@@ -30,10 +30,10 @@
     """A gateway's part. `clock()` is Unix ms; `diary` counts and logs as the service's does."""
 
     def __init__(
-        self, file: GatewayFile, name: str, reducer: Any, reactor: Any, clock: Any, diary: Any
+        self, file: GatewayFile, name: str, state_machine: Any, reactor: Any, clock: Any, diary: Any
     ) -> None:
         self.file, self.reactor, self.diary = file, reactor, diary
-        self.applied = GatewayConfiguration(reducer, clock)
+        self.applied = GatewayConfiguration(state_machine, clock)
         self.copy: CopyFile | None = None
         self.records: list[tuple[Section, Record]] = []  # of a whole document on its way, for the copy
         self.document: FollowedDocument[Entry] = FollowedDocument(self)
@@ -137,8 +137,8 @@
                 "cluster": self.file.cluster,
                 "version": document.version,
                 "digest": digest_text(document.digest),
-                "plans": len(self.applied.reducer.plans),
-                "classes": len(self.applied.reducer.request_classes),
+                "plans": len(self.applied.state_machine.requests.plans),
+                "classes": len(self.applied.state_machine.requests.request_classes),
             }
             | self.follower.status()
         )
--- a/granitedock/configuration/gateway.py
+++ b/granitedock/configuration/gateway.py
@@ -27,12 +27,12 @@
 
 
 class GatewayConfiguration:
-    """Keeps a followed document in force at one gateway (`service/reducer.py`). `clock()` is Unix ms."""
+    """Keeps a followed document in force at one gateway (`service/dispatcher.py`). `clock()` is Unix ms."""
 
-    def __init__(self, reducer: Any, clock: Any) -> None:
-        self.reducer, self.clock = reducer, clock
+    def __init__(self, state_machine: Any, clock: Any) -> None:
+        self.state_machine, self.clock = state_machine, clock
         self.transitions = Transitions()
-        reducer.gateway.open_book = self.transitions.open_book
+        state_machine.policy.open_book = self.transitions.open_book
 
     def keep(self, section: Section, record: Record) -> Entry:
         try:
@@ -57,7 +57,7 @@
             gone[section].append(name)
         self.put_plans(put[Section.PLANS], gone[Section.PLANS])
         if put[Section.CLASSES] or gone[Section.CLASSES]:
-            classes = self.reducer.request_classes | put[Section.CLASSES]
+            classes = self.state_machine.requests.request_classes | put[Section.CLASSES]
             for name in gone[Section.CLASSES]:
                 del classes[name]
             self.put_classes(classes)
@@ -65,12 +65,12 @@
     def replace(self, before: Contents[Entry], fresh: Contents[Entry]) -> None:
         """A whole document: what is not in it is gone, also what the platform's file had."""
         plans = fresh.values[Section.PLANS]
-        held = self.reducer.plans
+        held = self.state_machine.requests.plans
         for name, plan in plans.items():
             if name in held and held[name] is not plan and same_plan(held[name], plan):
                 plans[name] = held[name]
         self.put_plans(plans, [name for name in held if name not in plans])
-        classes, known = fresh.values[Section.CLASSES], self.reducer.request_classes
+        classes, known = fresh.values[Section.CLASSES], self.state_machine.requests.request_classes
         for name, request_class in classes.items():
             if name in known and CLASS_FIELDS(known[name]) == CLASS_FIELDS(request_class):
                 classes[name] = known[name]  # what was measured of its requests stays known
@@ -79,29 +79,29 @@
     def put_plans(self, plans: dict[str, Plan], gone: list[str]) -> None:
         """The books of customers whose plans changed go on under the new ones. A customer of a removed plan
         keeps its book, as requests in hand need it; new ones are refused for want of the plan."""
-        reducer, now = self.reducer, self.clock()
+        machine, now = self.state_machine, self.clock()
         moved = {}
         for name, plan in plans.items():
-            before = reducer.plans.get(name)
+            before = machine.requests.plans.get(name)
             if before is plan:
                 continue
             if before is not None:
                 self.transitions.changed(before, now)
             if before is not None or name in self.transitions.former:  # or removed of late, and back
                 moved[name] = plan
-            reducer.plans[name] = plan
+            machine.requests.plans[name] = plan
         for name in gone:
-            self.transitions.changed(reducer.plans.pop(name), now)
+            self.transitions.changed(machine.requests.plans.pop(name), now)
         if moved:
-            reducer.gateway.advance_clock(now)
-            for customer in reducer.gateway.accounts:
+            machine.policy.advance_clock(now)
+            for customer in machine.policy.accounts:
                 if (plan := moved.get(customer.account.plan.name)) is not None:
                     customer.account = carried(customer.account, plan, now)
 
     def put_classes(self, classes: dict[str, RequestClass]) -> None:
         """The process's own end (`limits.leave_ms`) stays by the classes that it began with."""
-        self.reducer.request_classes = classes
-        fleet = self.reducer.gateway.fleet
+        self.state_machine.requests.replace_request_classes(classes)
+        fleet = self.state_machine.policy.fleet
         fleet.request_classes[:] = classes.values()
         fleet.latency_objective_ms = min(
             request_class.latency_objective_ms for request_class in fleet.request_classes
--- a/granitedock/lab/hollow.py
+++ b/granitedock/lab/hollow.py
@@ -1,8 +1,8 @@
 """Hollow gateways: the real state machines over real loopback sockets, with no clients, many to a process.
 
-Each has the reducer with its watch on discovery, the view of the fleet where addresses are given, and follows
-the configuration where control addresses are given. What a client, a host or the counter would bring is left
-out, so hundreds of gateways fit one machine and what control costs them can be measured.
+Each has the state machine with its watch on discovery, the view of the fleet where addresses are given, and
+follows the configuration where control addresses are given. What a client, a host or the counter would bring
+is left out, so hundreds of gateways fit one machine and what control costs them can be measured.
 
 Run as `python -m granitedock.lab.hollow`: the first line on standard input is a `HollowOrder` as JSON; it
 answers with one line once all have started, then takes `{"status": true}` and answers with a `HollowStatus`
@@ -24,9 +24,9 @@
 from granitedock.lab.scale.roster import commanded
 from granitedock.service.connector import Dialler
 from granitedock.service.discovery_protocol import WatchLink
+from granitedock.service.dispatcher import GatewayParameters, GatewayStateMachine
 from granitedock.service.inputs import Input
 from granitedock.service.limits import Limits
-from granitedock.service.reducer import Reducer
 
 SPREAD_S = 0.5  # the gateways of one process start within so long
 FLEET_PORT = 7946
@@ -94,7 +94,7 @@
 
 
 class HollowDoors:
-    """What a hollow gateway's reducer may ask for: timers and the watch. It has no host, client or
+    """What a hollow gateway's state machine may ask for: timers and the watch. It has no host, client or
     counter."""
 
     def __init__(self, gateway: HollowGateway, address: str) -> None:
@@ -134,8 +134,10 @@
         self.settings = told["settings"]
         self.limits = Limits.told(told)
         self.doors = HollowDoors(self, order.discovery)
-        self.reducer = Reducer(
-            self.clock(), self.limits, told["settings"], number, None, self.doors, self.diary
+        self.state_machine = GatewayStateMachine(
+            GatewayParameters(
+                self.clock(), self.limits, told["settings"], number, None, self.doors, self.diary
+            )
         )
         self.state = GatewayState(self.name)
         self.fleet: Any = None
@@ -148,10 +150,10 @@
     def tell(self, happened: Input, *what: Any) -> None:
         """One input of the state machine, and its effects."""
         lists = self.diary.counts["lists"]
-        for act, *arguments in self.reducer.reduce(self.clock(), happened, *what):
+        for act, *arguments in self.state_machine.handle(self.clock(), happened, *what):
             act(*arguments)
         if self.diary.counts["lists"] != lists:
-            self.state.list_version = self.reducer.watch.version
+            self.state.list_version = self.state_machine.watch.version
             self.noted(self.state.list_at, self.state.list_version)
 
     @staticmethod
@@ -193,7 +195,7 @@
 
         order = self.order
         file = GatewayFile(enabled=True, cluster=order.cluster, control=order.control)
-        return NotedLink(file, self.name, self.reducer, self.reactor, self.clock, self.diary)
+        return NotedLink(file, self.name, self.state_machine, self.reactor, self.clock, self.diary)
 
     def view(self) -> Any:
         """This gateway's part in the view, at an address of loopback of its own."""
--- a/granitedock/lab/plansim.py
+++ b/granitedock/lab/plansim.py
@@ -8,6 +8,7 @@
 
 from bisect import bisect_left
 from dataclasses import dataclass
+from types import SimpleNamespace
 from typing import Any
 
 from granitedock.configuration.gateway import GatewayConfiguration
@@ -29,7 +30,7 @@
 
 
 class ConfiguredDesk(Desk):
-    """A gateway of the simulation whose plans change in service. It stands for the reducer, too."""
+    """A gateway of the simulation whose plans change in service. It stands for its requests, too."""
 
     def __init__(self, fleet: PlanFleet, node: Node, shared: bool, viewed: bool) -> None:
         super().__init__(fleet, node, shared, viewed)
@@ -37,7 +38,8 @@
         self.request_classes = {
             request_class.name: request_class for request_class in self.gateway.fleet.request_classes
         }
-        self.configuration = GatewayConfiguration(self, fleet.unix)
+        stand_in = SimpleNamespace(policy=self.gateway, requests=self)
+        self.configuration = GatewayConfiguration(stand_in, fleet.unix)
 
     def take(self, offer: Offer, units: float) -> None:
         customer = self.customers.setdefault(offer.key, Customer(offer.key))
--- a/granitedock/lab/scale/documents.py
+++ b/granitedock/lab/scale/documents.py
@@ -15,7 +15,7 @@
 from granitedock.configuration.gateway import GatewayConfiguration
 from granitedock.configuration.messages import Page, SnapshotBegins, decoded
 from granitedock.configuration.store import Store
-from granitedock.lab.scale.hosts import reducer
+from granitedock.lab.scale.hosts import state_machine
 from granitedock.lab.scale.platform import platform_file, settings
 from granitedock.lab.scale.probe import MIB, allocated_bytes, cpu_ms
 
@@ -42,7 +42,7 @@
 
 def fresh_document() -> FollowedDocument:
     """A gateway that has only the platform's file."""
-    return FollowedDocument(GatewayConfiguration(reducer(platform_file()), lambda: NOW_MS))
+    return FollowedDocument(GatewayConfiguration(state_machine(platform_file()), lambda: NOW_MS))
 
 
 def taken_in(document: FollowedDocument, lines: list[bytes]) -> float:
--- a/granitedock/lab/scale/hosts.py
+++ b/granitedock/lab/scale/hosts.py
@@ -11,8 +11,8 @@
 from granitedock.lab.scale.platform import host_list, instance, platform_file
 from granitedock.lab.scale.probe import MIB, allocated_bytes, cpu_ms
 from granitedock.service.discovery_protocol import Listing, listing
+from granitedock.service.dispatcher import GatewayParameters, GatewayStateMachine
 from granitedock.service.limits import Limits
-from granitedock.service.reducer import Reducer
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
 
 
 class Silent:
-    """Doors and log of a reducer whose effects nobody carries out."""
+    """I/O and event log of a state machine whose effects nobody carries out."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -43,16 +43,17 @@
         return lambda *_: None
 
 
-def reducer(told: dict[str, Any]) -> Reducer:
+def state_machine(told: dict[str, Any]) -> GatewayStateMachine:
     """A gateway's state machine that has spoken with nobody yet."""
     silent = Silent()
-    return Reducer(1e12, Limits.told(told), told["settings"], 7, None, silent, silent)
+    limits = Limits.told(told)
+    return GatewayStateMachine(GatewayParameters(1e12, limits, told["settings"], 7, None, silent, silent))
 
 
-def filled(whole: Listing) -> Reducer:
+def filled(whole: Listing) -> GatewayStateMachine:
     """A gateway's state machine that has taken this list in."""
-    machine = reducer(platform_file())
-    machine.entries(whole)
+    machine = state_machine(platform_file())
+    machine.endpoints.update(whole)
     return machine
 
 
@@ -62,14 +63,14 @@
     change = orjson.dumps(
         {"generation": 2, "reset": False, "instances": [instance(0, lifecycle="terminating")]}
     )
-    machine = reducer(platform_file())
+    machine = state_machine(platform_file())
     read_ms = cpu_ms(lambda: listing(orjson.loads(line)))
     whole = listing(orjson.loads(line))
-    take_in_ms = cpu_ms(lambda: machine.entries(whole), 1)
+    take_in_ms = cpu_ms(lambda: machine.endpoints.update(whole), 1)
     memory = allocated_bytes(lambda: filled(whole)) / MIB
-    change_ms = cpu_ms(lambda: machine.entries(listing(orjson.loads(change))))
-    sweep_ms = cpu_ms(machine.sweep)
-    fleet = machine.gateway.fleet
+    change_ms = cpu_ms(lambda: machine.endpoints.update(listing(orjson.loads(change))))
+    sweep_ms = cpu_ms(machine.maintain)
+    fleet = machine.policy.fleet
 
     def look_round() -> None:
         fleet.look_at = fleet.now
--- a/granitedock/model_checking/canon.py
+++ b/granitedock/model_checking/canon.py
@@ -21,8 +21,8 @@
 PLAIN = frozenset({int, float, str, bytes, bool, type(None)})
 LISTS = frozenset({list, tuple, deque})
 LEFT_OUT = frozenset(
-    "counts event_log doors limits leave cold seat effects log world gate policy_timers wakes made".split()
-    + ["plans", "known"]
+    "counts event_log io limits leave cold seat effects log world gate policy_timers wakes made".split()
+    + ["plans", "known", "initial_endpoints"]
 )
 _fields: dict[type, tuple[str, ...]] = {}
 
--- a/granitedock/model_checking/gateways.py
+++ b/granitedock/model_checking/gateways.py
@@ -1,7 +1,7 @@
-"""A small world of gateways: the program's own reducer and decisions, between parties that may do anything.
+"""A small world of gateways: the program's own state machines, between parties that may do anything.
 
-Each gateway is a real `Reducer` with its decision module. What is modelled is the outside: connections that
-come up or not, hosts that answer in any way they can, a counter, clients, a list that says that a host
+Each gateway is a real `GatewayStateMachine` with its policy. What is modelled is the outside: connections
+that come up or not, hosts that answer in any way they can, a counter, clients, a list that says that a host
 drains, gateways that are killed or stopped, and a clock that goes from one due wake to the next. What is due
 may come in any order; what is out of the ordinary costs one of `faults`. Time does not pass while something
 is due, unless it was made late. The rules are told from the outside (`broken`).
@@ -29,9 +29,10 @@
 )
 from granitedock.service.client_protocol import read
 from granitedock.service.discovery_protocol import Entry, Listing
+from granitedock.service.dispatcher import GatewayParameters, GatewayStateMachine
 from granitedock.service.inputs import Input
+from granitedock.service.lifecycle import LifecycleEvent
 from granitedock.service.limits import Limits
-from granitedock.service.reducer import Reducer
 from granitedock.service.resp import command
 
 START = 1_000_000.0  # Unix ms, where a window of the plan begins
@@ -113,7 +114,7 @@
 
 
 class Diary:
-    """The reducer's log: its counters, and nothing kept."""
+    """The state machine's event log: its counters, and nothing kept."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -124,7 +125,7 @@
 
 @dataclass(eq=False, slots=True)
 class Link:
-    """A connection as the reducer sees it: what it is asked goes to the gateway it belongs to."""
+    """A connection as the state machine sees it: what it is asked goes to the gateway it belongs to."""
 
     gate: Gate
     kind: str
@@ -184,7 +185,7 @@
     answers: list[tuple[float, str]] = field(default_factory=list)
     attempts: dict[int, list[Any]] = field(default_factory=dict)
     orphan: bool = False  # its gateway was killed: nothing is owed
-    connection: Any = None  # its connection, as the reducer knows it
+    connection: Any = None  # its connection, as the state machine knows it
 
 
 class Gate:
@@ -197,21 +198,24 @@
         self.soon: list[tuple] = []
         shape = world.shape
         known = Listing(1, True, world.entries())
-        self.reducer = Reducer(
-            world.now, shape.limits(number), shape.settings(number), 7 + number, known, self, Diary()
+        self.state_machine = GatewayStateMachine(
+            GatewayParameters(
+                world.now, shape.limits(number), shape.settings(number), 7 + number, known, self, Diary()
+            )
         )
         # Its customers are kept by weak references, which no copy of a state keeps.
-        self.reducer.customers = {}
-        reducer = self.reducer
-        parts = [("limits", reducer.limits), ("leave", reducer.gateway.leave)]
-        parts += [("cold", reducer.gateway.fleet.cold), ("seat", reducer.gateway.fleet.seat)]
+        machine = self.state_machine
+        machine.requests.customers = {}
+        policy = machine.policy
+        parts = [("limits", machine.context.limits), ("leave", policy.leave)]
+        parts += [("cold", policy.fleet.cold), ("seat", policy.fleet.seat)]
         parts += [
-            *reducer.request_classes.items(),
-            *(("plan " + name, plan) for name, plan in reducer.plans.items()),
+            *machine.requests.request_classes.items(),
+            *(("plan " + name, plan) for name, plan in machine.requests.plans.items()),
         ]
         keep("gateways", shape, number, parts)
         self.tell(Input.START)
-        watch = self.reducer.watch
+        watch = self.state_machine.watch
         self.tell(Input.WATCH_CONNECTED, watch, Link(self, "watch", watch))
         self.tell(Input.ENDPOINTS_RECEIVED, watch, known)
 
@@ -220,10 +224,10 @@
         self.soon.append(happened)
         while self.soon:
             name, *what = self.soon.pop(0)
-            for act, *how in self.reducer.reduce(self.world.now, name, *what):
+            for act, *how in self.state_machine.handle(self.world.now, name, *what):
                 act(*how)
 
-    # The reducer's doors.
+    # What the state machine asks for (`GatewayIO`).
 
     def start_timer(self, timer: Any) -> None:
         self.made += 1
@@ -302,7 +306,7 @@
 
     @staticmethod
     def about(attempt: Any) -> tuple[str, int]:
-        return attempt.request.ask.id.decode(), len(attempt.request.attempts)
+        return attempt.request.parsed.id.decode(), len(attempt.request.attempts)
 
     # What may happen.
 
@@ -381,7 +385,7 @@
         gate.tell(Input.CLIENT_CONNECTED, link)
         job.connection = link.record
         parts = command(*words).split(b"\r\n")[:-1]
-        gate.tell(Input.REQUEST_RECEIVED, link.record, read(words, parts, gate.reducer.limits))
+        gate.tell(Input.REQUEST_RECEIVED, link.record, read(words, parts, gate.state_machine.context.limits))
 
     def on_dial(self, outcome: str, connection: Any, gateway: int, request: str, number: int) -> None:
         gate = self.gates[gateway]
@@ -523,7 +527,7 @@
 
     def stop(self, gateway: int) -> None:
         """SIGTERM: it answers what it has, and takes what still comes for a while."""
-        self.gates[gateway].tell(Input.LIFECYCLE, "ending")
+        self.gates[gateway].tell(Input.LIFECYCLE, LifecycleEvent.TERMINATE)
 
     def drain(self, host: int) -> None:
         """Discovery says so; each gateway hears of it in its own time."""
@@ -536,7 +540,9 @@
         gate = self.gates[gateway]
         if gate.up:
             self.draining[gateway][host] = self.now
-            gate.tell(Input.ENDPOINTS_RECEIVED, gate.reducer.watch, Listing(2, True, self.entries(host)))
+            gate.tell(
+                Input.ENDPOINTS_RECEIVED, gate.state_machine.watch, Listing(2, True, self.entries(host))
+            )
 
     # What is asked of a world.
 
@@ -553,7 +559,9 @@
         state = [self.now, self.left, self.draining, sorted(self.jobs), self.totals]
         jobs = [self.jobs[name] for name in sorted(self.jobs)]
         pending = [(name, pending[name]) for pending in (self.due, self.late) for name in sorted(pending)]
-        gates = [(gate.up, gate.reducer if gate.up else None, sorted_wakes(gate)) for gate in self.gates]
+        gates = [
+            (gate.up, gate.state_machine if gate.up else None, sorted_wakes(gate)) for gate in self.gates
+        ]
         return digest(state, jobs, gates, sorted(self.late), pending)
 
 
--- /dev/null
+++ b/granitedock/service/client_commands.py
@@ -0,0 +1,103 @@
+"""Clients' commands that are no requests: PING, INFO and what else only shows something.
+
+Owns the PINGs that wait for the gateway to serve, and the further commands that other parts add.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from granitedock.service import counter_names
+from granitedock.service.client_connections import ClientState
+from granitedock.service.lifecycle import LifecycleState
+from granitedock.service.reply_queues import CommandReply
+from granitedock.service.resp import bulk
+
+if TYPE_CHECKING:
+    from granitedock.service.client_connections import ClientConnection, ClientConnections
+    from granitedock.service.context import Context
+    from granitedock.service.host_connections import HostConnections
+    from granitedock.service.in_flight_requests import InFlightRequests
+    from granitedock.service.lifecycle import Lifecycle
+    from granitedock.service.reply_queues import ReplyQueues
+
+PONG = b"+PONG\r\n"
+CLOSING = b"-ERR closing\r\n"
+
+
+class ClientCommands:
+    """Replies to commands that are no requests."""
+
+    clients: ClientConnections
+    replies: ReplyQueues
+    requests: InFlightRequests
+    hosts: HostConnections
+    lifecycle: Lifecycle
+
+    def __init__(self, context: Context) -> None:
+        self.context = context
+        self.waiting_pings: list[tuple[ClientConnection, CommandReply]] = []
+        self.status_commands: dict[bytes, Callable[[], bytes]] = {}  # by name; the function words the reply
+
+    def attach(
+        self,
+        clients: ClientConnections,
+        replies: ReplyQueues,
+        requests: InFlightRequests,
+        hosts: HostConnections,
+        lifecycle: Lifecycle,
+    ) -> None:
+        """Set the machines that this one calls."""
+        self.clients = clients
+        self.replies = replies
+        self.requests = requests
+        self.hosts = hosts
+        self.lifecycle = lifecycle
+
+    def received(self, client: ClientConnection, name: bytes) -> None:
+        """A command of this name, in capitals, came."""
+        if not self.clients.accepts_commands(client):
+            return
+        if name == b"PING":
+            self._ping(client)
+        elif name == b"INFO":
+            self.replies.reply(client, bulk(b"".join(b"%b:%d\r\n" % row for row in self.counters())))
+        elif name in (b"CLIENT", b"SELECT"):
+            self.replies.reply(client, b"+OK\r\n")
+        elif name in self.status_commands:
+            self.replies.reply(client, bulk(self.status_commands[name]()))
+        else:
+            self.replies.reply(client, b"-ERR unknown command\r\n")
+
+    def _ping(self, client: ClientConnection) -> None:
+        if self.lifecycle.state is LifecycleState.STARTING:
+            waiting = CommandReply()
+            self.replies.append(client, waiting)
+            self.waiting_pings.append((client, waiting))
+        else:
+            self.replies.reply(client, CLOSING if self.lifecycle.shutting else PONG)
+
+    def answer_pings(self, serving: bool) -> None:
+        """The gateway serves, or is to end: reply to each PING that waited.
+
+        Guards against a PING whose connection ended while we started (the load balancer in front gives up
+        when discovery is slow at a release): its queue is gone, and filling it would fail before the requests
+        taken meanwhile are released, leaving every one of them to its watchdog (herd+vast).
+        """
+        answer = PONG if serving else CLOSING
+        for client, waiting in self.waiting_pings:
+            if client.state is not ClientState.CLOSED:
+                self.replies.fill(client, waiting, answer)
+        self.waiting_pings = []
+
+    def counters(self) -> list[tuple[bytes, int]]:
+        """The counters and gauges as INFO shows them, by name."""
+        gauges = {
+            counter_names.TASKS_NOW: len(self.requests.in_flight),
+            counter_names.CLIENT_LINKS_NOW: len(self.clients.connections),
+            counter_names.HOST_LINKS_NOW: self.hosts.open_count,
+            counter_names.HELD_BYTES_NOW: self.requests.held_bytes(),
+        }
+        shown = {**self.context.counts, **gauges}
+        return [(name.encode(), number) for name, number in sorted(shown.items())]
--- a/granitedock/service/client_protocol.py
+++ b/granitedock/service/client_protocol.py
@@ -1,7 +1,7 @@
 """The clients' side: their connections, and what their commands say.
 
 Owns reading a command, and taking out of it the few fields that decisions need; the rest stays the
-bytes that came. It must never answer by itself, keep a task, or change a state: it tells the reducer.
+bytes that came. It must never answer by itself, keep a task, or change a state: it tells the state machine.
 """
 
 from __future__ import annotations
@@ -164,7 +164,7 @@
         self.tell(Input.CLIENT_WRITE_RESUMED, self.record)
         super().resumeProducing()
 
-    # What the reducer asks for.
+    # What the state machine asks for.
 
     def close(self) -> None:
         """Once all is written, and from our side only: a command that crosses it then meets an end that says
--- a/granitedock/service/connector.py
+++ b/granitedock/service/connector.py
@@ -1,7 +1,7 @@
 """Opening connections outward, for every party that this gateway calls.
 
 Owns a connection until it is up, with the time that it may take. It must never try again by itself:
-whether there is another try is for the reducer.
+whether there is another try is for the state machine.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Dial(ClientFactory):
-    """One connection: its link learns its record, or the reducer learns that it never came up."""
+    """One connection: its link learns its record, or the state machine learns that it never came up."""
 
     noisy = False
 
--- a/granitedock/service/counter_protocol.py
+++ b/granitedock/service/counter_protocol.py
@@ -66,7 +66,7 @@
     def malformed(self, why: str) -> None:
         self.tell(Input.COUNTER_MALFORMED, self.record, why)
 
-    # What the reducer asks for.
+    # What the state machine asks for.
 
     def abort(self) -> None:
         self.deaf = True
--- /dev/null
+++ b/granitedock/service/dispatcher.py
@@ -0,0 +1,251 @@
+"""The gateway's state machine: hands inputs to the machines that own the state, and effects to the loop.
+
+Has no I/O and looks at no clock: it takes one input at a time and returns what is to be done.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from granitedock import platform_settings
+from granitedock.policy.types import Attempt, CounterCall, Request
+from granitedock.service.client_commands import ClientCommands
+from granitedock.service.client_connections import ClientConnections
+from granitedock.service.context import Context, Effect
+from granitedock.service.counter_connections import CounterConnections
+from granitedock.service.discovery_protocol import Listing
+from granitedock.service.discovery_watch import DiscoveryWatch, Watch
+from granitedock.service.endpoints import EndpointList
+from granitedock.service.host_connections import HostConnections
+from granitedock.service.in_flight_requests import InFlightRequests
+from granitedock.service.inputs import Input
+from granitedock.service.lifecycle import Lifecycle, LifecycleState
+from granitedock.service.limits import Limits
+from granitedock.service.ports import EventLogPort, GatewayIO
+from granitedock.service.reply_queues import ReplyQueues
+from granitedock.service.timers import PolicyTimers
+
+
+@dataclass(frozen=True, slots=True)
+class GatewayParameters:
+    """What a gateway's state machine is made of. Times are Unix ms.
+
+    `settings` is the platform file's field of that name; `initial_endpoints` the endpoint list as this
+    gateway last had it; `process_started_at` is None where that is now.
+    """
+
+    now: float
+    limits: Limits
+    settings: dict[str, Any]
+    seed: int
+    initial_endpoints: Listing | None
+    io: GatewayIO
+    event_log: EventLogPort
+    process_started_at: float | None = None
+
+
+class PolicyEffects:
+    """The policy's effect handler (`granitedock.policy.ports.EffectHandler`)."""
+
+    def __init__(
+        self,
+        context: Context,
+        requests: InFlightRequests,
+        hosts: HostConnections,
+        counter: CounterConnections,
+        timers: PolicyTimers,
+    ) -> None:
+        self.context = context
+        self.requests = requests
+        self.hosts = hosts
+        self.counter = counter
+        self.policy_timers = timers
+
+    def send_attempt(self, attempt: Attempt, attempt_deadline: float | None) -> None:
+        """Send a request to a host; `attempt_deadline` bounds it further than the request's own."""
+        self.hosts.send_attempt(attempt, attempt_deadline)
+
+    def reject(self, request: Request, retry_after_ms: float | None) -> None:
+        """Tell the client to come again."""
+        self.requests.reject(request, retry_after_ms)  # type: ignore[arg-type]  # all requests are made here
+
+    def fail(self, request: Request) -> None:
+        """Tell the client that the request failed."""
+        self.requests.fail(request)  # type: ignore[arg-type]  # all requests are made here
+
+    def cancel(self, attempt: Attempt) -> None:
+        """Close the connection of an attempt that is wanted no more."""
+        self.hosts.cancel(attempt)
+
+    def call_counter(self, call: CounterCall) -> None:
+        """Add to a named count at the counter."""
+        self.counter.call(call)
+
+    def start_timer(self, after_ms: float, why: object) -> None:
+        """Give `why` back in so many ms."""
+        self.policy_timers.start(after_ms, why)
+
+    def log_decision(self, line: str) -> None:
+        """Write a line to the event log."""
+        self.context.event_log.event("decision", line=line)
+
+
+class GatewayStateMachine:
+    """One gateway without its I/O. An effect is a callable of the loop's with its arguments."""
+
+    def __init__(self, parameters: GatewayParameters) -> None:
+        now, settings = parameters.now, parameters.settings
+        context = self.context = Context(now, parameters.limits, parameters.io, parameters.event_log)
+        if parameters.process_started_at is not None:
+            context.process_started_at = parameters.process_started_at
+        self.initial_endpoints = parameters.initial_endpoints
+        classes = platform_settings.request_classes(settings)
+        plans = platform_settings.plans(settings)
+        self.lifecycle = Lifecycle(context)
+        self.clients = ClientConnections(context)
+        self.replies = ReplyQueues(context)
+        self.commands = ClientCommands(context)
+        self.requests = InFlightRequests(
+            context,
+            {request_class.name: request_class for request_class in classes},
+            {plan.name: plan for plan in plans},
+        )
+        self.hosts = HostConnections(context)
+        self.counter = CounterConnections(context)
+        self.endpoints = EndpointList(context)
+        self.discovery = DiscoveryWatch(context, parameters.seed)
+        self.policy_timers = PolicyTimers(context)
+        effects = PolicyEffects(context, self.requests, self.hosts, self.counter, self.policy_timers)
+        self.policy = platform_settings.gateway(effects, now, parameters.seed, settings, classes)
+        self._attach()
+
+    def _attach(self) -> None:
+        """Show the machines to those that call them."""
+        self.lifecycle.attach(self.clients, self.commands, self.requests, self.endpoints)
+        self.clients.attach(self.replies, self.requests, self.lifecycle)
+        self.replies.attach(self.clients, self.requests)
+        self.commands.attach(self.clients, self.replies, self.requests, self.hosts, self.lifecycle)
+        self.requests.attach(self.clients, self.replies, self.lifecycle, self.policy)
+        self.hosts.attach(self.endpoints, self.requests, self.lifecycle, self.policy_timers, self.policy)
+        self.counter.attach(self.policy_timers, self.policy)
+        self.endpoints.attach(self.hosts, self.lifecycle, self.discovery, self.policy)
+        self.discovery.attach(self.lifecycle)
+
+    def handle(
+        self, now: float, happened: Input, *arguments: Any, earliest_arrival: float | None = None
+    ) -> list[Effect]:
+        """Take one input, with all that follows from it here; return the effects, in order.
+
+        `earliest_arrival`, Unix ms, is the earliest moment at which what this input brings may have come;
+        None is now.
+        """
+        context = self.context
+        context.now = now
+        context.earliest_arrival = now if earliest_arrival is None else min(earliest_arrival, now)
+        self.policy.advance_clock(now)
+        HANDLERS[happened](self, *arguments)
+        follow_ups = context.follow_ups
+        while follow_ups:
+            function, *rest = follow_ups.popleft()
+            function(*rest)
+        return self.take_effects()
+
+    def take_effects(self) -> list[Effect]:
+        """The effects so far; what an input that failed asked for before is not lost."""
+        context = self.context
+        effects, context.effects = context.effects, []
+        return effects
+
+    @property
+    def state(self) -> LifecycleState:
+        """The state of the process."""
+        return self.lifecycle.state
+
+    @property
+    def watch(self) -> Watch:
+        """The watch on discovery in use."""
+        return self.discovery.current
+
+    # Inputs for more than one machine.
+
+    def start(self) -> None:
+        """The endpoint list as we last had it serves until discovery answers."""
+        if self.initial_endpoints is not None:
+            self.endpoints.update(self.initial_endpoints)
+            self.discovery.start_from(self.initial_endpoints.version)
+        self.discovery.reconnect()
+        if self.policy.has_counter:
+            self.counter.connect_all()
+        self.lifecycle.begin()
+        self._schedule_maintenance()
+
+    def maintain(self) -> None:
+        """The periodic work."""
+        self.counter.maintain()
+        self.discovery.maintain()
+        self.hosts.maintain()
+        self.clients.maintain()
+        self._schedule_maintenance()
+
+    def _schedule_maintenance(self) -> None:
+        self.context.schedule(self.context.now + self.context.limits.sweep_ms, Input.MAINTENANCE)
+
+    def addresses_changed(self, counter: bool, discovery: bool) -> None:
+        """The platform file names other addresses. What is open to one that stays is kept."""
+        if counter:
+            self.counter.address_changed()
+        if discovery:
+            self.discovery.reopen()
+
+    def policy_timer_fired(self, reason: CounterCall | Attempt) -> None:
+        """A timer that the policy asked for is over."""
+        self.policy_timers.fired(reason)
+        self.policy.timer_fired(reason)
+
+
+HANDLERS: dict[Input, Callable[..., None]] = {
+    Input.START: GatewayStateMachine.start,
+    Input.LIFECYCLE: lambda gateway, event: gateway.lifecycle.signal(event),
+    Input.MAINTENANCE: GatewayStateMachine.maintain,
+    Input.ADDRESSES_CHANGED: GatewayStateMachine.addresses_changed,
+    Input.POLICY_TIMER_FIRED: GatewayStateMachine.policy_timer_fired,
+    Input.CLIENT_CONNECTED: lambda gateway, link: gateway.clients.connected(link),
+    Input.CLIENT_DISCONNECTED: lambda gateway, client: gateway.clients.disconnected(client),
+    Input.CLIENT_SILENT: lambda gateway, client: gateway.clients.silent(client),
+    Input.CLIENT_IDLE: lambda gateway, client: gateway.clients.idle(client),
+    Input.CLIENT_SHUTDOWN: lambda gateway, client: gateway.clients.shutdown(client),
+    Input.CLIENT_LIMIT_CHECK: lambda gateway: gateway.clients.check_limit(),
+    Input.CLIENT_WRITE_CLOSED: lambda gateway, client: gateway.clients.write_closed(client),
+    Input.CLIENT_WRITE_PAUSED: lambda gateway, client: gateway.replies.write_paused(client),
+    Input.CLIENT_WRITE_RESUMED: lambda gateway, client: gateway.replies.write_resumed(client),
+    Input.CLIENT_MALFORMED: lambda gateway, client, why: gateway.clients.malformed(client, why),
+    Input.COMMAND_RECEIVED: lambda gateway, client, name: gateway.commands.received(client, name),
+    Input.REQUEST_RECEIVED: lambda gateway, client, parsed: gateway.requests.received(client, parsed),
+    Input.REQUEST_WATCHDOG: lambda gateway, request: gateway.requests.watchdog_fired(request),
+    Input.HOST_CONNECTED: lambda gateway, connection, link: gateway.hosts.connected(connection, link),
+    Input.HOST_DISCONNECTED: lambda gateway, connection: gateway.hosts.disconnected(connection),
+    Input.HOST_REQUEST_WRITTEN: lambda gateway, connection: gateway.hosts.written(connection),
+    Input.HOST_RESPONSE_STARTED: lambda gateway, connection: gateway.hosts.response_started(connection),
+    Input.HOST_RESPONSE_STALLED: lambda gateway, *what: gateway.hosts.response_stalled(*what),
+    Input.HOST_RESPONSE: lambda gateway, *what: gateway.hosts.response(*what),
+    Input.HOST_MALFORMED: lambda gateway, connection, why: gateway.hosts.malformed(connection, why),
+    Input.HOST_STALE: lambda gateway, connection: gateway.hosts.stale(connection),
+    Input.ATTEMPT_DEADLINE: lambda gateway, *what: gateway.hosts.deadline_passed(*what),
+    Input.COUNTER_CONNECTED: lambda gateway, connection, link: gateway.counter.connected(connection, link),
+    Input.COUNTER_DISCONNECTED: lambda gateway, connection: gateway.counter.disconnected(connection),
+    Input.COUNTER_REPLY_STARTED: lambda gateway, connection: gateway.counter.reply_started(connection),
+    Input.COUNTER_REPLY_STALLED: lambda gateway, *what: gateway.counter.reply_stalled(*what),
+    Input.COUNTER_REPLY: lambda gateway, *what: gateway.counter.reply(*what),
+    Input.COUNTER_MALFORMED: lambda gateway, connection, why: gateway.counter.malformed(connection, why),
+    Input.COUNTER_RECONNECT: lambda gateway, number: gateway.counter.reconnect(number),
+    Input.COUNTER_CALLS: lambda gateway, calls: gateway.counter.call_all(calls),
+    Input.WATCH_CONNECTED: lambda gateway, watch, link: gateway.discovery.connected(watch, link),
+    Input.WATCH_DISCONNECTED: lambda gateway, watch: gateway.discovery.disconnected(watch),
+    Input.WATCH_LIST_STARTED: lambda gateway, watch: gateway.discovery.list_started(watch),
+    Input.WATCH_MALFORMED: lambda gateway, watch, why: gateway.discovery.malformed(watch, why),
+    Input.WATCH_RECONNECT: lambda gateway: gateway.discovery.reconnect(),
+    Input.ENDPOINTS_RECEIVED: lambda gateway, watch, listing: gateway.endpoints.received(watch, listing),
+    Input.NEWER_ENDPOINTS_ELSEWHERE: lambda gateway, version: gateway.discovery.newer_elsewhere(version),
+}
--- /dev/null
+++ b/granitedock/service/endpoints.py
@@ -0,0 +1,95 @@
+"""The endpoint list: the hosts as discovery last told them.
+
+Owns the endpoints by name and their addresses. Which of them gets an attempt is decided by the policy; the
+watch that brings the list is in `discovery_watch`.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Protocol
+
+from granitedock.policy.types import EndpointStatus, EndpointUpdate
+from granitedock.service import counter_names
+from granitedock.service.host_connection import Endpoint
+from granitedock.service.lifecycle import LifecycleEvent
+
+if TYPE_CHECKING:
+    from granitedock.policy.decisions import Gateway
+    from granitedock.service.context import Context
+    from granitedock.service.discovery_protocol import Listing
+    from granitedock.service.discovery_watch import DiscoveryWatch, Watch
+    from granitedock.service.host_connections import HostConnections
+    from granitedock.service.lifecycle import Lifecycle
+
+
+class EndpointListener(Protocol):
+    """Who else wants the endpoints: the outlier detector, where gateways tell each other what they know."""
+
+    def listed(self, endpoints: dict[str, Endpoint], now: float) -> None:
+        """The list has changed; by name, and Unix ms."""
+        ...
+
+
+class EndpointList:
+    """The endpoints of one gateway."""
+
+    hosts: HostConnections
+    lifecycle: Lifecycle
+    watch: DiscoveryWatch
+    policy: Gateway
+
+    def __init__(self, context: Context) -> None:
+        self.context = context
+        self.by_name: dict[str, Endpoint] = {}
+        self.outlier_detector: EndpointListener | None = None
+
+    def attach(
+        self, hosts: HostConnections, lifecycle: Lifecycle, watch: DiscoveryWatch, policy: Gateway
+    ) -> None:
+        """Set the machines that this one calls."""
+        self.hosts = hosts
+        self.lifecycle = lifecycle
+        self.watch = watch
+        self.policy = policy
+
+    def received(self, watch: Watch, listing: Listing | None) -> None:
+        """A line of a watch: an endpoint update, or None for a sign of life."""
+        if not self.watch.line_received(watch, None if listing is None else listing.version):
+            return
+        if listing is not None:
+            self.update(listing)
+        self.lifecycle.signal(LifecycleEvent.ENDPOINTS_RECEIVED)
+
+    def update(self, listing: Listing) -> None:
+        """Take an endpoint update in, whole or of some endpoints."""
+        self.context.counts[counter_names.LISTS] += 1
+        updates = []
+        for entry in listing.entries:
+            endpoint = self.by_name.get(entry.name)
+            if endpoint is None:
+                if entry.status is EndpointStatus.GONE:
+                    continue
+                endpoint = self.by_name[entry.name] = Endpoint(address=entry.address, name=entry.name)
+            moved = entry.address and entry.address != endpoint.address
+            if entry.started_at > endpoint.started_at or moved:
+                endpoint.address = entry.address or endpoint.address
+                self.hosts.close_idle(endpoint)  # they lead to a process that is no more
+            updates.append(
+                EndpointUpdate(
+                    endpoint,
+                    entry.size,
+                    entry.make,
+                    entry.zone,
+                    entry.cell,
+                    entry.started_at,
+                    entry.status,
+                )
+            )
+        self.policy.update_endpoints(updates, listing.whole)
+        for name, endpoint in list(self.by_name.items()):
+            if endpoint.idle and endpoint.status is not EndpointStatus.READY:
+                self.hosts.close_idle(endpoint)
+            if endpoint.status is EndpointStatus.GONE and not endpoint.health.outs:
+                del self.by_name[name]  # guards the memory, as hosts come and go under new names
+        if self.outlier_detector is not None:
+            self.outlier_detector.listed(self.by_name, self.context.now)
--- a/granitedock/service/event_loop.py
+++ b/granitedock/service/event_loop.py
@@ -1,6 +1,6 @@
 """The running process: the reactor, the clock, the timers and the signals.
 
-Owns the loop that gives inputs to the reducer and carries out the effects it asks for. It must never
+Owns the loop that gives inputs to the state machine and carries out the effects it asks for. It must never
 hold state of a task or of a connection, nor decide anything.
 """
 
@@ -30,10 +30,11 @@
 from granitedock.service.connector import Dialler
 from granitedock.service.counter_protocol import CounterLink
 from granitedock.service.discovery_protocol import Listing, WatchLink, listing
+from granitedock.service.dispatcher import GatewayParameters, GatewayStateMachine
 from granitedock.service.host_protocol import HostLink
 from granitedock.service.inputs import Input
+from granitedock.service.lifecycle import LifecycleEvent
 from granitedock.service.limits import Limits
-from granitedock.service.reducer import Reducer
 
 
 class SteadyReactor(EPollReactor):
@@ -94,7 +95,7 @@
 
 
 class Wakes:
-    """What the reducer wants to be told at a time. One called off loses its name and wakes nobody."""
+    """What the state machine wants to be told at a time. One called off loses its name and wakes nobody."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock, self.made = clock, 0
@@ -144,7 +145,7 @@
 
 
 class Doors:
-    """What the reducer asks for beyond a connection that is up: dials, wakes, and the end."""
+    """What the state machine asks for beyond a connection that is up: dials, wakes, and the end."""
 
     def __init__(self, reactor, tell, wakes: Wakes, counter: str, discovery: str, limits: Limits) -> None:
         self.reactor, self.start_timer = reactor, wakes.add
@@ -234,8 +235,19 @@
         known = known_list(told, path)
         seed = int(told["seed"], 16)
         born = told["settings"]
-        self.reducer = Reducer(self.clock(), limits, born, seed, known, self.doors, self.log)
-        self.reducer.began_at = min(reactor.since, self.reducer.now)
+        now = self.clock()
+        self.state_machine = GatewayStateMachine(
+            GatewayParameters(
+                now,
+                limits,
+                born,
+                seed,
+                initial_endpoints=known,
+                io=self.doors,
+                event_log=self.log,
+                process_started_at=min(reactor.since, now),
+            )
+        )
         self.inbox: deque[tuple] = deque()
         self.busy = False
         self.listen = told["listen"]
@@ -255,14 +267,15 @@
             return None
         link = FleetLink(told, name, born, int(BEGAN_MS), self.reactor, self.log)
         self.doors.leaving.append(link.leave)
-        self.reducer.shown[b"FLEET"] = link.shown
-        self.reducer.gateway.peers = link
+        self.state_machine.commands.status_commands[b"FLEET"] = link.shown
+        self.state_machine.policy.peers = link
         if told.shared.enabled:
-            self.reducer.gateway.shared = link.share(self.clock, self.tell)
+            self.state_machine.policy.shared = link.share(self.clock, self.tell)
         if told.hosts.enabled:
-            judge = link.judgement(self.clock, self.tell, lambda: self.reducer.watch.version)
-            self.reducer.gateway.fleet.judged = self.reducer.judge = judge
-            self.reducer.shown[b"HOSTS"] = link.shown_hosts
+            judge = link.judgement(self.clock, self.tell, lambda: self.state_machine.watch.version)
+            self.state_machine.policy.fleet.judged = judge
+            self.state_machine.endpoints.outlier_detector = judge
+            self.state_machine.commands.status_commands[b"HOSTS"] = link.shown_hosts
         return link
 
     def followed(self, name: str, file: Any) -> Any:
@@ -272,8 +285,8 @@
             return None
         from granitedock.configuration.attach import ConfigurationLink
 
-        link = ConfigurationLink(file, name, self.reducer, self.reactor, self.clock, self.log)
-        self.reducer.shown[b"CONFIG"] = link.shown
+        link = ConfigurationLink(file, name, self.state_machine, self.reactor, self.clock, self.log)
+        self.state_machine.commands.status_commands[b"CONFIG"] = link.shown
         self.doors.leaving.append(link.stop)
         return link
 
@@ -291,12 +304,12 @@
 
     def step(self, *happened: Any) -> None:
         try:
-            effects = self.reducer.reduce(self.clock(), *happened, since=self.reactor.since)
+            effects = self.state_machine.handle(self.clock(), *happened, earliest_arrival=self.reactor.since)
         except Exception:
             # Guards all other tasks against a fault met with one.
             self.log.counts["faults"] += 1
             self.log.event("fault", input=happened[0].value, trace=traceback.format_exc())
-            effects, self.reducer.effects = self.reducer.effects, []
+            effects = self.state_machine.take_effects()
         for act, *what in effects:
             try:
                 act(*what)
@@ -327,7 +340,7 @@
             self.log.event("fault", input="network", trace=event["log_failure"].getTraceback())
 
     def stop_soon(self) -> None:
-        self.tell(Input.LIFECYCLE, "ending")
+        self.tell(Input.LIFECYCLE, LifecycleEvent.TERMINATE)
 
     def operators(self) -> Any:
         """The operators' file as it stands now. Only where there is one is its reader imported."""
--- a/granitedock/service/host_protocol.py
+++ b/granitedock/service/host_protocol.py
@@ -84,7 +84,7 @@
     def malformed(self, why: str) -> None:
         self.why = why
 
-    # What the reducer asks for.
+    # What the state machine asks for.
 
     def send(self, data: bytes, at_once: bool) -> None:
         """A further forward leaves a turn of the loop later, behind the end of the connection before it.
--- a/tests/configuration/test_configuration.py
+++ b/tests/configuration/test_configuration.py
@@ -32,7 +32,7 @@
 )
 from granitedock.configuration.settings import GatewayFile
 from granitedock.configuration.store import Store, StoreError
-from granitedock.lab.scale.hosts import reducer
+from granitedock.lab.scale.hosts import state_machine
 from granitedock.lab.scale.platform import platform_file
 from granitedock.lab.scale.platform import settings as platform_settings
 
@@ -693,7 +693,7 @@
     told = platform_file()
     gateway = Gateway()
     file = GatewayFile(enabled=True, cluster="lab", control=["127.0.0.1:1"], copy_file=str(copy))
-    link = ConfigurationLink(file, "g1", reducer(told), gateway, lambda: 1e12, gateway)
+    link = ConfigurationLink(file, "g1", state_machine(told), gateway, lambda: 1e12, gateway)
     link.copy = CopyFile(copy, "lab", link.unwritten)
     return link, gateway
 
--- a/tests/configuration/test_configuration_processes.py
+++ b/tests/configuration/test_configuration_processes.py
@@ -80,11 +80,11 @@
 def test_a_change_is_in_force_between_requests_and_one_in_hand_keeps_its_plan(tmp_path):
     with controls(3, 1) as (writer,), gateway(tmp_path, [writer.address]) as live:
         has(live, 1)
-        assert "tenant-00001" in live.reducer.plans
+        assert "tenant-00001" in live.state_machine.requests.plans
         first, second = live.client(), live.client()
         live.counts = False  # the counter holds its answer back
         first.send(live.request())
-        until(live, lambda: live.reducer.requests)
+        until(live, lambda: live.state_machine.requests.in_flight)
         client.apply(writer.address, change(1, remove=["p"]), 5.0)
         has(live, 2)
         live.counts = True
@@ -106,12 +106,12 @@
             has(live, 2)
             writer.process.kill()
             until(live, lambda: live.service.configuration.follower.counts["dials"] >= 3)
-            assert "new" in live.reducer.plans
+            assert "new" in live.state_machine.requests.plans
             assert served(live, live.client()) == VALUE
             live.service.configuration.stop()
         with gateway(tmp_path, [writer.address], copy_file=copy) as live:
             assert live.service.configuration.document.version == 2
-            assert "new" in live.reducer.plans
+            assert "new" in live.state_machine.requests.plans
             assert served(live, live.client()) == VALUE
 
 
@@ -204,7 +204,7 @@
                 on_loop(weather.set, FINE, ways)
                 has(live, 4)
                 assert time.monotonic() - healed < 10.0
-                assert live.reducer.plans["p"].rate == pytest.approx(1.003)
+                assert live.state_machine.requests.plans["p"].rate == pytest.approx(1.003)
         finally:
             replica.process.kill()
             replica.process.wait()
--- a/tests/golden/test_golden_story.py
+++ b/tests/golden/test_golden_story.py
@@ -29,7 +29,7 @@
 
 def final_counters(gate):
     """The counters that INFO shows, also once nobody can ask for them."""
-    return {name.decode(): number for name, number in gate.reducer.figures()}
+    return {name.decode(): number for name, number in gate.state_machine.commands.counters()}
 
 
 class Story(Live):
--- a/tests/helpers/fake_gateway.py
+++ b/tests/helpers/fake_gateway.py
@@ -21,10 +21,10 @@
 from granitedock.service.client_protocol import ClientLink
 from granitedock.service.counter_protocol import CounterLink
 from granitedock.service.discovery_protocol import WatchLink, listing
+from granitedock.service.dispatcher import GatewayParameters, GatewayStateMachine
 from granitedock.service.host_protocol import HostLink
 from granitedock.service.inputs import Input
 from granitedock.service.limits import Limits
-from granitedock.service.reducer import Reducer
 from granitedock.service.resp import command
 
 READ = RequestClass("read", Idempotency.IDEMPOTENT, IdempotencyScope.ALL, 0, 1000, 4000, 1, 0, False)
@@ -184,7 +184,7 @@
 
 
 class Wired:
-    """A reducer with real links on lines that lead nowhere; it is its own doors, reactor and diary."""
+    """A state machine with real links on lines that lead nowhere; its own I/O, reactor and event log."""
 
     def __init__(self, hosts=2, memory_mb=192, sockets=64):
         self.now, self.timers, self.dials, self.lines, self.counts = 100000.0, [], [], [], Counter()
@@ -192,7 +192,9 @@
         self.next_id = 0x0123456789ABCDEF
         self.since = None  # the earliest moment at which what is told may have come, as the loop says
         self.limits = Limits.told({"limits": {"memory_mb": memory_mb, "sockets": sockets}, "settings": BORN})
-        self.reducer = Reducer(self.now, self.limits, BORN, 7, self.listing(1, hosts), self, self)
+        self.state_machine = GatewayStateMachine(
+            GatewayParameters(self.now, self.limits, BORN, 7, self.listing(1, hosts), self, self)
+        )
         self.tell(Input.START)
 
     @staticmethod
@@ -204,7 +206,7 @@
         return listing({"generation": version, "reset": whole, "instances": entries})
 
     def tell(self, *happened):
-        for act, *what in self.reducer.reduce(self.now, *happened, since=self.since):
+        for act, *what in self.state_machine.handle(self.now, *happened, earliest_arrival=self.since):
             act(*what)
 
     def event(self, event, **figures):
--- a/tests/helpers/loopback.py
+++ b/tests/helpers/loopback.py
@@ -125,7 +125,7 @@
         path = tmp_path / "told.json"
         path.write_text(json.dumps(told))
         self.service = Service(str(path), self.reactor, configuration=configuration)
-        self.reducer, self.limits = self.service.reducer, self.service.limits
+        self.state_machine, self.limits = self.service.state_machine, self.service.limits
         self.log = self.service.log
         self.log.event = lambda event, **figures: self.events.append((event, figures))
         self.events, self.left = [], []
--- a/tests/helpers/planted_faults.py
+++ b/tests/helpers/planted_faults.py
@@ -9,18 +9,20 @@
 from granitedock.policy import decisions
 from granitedock.policy.decisions import TokenBucket
 from granitedock.policy.types import EndpointStatus, Idempotency
+from granitedock.service.dispatcher import HANDLERS
+from granitedock.service.host_connections import HostConnections
 from granitedock.service.inputs import Input
-from granitedock.service.reducer import INPUTS, Reducer
+from granitedock.service.reply_queues import ReplyQueues
 
 
 def twice(monkeypatch):
-    fill = Reducer.fill
+    fill = ReplyQueues.fill
 
     def filled(self, client, waiting, answer):
         fill(self, client, waiting, answer)
-        self.do(client.link.send, answer)
+        self.context.emit(client.link.send, answer)
 
-    monkeypatch.setattr(Reducer, "fill", filled)
+    monkeypatch.setattr(ReplyQueues, "fill", filled)
 
 
 def sent_again(monkeypatch):
@@ -32,8 +34,8 @@
 
 
 def never_brought_back(monkeypatch):
-    monkeypatch.setitem(INPUTS, Input.ATTEMPT_DEADLINE, lambda self, connection, attempt: None)
-    monkeypatch.setitem(INPUTS, Input.REQUEST_WATCHDOG, lambda self, request: None)
+    monkeypatch.setitem(HANDLERS, Input.ATTEMPT_DEADLINE, lambda gateway, connection, attempt: None)
+    monkeypatch.setitem(HANDLERS, Input.REQUEST_WATCHDOG, lambda gateway, request: None)
 
 
 def sent_to_those_that_drain(monkeypatch):
@@ -54,14 +56,14 @@
 
 def two_copies(monkeypatch):
     """A forward that is withdrawn is made again while its connection stays open."""
-    called_off = Reducer.called_off
+    cancel_waiting = HostConnections.cancel_waiting
 
     def kept(self, connection):
-        do, self.do = self.do, lambda *effect: None
-        called_off(self, connection)
-        self.do = do
+        before = len(self.context.effects)
+        cancel_waiting(self, connection)
+        del self.context.effects[before:]
 
-    monkeypatch.setattr(Reducer, "called_off", kept)
+    monkeypatch.setattr(HostConnections, "cancel_waiting", kept)
 
 
 PLANTED = {
--- a/tests/service/test_discovery_watch.py
+++ b/tests/service/test_discovery_watch.py
@@ -6,8 +6,9 @@
 import pytest
 from fake_gateway import BORN, Wired
 
-from granitedock.service.discovery_watch import told_within
+from granitedock.service.discovery_watch import update_bound_ms
 from granitedock.service.inputs import Input
+from granitedock.service.lifecycle import LifecycleState
 from granitedock.service.limits import Limits
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -64,7 +65,7 @@
             line.link.dataReceived(chunk(b" "))
 
     def told_after(self, began):
-        while "new" not in self.wired.reducer.endpoints:
+        while "new" not in self.wired.state_machine.endpoints.by_name:
             assert self.wired.now - began < 9000, "never told"
             self.pass_ms(10)
         return self.wired.now - began
@@ -122,7 +123,7 @@
 @pytest.mark.parametrize("connect_ms", [None, 100, 250, 1000, 5000])
 def test_the_bound_holds_by_the_limits_themselves_whatever_the_settings_say_of_hosts(connect_ms):
     born = BORN | {"Allowed": BORN["Allowed"] | {"ConnectTimeoutMs": connect_ms}}
-    assert told_within(Limits.told({"settings": born})) <= 6000.0
+    assert update_bound_ms(Limits.told({"settings": born})) <= 6000.0
 
 
 @pytest.mark.parametrize("known", [True, False])
@@ -135,5 +136,5 @@
     while not front.written:
         assert wired.now - 100000.0 < 10000.0
         discovery.pass_ms(50)
-    assert front.took() == b"+PONG\r\n" and wired.reducer.state == "serving"
+    assert front.took() == b"+PONG\r\n" and wired.state_machine.state is LifecycleState.SERVING
     assert wired.now - 100000.0 <= (1100.0 if known else wired.limits.ready_most_ms + 100.0)
--- a/tests/service/test_gateway_process.py
+++ b/tests/service/test_gateway_process.py
@@ -6,11 +6,14 @@
 from fake_gateway import Wired
 from pytest import raises
 
+from granitedock.service.client_connections import ClientState
 from granitedock.service.counter_protocol import PING
 from granitedock.service.discovery_protocol import listing
+from granitedock.service.discovery_watch import WatchState
 from granitedock.service.event_loop import Clock
 from granitedock.service.host_protocol import HostLink
 from granitedock.service.inputs import Input
+from granitedock.service.lifecycle import LifecycleEvent, LifecycleState
 from granitedock.service.resp import command
 
 NOTHING_NEW = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
@@ -92,7 +95,7 @@
     def breaks(*_):
         raise TypeError("met in the review")
 
-    wired.reducer.gateway.fleet.ended = breaks
+    wired.state_machine.policy.fleet.ended = breaks
     with raises(TypeError):
         host.link.dataReceived(b"-ERR failed\r\n")
     wired.pass_ms(3000)
@@ -110,10 +113,10 @@
     wired, lines, client = begun()
     idle = wired.client()
     host = forwarded(wired, lines, client)
-    wired.tell(Input.LIFECYCLE, "ending")
+    wired.tell(Input.LIFECYCLE, LifecycleEvent.TERMINATE)
     wired.pass_ms(400)
     late = wired.client()  # new connections still come
-    assert not idle.closed and late.link.record.state == "up"
+    assert not idle.closed and late.link.record.state is ClientState.OPEN
     wired.pass_ms(200)
     assert wired.shut_at and idle.closed == late.closed == "closed" and not client.closed
     host.link.dataReceived(VALUE)
@@ -126,7 +129,7 @@
 def test_a_stop_errs_what_it_cannot_wait_for():
     wired, lines, client = begun()
     forwarded(wired, lines, client, request_class="once", d=60000)
-    wired.tell(Input.LIFECYCLE, "ending")
+    wired.tell(Input.LIFECYCLE, LifecycleEvent.TERMINATE)
     wired.pass_ms(3600)
     assert client.took() == b"-ERR failed\r\n" and wired.left
 
@@ -245,7 +248,11 @@
     second.link.connectionLost()
     while wired.dials:
         wired.fails()
-    assert client.took() == b"" and not wired.reducer.host_connections and wired.reducer.host_links == 0
+    assert (
+        client.took() == b""
+        and not wired.state_machine.hosts.by_attempt
+        and wired.state_machine.hosts.open_count == 0
+    )
 
 
 def test_idle_connections_are_closed_before_the_host_closes_them():
@@ -263,8 +270,10 @@
         wired, lines, client = begun(hosts=1)
         host = forwarded(wired, lines, client)
         host.link.dataReceived(VALUE)
-        wired.tell(Input.ENDPOINTS_RECEIVED, wired.reducer.watch, wired.listing(2, 1, whole=False, **change))
-        assert host.closed == "aborted" and wired.reducer.watch.version == 2
+        wired.tell(
+            Input.ENDPOINTS_RECEIVED, wired.state_machine.watch, wired.listing(2, 1, whole=False, **change)
+        )
+        assert host.closed == "aborted" and wired.state_machine.watch.version == 2
 
 
 def test_an_answer_too_long_or_out_of_form_ends_its_forward_as_one_that_may_have_run():
@@ -318,7 +327,7 @@
         wired, lines, client = begun()
         value = b"*3\r\n$5\r\nvalue\r\n" + more
         forwarded(wired, lines, client).link.dataReceived(value)
-        assert client.took() == value and next(iter(wired.reducer.gateway.accounts)).account.debt == 0
+        assert client.took() == value and next(iter(wired.state_machine.policy.accounts)).account.debt == 0
 
 
 def test_a_silent_counter_is_replaced_and_its_late_totals_still_count():
@@ -326,8 +335,8 @@
     wired.ask(client)
     old = next(line for line in lines if line.written)
     wired.pass_ms(2000)
-    assert not old.closed and any(event == "counter replaced" for event, _ in wired.lines)
-    account = wired.reducer.gateway.accounts and next(iter(wired.reducer.gateway.accounts)).account
+    assert not old.closed and any(event == "counter connection replaced" for event, _ in wired.lines)
+    account = wired.state_machine.policy.accounts and next(iter(wired.state_machine.policy.accounts)).account
     old.link.dataReceived(b"$2\r\n17\r\n")
     assert account.current == 17 and old.closed == "aborted"
 
@@ -338,7 +347,7 @@
         wired.ask(client)
         wired.ask(client)
         old = next(line for line in lines if line.written)
-        account = next(iter(wired.reducer.gateway.accounts)).account
+        account = next(iter(wired.state_machine.policy.accounts)).account
         old.link.dataReceived(said)
         wired.pass_ms(50)
         assert old.closed == "aborted" and account.current == 1 and account.debt == 0, said
@@ -358,8 +367,8 @@
     moved = [wired.comes_up(0) for _ in range(len(wired.dials))]
     assert sum(not line.closed for line in moved) == 1 + len(lines)
     old.link.dataReceived(b"$2\r\n17\r\n")  # what was added there still counts
-    assert next(iter(wired.reducer.gateway.accounts)).account.current == 17 and old.closed == "aborted"
-    assert not wired.reducer.retired_counter_connections
+    assert next(iter(wired.state_machine.policy.accounts)).account.current == 17 and old.closed == "aborted"
+    assert not wired.state_machine.counter.retired
     wired.comes_up().link.dataReceived(VALUE)
     assert client.took() == VALUE
     wired.ask(client)
@@ -400,16 +409,16 @@
     anew = wired.comes_up()
     assert b"after=1 " in anew.took()
     wired.watch.link.connectionLost()  # the old one's end says nothing of the new
-    assert wired.reducer.watch.state == "asked"  # up, and not a line yet
+    assert wired.state_machine.watch.state is WatchState.CONNECTED  # up, and not a line yet
     anew.link.dataReceived(NOTHING_NEW)
-    assert wired.reducer.watch.state == "open"
+    assert wired.state_machine.watch.state is WatchState.OPEN
 
 
 def test_a_list_that_makes_no_sense_changes_nothing():
     for line in (b"[]\n", b'{"generation":2}x\n', b'{"generation":2,"instances":[{"instanceId":"a"}]}\n'):
         wired, lines, client = begun()
         wired.watch.link.dataReceived(b"%x\r\n%b\r\n" % (len(line), line))
-        assert wired.watch.closed == "aborted" and len(wired.reducer.gateway.fleet.ready) == 2
+        assert wired.watch.closed == "aborted" and len(wired.state_machine.policy.fleet.ready) == 2
         forwarded(wired, lines, client)
 
 
@@ -423,14 +432,18 @@
     client.link.pauseProducing()
     for host in hosts:
         host.link.dataReceived(VALUE.replace(b"$5\r\nvalue", b"$60000\r\n" + 60000 * b"x"))
-    assert client.closed == "aborted" and wired.reducer.held == 0
+    assert client.closed == "aborted" and wired.state_machine.requests.held_bytes() == 0
     wired.now += 10
     gone = wired.client()
     wired.ask(gone)
     counted(wired, lines)
     gone.link.connectionLost()
     next(host for host in hosts if b"API" in host.took()[-200:]).link.connectionLost()
-    assert not wired.dials and not wired.reducer.requests and wired.reducer.held == 0
+    assert (
+        not wired.dials
+        and not wired.state_machine.requests.in_flight
+        and wired.state_machine.requests.held_bytes() == 0
+    )
 
 
 def test_more_than_the_memory_holds_is_deferred_and_more_than_the_sockets_hold_makes_room():
@@ -470,7 +483,7 @@
         wired.ask(client)
         counted(wired, lines)
     assert wired.counts["forward_moot"] and len(wired.dials) <= 8
-    assert all(host.health.state == "trusted" for host in wired.reducer.gateway.fleet.ready)
+    assert all(host.health.state == "trusted" for host in wired.state_machine.policy.fleet.ready)
 
 
 def test_a_task_out_of_form_or_range_is_answered_with_an_error_and_charges_nobody():
@@ -489,9 +502,9 @@
         wired, lines, client = begun()
         client.link.dataReceived(command(b"API.READ", *some))
         assert client.took().startswith(b"-ERR ") and client.closed == "closed", some
-        assert not wired.reducer.customers and not any(line.written for line in lines)
+        assert not wired.state_machine.requests.customers and not any(line.written for line in lines)
         client.link.dataReceived(command(b"API.READ", b"00000000000000a1", b"7", right))
-        assert not client.written and not wired.reducer.requests  # nothing behind it is read
+        assert not client.written and not wired.state_machine.requests.in_flight  # nothing behind it is read
 
 
 def test_the_id_of_a_task_in_hand_is_refused_to_another_and_free_afterwards():
@@ -514,23 +527,27 @@
 def test_hosts_and_customers_that_are_gone_are_forgotten_once_nothing_is_out():
     wired, lines, client = begun()
     host = forwarded(wired, lines, client)
-    reducer = wired.reducer
+    state_machine = wired.state_machine
     for version in range(2, 50):  # new ones come and go
         listing = wired.listing(version, 1, "in_service" if version % 2 else "terminated", False)
         names = [entry._replace(name=f"x{version // 2}") for entry in listing.entries]
-        wired.tell(Input.ENDPOINTS_RECEIVED, reducer.watch, listing._replace(entries=names))
-    wired.tell(Input.ENDPOINTS_RECEIVED, reducer.watch, wired.listing(50, 2, "terminated"))
-    assert len(reducer.endpoints) == len(reducer.gateway.fleet.known) == 1
+        wired.tell(Input.ENDPOINTS_RECEIVED, state_machine.watch, listing._replace(entries=names))
+    wired.tell(Input.ENDPOINTS_RECEIVED, state_machine.watch, wired.listing(50, 2, "terminated"))
+    assert len(state_machine.endpoints.by_name) == len(state_machine.policy.fleet.known) == 1
     host.link.dataReceived(VALUE)
-    wired.tell(Input.ENDPOINTS_RECEIVED, reducer.watch, wired.listing(51, 2, "terminated", False))
-    assert client.took() == VALUE and not reducer.endpoints and not reducer.gateway.fleet.known
+    wired.tell(Input.ENDPOINTS_RECEIVED, state_machine.watch, wired.listing(51, 2, "terminated", False))
+    assert (
+        client.took() == VALUE
+        and not state_machine.endpoints.by_name
+        and not state_machine.policy.fleet.known
+    )
     assert all(
         timer.input or not timer.arguments for timer in wired.timers
     )  # no task is kept by what it was woken for
     for _ in range(100):
         wired.pass_ms(1000)
         wired.ask(wired.client(), customer=wired.next_id % 1000)
-    assert len(reducer.gateway.accounts) < 15 and len(reducer.customers) < 25
+    assert len(state_machine.policy.accounts) < 15 and len(state_machine.requests.customers) < 25
 
 
 def test_who_says_nothing_or_half_of_it_hears_of_it_within_three_seconds():
@@ -558,7 +575,7 @@
     wired, lines, client = begun()
     wired.ask(client)
     client.link.dataReceived(2000 * PING)
-    assert wired.counts["malformed"] == 1 and len(client.link.record.queue) < 1100
+    assert wired.counts["malformed"] == 1 and len(client.link.record.pending) < 1100
 
 
 def test_the_clock_never_steps_back_and_never_stands_still():
@@ -597,14 +614,14 @@
             elif what == 6:
                 state = chance.choice(("in_service", "terminating", "terminated"))
                 listing = wired.listing(3, chance.randrange(4), state, chance.random() < 0.3)
-                wired.tell(Input.ENDPOINTS_RECEIVED, wired.reducer.watch, listing)
+                wired.tell(Input.ENDPOINTS_RECEIVED, wired.state_machine.watch, listing)
             elif what == 7:
                 chance.choice(lines).link.dataReceived(chance.choice((b"$1\r\n3\r\n", b"-BUSY\r\n")))
             while wired.dials and chance.random() < 0.8:
                 line = wired.comes_up()
                 if isinstance(line.link, HostLink):
                     hosts.append(line)
-            out = Counter(attempt.request for attempt in wired.reducer.host_connections)
+            out = Counter(attempt.request for attempt in wired.state_machine.hosts.by_attempt)
             assert not out or max(out.values()) == 1  # never two out
             for line in [line for line in asked if line.written]:
                 assert line.written_at <= asked.pop(line)
@@ -613,11 +630,11 @@
                 assert line.written in (VALUE, b"-BUSY\r\n", b"-ERR failed\r\n")
         assert not asked and all(line.written == said for line, said in answered)  # nothing after the answer
         assert (
-            not wired.reducer.requests
-            and not wired.reducer.host_connections
+            not wired.state_machine.requests.in_flight
+            and not wired.state_machine.hosts.by_attempt
             and not wired.counts["forgotten"]
         )
-        assert wired.reducer.held == 0
+        assert wired.state_machine.requests.held_bytes() == 0
 
 
 def answered_by(wired, client, end):
@@ -631,11 +648,11 @@
     # before the process could read it. The host it goes to never answers.
     wired = Wired()
     lines = wired.counter_up()
-    wired.reducer.began_at = wired.now - 800.0
-    client_end = wired.reducer.began_at + 2486.0
+    wired.state_machine.context.process_started_at = wired.now - 800.0
+    client_end = wired.state_machine.context.process_started_at + 2486.0
     client = wired.client()
     wired.ask(client, d=2486)
-    assert wired.reducer.state == "starting"
+    assert wired.state_machine.state is LifecycleState.STARTING
     wired.watch.link.dataReceived(NOTHING_NEW)
     counted(wired, lines)
     host = wired.comes_up()
@@ -669,10 +686,10 @@
     ]
     wired.tell(
         Input.ENDPOINTS_RECEIVED,
-        wired.reducer.watch,
+        wired.state_machine.watch,
         listing({"generation": 2, "reset": True, "instances": entries}),
     )
-    assert wired.reducer.state == "serving"
+    assert wired.state_machine.state is LifecycleState.SERVING
     while any(b"TALLY" in line.written for line in lines):
         counted(wired, lines)
     places = {connection.endpoint.address for _, connection, _ in wired.dials}
@@ -689,7 +706,9 @@
     wired.ask(client)
     front.link.connectionLost()
     wired.watch.link.dataReceived(NOTHING_NEW)
-    assert wired.reducer.state == "serving" and not wired.reducer.pings
+    assert (
+        wired.state_machine.state is LifecycleState.SERVING and not wired.state_machine.commands.waiting_pings
+    )
     counted(wired, lines)
     assert wired.dials
 
@@ -730,6 +749,6 @@
     for _ in range(2):
         wired.pass_ms(200)
         wired.fails(watch_dials(wired)[0])
-    assert wired.reducer.state == "serving" and wired.now - 100000.0 < 500.0
+    assert wired.state_machine.state is LifecycleState.SERVING and wired.now - 100000.0 < 500.0
     counted(wired, lines)
     assert wired.dials
--- a/tests/service/test_platform_file.py
+++ b/tests/service/test_platform_file.py
@@ -15,6 +15,7 @@
 from granitedock import platform_settings
 from granitedock.platform_file import ToldError, faults, load
 from granitedock.policy.types import Idempotency, IdempotencyScope
+from granitedock.service.discovery_watch import WatchState
 from granitedock.service.limits import Limits
 
 SITES = sorted((Path(__file__).parents[2] / "deploy" / "sites").glob("*.toml"))
@@ -145,7 +146,7 @@
             and "counter: an address" in refused[1]
             and gate.log.counts["files_refused"] == 4
         )
-        assert gate.hosts[0].take() is None and gate.reducer.watch.state == "open"
+        assert gate.hosts[0].take() is None and gate.state_machine.watch.state is WatchState.OPEN
         client.send(gate.request())
         host = gate.at_host()
         assert host.read()
--- a/tests/service/test_race_conditions.py
+++ b/tests/service/test_race_conditions.py
@@ -9,7 +9,9 @@
 from fake_gateway import BORN
 from loopback import VALUE, WATCHED, Peer, Server, answer, chunk
 
+from granitedock.service.discovery_watch import WatchState
 from granitedock.service.inputs import Input
+from granitedock.service.lifecycle import LifecycleState
 from granitedock.service.resp import command
 
 PING = command(b"PING")
@@ -28,7 +30,7 @@
 def stopping(gate):
     gate.service.stop_soon()
     gate.pass_ms(gate.limits.open_ms + 1)
-    assert gate.reducer.state == "closing"
+    assert gate.state_machine.state is LifecycleState.CLOSING
 
 
 # The end of the process.
@@ -45,7 +47,7 @@
     assert client.read() == ERR and client.ended == "closed"  # told, and parted with
     client.send(gate.request())  # crosses our end: it is neither taken nor sent on
     gate.turn()
-    assert gate.reducer.counts["taken"] == 1 and not gate.left
+    assert gate.state_machine.context.counts["taken"] == 1 and not gate.left
     client.close()
     gate.turn()
     assert gate.left and gate.left[0] - gate.t < gate.limits.leave_most_ms - gate.limits.leave_ms
@@ -88,7 +90,7 @@
     client.send(gate.request())  # lies unread when the timer of the shut door rings
     gate.t += 40
     gate.reactor.runUntilCurrent()
-    assert gate.reducer.state == "closing"
+    assert gate.state_machine.state is LifecycleState.CLOSING
     gate.turn()
     assert client.read().startswith(b"-BUSY") and client.ended == "closed"
 
@@ -130,10 +132,10 @@
     client, other = gate.client(), gate.client()
     client.send(PING + gate.request())
     gate.turn()
-    assert client.read() == b"" and gate.reducer.state == "starting"
+    assert client.read() == b"" and gate.state_machine.state is LifecycleState.STARTING
     gate.service.stop_soon()
     gate.turn()
-    assert gate.reducer.state == "draining"
+    assert gate.state_machine.state is LifecycleState.DRAINING
     said = client.read()
     assert said.startswith(b"-ERR closing\r\n-BUSY") and said.count(b"\r\n") == 2
     other.send(gate.request("once"))
@@ -152,11 +154,11 @@
     gate.pass_ms(gate.limits.open_ms - 30)
     gate.t += 40
     gate.reactor.runUntilCurrent()
-    assert gate.reducer.state == "closing"
+    assert gate.state_machine.state is LifecycleState.CLOSING
     with pytest.raises(ConnectionRefusedError):  # before the loop turns again: none is taken and then reset
         socket.create_connection(gate.listen)
     gate.turn()
-    assert gate.left or gate.reducer.clients == {}
+    assert gate.left or gate.state_machine.clients.connections == {}
 
 
 def test_signals_that_come_before_the_loop_runs_act_once_it_does(live, tmp_path):
@@ -169,7 +171,9 @@
         (tmp_path / "told.json").write_text(json.dumps(told))
         gate.service.signals([signal.SIGHUP, signal.SIGTERM])
         gate.turn()
-        assert gate.at_host().read().startswith(b"GET ") and gate.reducer.state == "draining"
+        assert (
+            gate.at_host().read().startswith(b"GET ") and gate.state_machine.state is LifecycleState.DRAINING
+        )
     finally:
         for number, act in before.items():
             signal.signal(number, act)
@@ -188,7 +192,7 @@
     gate.turn()
     assert elsewhere.take().read().startswith(b"GET ")
     gate.pass_ms(gate.limits.open_ms - 300 + 1)
-    assert gate.reducer.state == "closing"
+    assert gate.state_machine.state is LifecycleState.CLOSING
     host.send(VALUE)
     gate.turn()
     assert client.read() == VALUE and client.ended == "closed"
@@ -222,10 +226,11 @@
     gate.turn()
     gate.release()
     host = gate.at_host()
-    assert host.read() == b"" and host.ended and gate.reducer.counts["unwanted"] == 1
-    assert not gate.reducer.requests and not gate.reducer.host_connections
+    assert host.read() == b"" and host.ended and gate.state_machine.context.counts["unwanted"] == 1
+    assert not gate.state_machine.requests.in_flight and not gate.state_machine.hosts.by_attempt
     assert all(
-        it.health.state == "trusted" and not it.health.failures for it in gate.reducer.endpoints.values()
+        it.health.state == "trusted" and not it.health.failures
+        for it in gate.state_machine.endpoints.by_name.values()
     )
 
 
@@ -254,7 +259,7 @@
     gate.turn()
     gate.counts = True
     gate.pass_ms(400)
-    assert gate.at_host() is None and gate.reducer.counts["client_gone"] == 5
+    assert gate.at_host() is None and gate.state_machine.context.counts["client_gone"] == 5
 
 
 BIG = answer(60000 * b"x")
@@ -263,7 +268,7 @@
 def choke(gate, client):
     """Answers that the client does not read fill the way until the gateway holds some; how many."""
     asked = 0
-    while not next(iter(gate.reducer.clients)).choked:
+    while not next(iter(gate.state_machine.clients.connections)).write_paused:
         host = out_at_host(gate, client, "read")
         host.send(BIG)
         gate.turn()
@@ -282,7 +287,7 @@
     assert gate.at_host() is None
     client.sock.shutdown(socket.SHUT_WR)
     gate.turn()
-    assert not gate.reducer.clients and gate.reducer.held == 0
+    assert not gate.state_machine.clients.connections and gate.state_machine.requests.held_bytes() == 0
 
 
 def test_a_slow_reader_whose_connection_is_to_end_gets_all_of_its_answer(live):
@@ -390,7 +395,7 @@
     host = out_at_host(gate, client, d=3900)
     host.send(b"*3\r\n$60000\r\n")
     began = gate.t
-    while gate.reducer.counts["forward_reset"] == 0 and gate.t < began + 3500:
+    while gate.state_machine.context.counts["forward_reset"] == 0 and gate.t < began + 3500:
         host.send(b"x")
         gate.pass_ms(100)
     assert client.read() == ERR and gate.t - began <= gate.limits.answer_most_ms + 400
@@ -407,21 +412,21 @@
         client.send(request[at : at + piece])
         gate.pass_ms(700)  # longer in all than half a command is waited for
         endless.send(b"1")
-    assert gate.reducer.counts["taken"] == 1 and gate.at_host().read()
+    assert gate.state_machine.context.counts["taken"] == 1 and gate.at_host().read()
     assert stuck.read() == b"-ERR command not ended\r\n" and stuck.ended == "closed"
     while endless.ended == "" and gate.t < 1e13:
         gate.pass_ms(500)
         if endless.read().startswith(b"-ERR"):
             break
         endless.send(b"")
-    assert endless.ended == "closed" and gate.reducer.counts["malformed"] == 2
+    assert endless.ended == "closed" and gate.state_machine.context.counts["malformed"] == 2
 
 
 # Discovery's answers.
 
 
 def hosts_known(gate):
-    return sorted(place.address for place in gate.reducer.endpoints.values())
+    return sorted(place.address for place in gate.state_machine.endpoints.by_name.values())
 
 
 def test_lists_may_come_indented_in_pieces_and_with_empty_lines_between(live):
@@ -437,8 +442,8 @@
     more = json.dumps(gate.listing(lifecycle="terminated"), indent="\t").replace("\n", "\r\n").encode()
     watch.send(chunk(b"\n") + chunk(more + b"\r\n\n"))
     gate.turn()
-    assert hosts_known(gate) == [] and gate.reducer.watch.version == gate.version
-    assert gate.reducer.counts["watch_spoilt"] == 0
+    assert hosts_known(gate) == [] and gate.state_machine.watch.version == gate.version
+    assert gate.state_machine.context.counts["watch_spoilt"] == 0
 
 
 def test_a_list_without_a_length_that_is_reset_on_the_way_changes_nothing(live):
@@ -450,12 +455,12 @@
     watch.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     watch.close()
     gate.turn()
-    assert hosts_known(gate) == [] and gate.reducer.state == "starting"
+    assert hosts_known(gate) == [] and gate.state_machine.state is LifecycleState.STARTING
     gate.pass_ms(150)
     watch = gate.watch()
     watch.send(b"HTTP/1.1 200 OK\r\n\r\n" + text + b"\n")  # and whole this time
     gate.turn()
-    assert len(hosts_known(gate)) == 2 and gate.reducer.state == "serving"
+    assert len(hosts_known(gate)) == 2 and gate.state_machine.state is LifecycleState.SERVING
 
 
 @pytest.mark.parametrize(
@@ -479,8 +484,8 @@
     gate.watch().send(said)
     gate.turn()
     assert gate.watches[-1].read() == b"" and gate.watches[-1].ended
-    assert gate.reducer.counts["watch_spoilt"] == 1
-    assert [figures["why"] for event, figures in gate.events if event == "watch spoilt"]
+    assert gate.state_machine.context.counts["watch_spoilt"] == 1
+    assert [figures["why"] for event, figures in gate.events if event == "watch malformed"]
     host = out_at_host(gate, client)  # the list as last had stands
     gate.answered(host, client)
     gate.pass_ms(200)
@@ -518,7 +523,7 @@
             sent += client.sock.send(8192 * b"x")
         except BlockingIOError:
             gate.turn(1)
-    assert sent > gate.limits.unread and gate.reducer.counts["malformed"] == 1
+    assert sent > gate.limits.unread and gate.state_machine.context.counts["malformed"] == 1
     host.send(VALUE)
     gate.turn()
     assert client.read().startswith(VALUE + b"-ERR not a RESP2 value\r\n") and client.ended == "closed"
@@ -538,7 +543,10 @@
     for _ in range(100):
         idle.append(Peer(socket.create_connection(gate.listen)))
         gate.turn(1)
-    assert gate.reducer.full and len(gate.reducer.clients) < gate.limits.client_over
+    assert (
+        gate.state_machine.clients.accept_paused
+        and len(gate.state_machine.clients.connections) < gate.limits.client_over
+    )
     for peer in gate.counter_peers:
         peer.close()  # the counter's connections break: dialled again
     gate.counter_peers = []
@@ -553,7 +561,7 @@
     gate.pass_ms(2500)
     gate.next_watch()
     gate.lists()  # discovery is back
-    assert gate.reducer.watch.version > version and gate.reducer.watch.state == "open"
+    assert gate.state_machine.watch.version > version and gate.state_machine.watch.state is WatchState.OPEN
     assert len(gate.reactor.getReaders()) <= 48
     for peer in idle:
         peer.close()
--- a/tests/service/test_standing_terms.py
+++ b/tests/service/test_standing_terms.py
@@ -6,6 +6,8 @@
 import pytest
 from loopback import VALUE, WATCHED, chunk
 
+from granitedock.service.lifecycle import LifecycleState
+
 TIME_LEFT = re.compile(rb",d=(\d+)")
 
 
@@ -66,7 +68,7 @@
     gate = live(listed=False, known=False)
     watch = gate.watch()
     in_pieces(gate, watch.send, WATCHED + chunk(json.dumps(gate.listing()).encode() + b"\n"))
-    assert gate.reducer.state == "serving"
+    assert gate.state_machine.state is LifecycleState.SERVING
     client, gate.counts = gate.client(), False
     in_pieces(gate, client.send, gate.request())
     asked = [peer for peer in gate.counter_peers if b"TALLY" in peer.read()]
@@ -76,4 +78,7 @@
     assert b"API.READ" in host.read()
     in_pieces(gate, host.send, VALUE)
     assert client.read() == VALUE
-    assert not gate.reducer.counts["malformed"] and not gate.reducer.counts["watch_spoilt"]
+    assert (
+        not gate.state_machine.context.counts["malformed"]
+        and not gate.state_machine.context.counts["watch_spoilt"]
+    )
