--- a/granitedock/lab/hollow.py
+++ b/granitedock/lab/hollow.py
@@ -134,10 +134,9 @@
         self.settings = told["settings"]
         self.limits = Limits.told(told)
         self.doors = HollowDoors(self, order.discovery)
+        io: Any = self.doors  # it lacks what no client, host or counter will ask for
         self.state_machine = GatewayStateMachine(
-            GatewayParameters(
-                self.clock(), self.limits, told["settings"], number, None, self.doors, self.diary
-            )
+            GatewayParameters(self.clock(), self.limits, told["settings"], number, None, io, self.diary)
         )
         self.state = GatewayState(self.name)
         self.fleet: Any = None
--- a/granitedock/service/client_connections.py
+++ b/granitedock/service/client_connections.py
@@ -37,6 +37,10 @@
     __hash__ = object.__hash__
 
 
+# Bound once for the request path: Python 3.11 takes 0.2 us to look a member up on its enum.
+OPEN = ClientState.OPEN
+
+
 @dataclass(eq=False, slots=True)
 class ClientConnection:
     """A client's connection. Times are Unix ms."""
@@ -48,7 +52,7 @@
     unread_bytes: int = 0  # written since the client stopped reading
     idle_since: float = 0.0  # when it was taken in, or last got a reply
     # Written by the client connections.
-    state: ClientState = ClientState.OPEN
+    state: ClientState = OPEN
     sent_request: bool = False  # well-formed as a command, whether it was taken or not
     malformed_since: float = 0.0
     closing_since: float = 0.0
@@ -107,7 +111,7 @@
         idle = [
             client
             for client in self.connections
-            if client.state is ClientState.OPEN
+            if client.state is OPEN
             and not client.pending
             and not client.write_paused
             and client.idle_since <= (idle_before if client.sent_request else came_before)
@@ -137,7 +141,7 @@
 
         Guards the memory against one connection with no end of commands behind a slow one.
         """
-        if client.state is not ClientState.OPEN:
+        if client.state is not OPEN:
             return False
         if len(client.pending) < COMMANDS_PER_REQUEST * self.context.limits.queue:
             return True
@@ -156,7 +160,7 @@
         context = self.context
         context.counts[counter_names.MALFORMED] += 1
         context.event_log.event("client malformed", why=why)
-        if client.state is ClientState.OPEN:
+        if client.state is OPEN:
             client.state = ClientState.MALFORMED
             client.malformed_since = context.now
             self.replies.reply(client, b"-ERR %b\r\n" % why.encode("ascii", "replace")[:200])
@@ -175,14 +179,14 @@
 
     def silent(self, client: ClientConnection) -> None:
         """Close one that never sent a request, as room is needed."""
-        if client.state is ClientState.OPEN and not client.sent_request:
+        if client.state is OPEN and not client.sent_request:
             self.context.counts[counter_names.CLIENT_LINKS_SILENT] += 1
             self._set_closing(client, None)
             self.context.emit(client.link.abort)
 
     def idle(self, client: ClientConnection) -> None:
         """Close one that has been idle for too long."""
-        if client.state is ClientState.OPEN and not client.pending:
+        if client.state is OPEN and not client.pending:
             self.context.counts[counter_names.CLIENT_LINKS_RESTED] += 1
             self._set_closing(client, self.context.now)
             self.context.emit(client.link.end)
@@ -192,12 +196,12 @@
 
         Guards requests that cross our close: one that we have read is answered.
         """
-        if client.state is ClientState.OPEN and not client.pending:
+        if client.state is OPEN and not client.pending:
             self.context.emit(client.link.look, Input.CLIENT_SHUTDOWN)
 
     def shutdown(self, client: ClientConnection) -> None:
         """While the process shuts: nothing of the client's lies unread."""
-        if client.state is not ClientState.OPEN or client.pending or not self.lifecycle.shutting:
+        if client.state is not OPEN or client.pending or not self.lifecycle.shutting:
             return
         # Part of a command, or a connection that has only just come: the rest may be on its way. What a
         # partial command had of its time before the listener closed does not count.
--- a/granitedock/service/counter_connections.py
+++ b/granitedock/service/counter_connections.py
@@ -80,6 +80,11 @@
 }
 
 
+# Bound once for the request path: Python 3.11 takes 0.2 us to look a member up on its enum.
+OPEN = CounterConnectionState.OPEN
+DRAINED = CounterConnectionEvent.DRAINED
+
+
 @dataclass(eq=False, slots=True)
 class CounterConnection:
     """A connection to the counter, and the calls on it that wait for replies; None stands for a PING.
@@ -137,7 +142,7 @@
         if not connection.waiting:
             connection.waiting_since = context.now
         connection.waiting.append(call)
-        if connection.state is CounterConnectionState.OPEN:
+        if connection.state is OPEN:
             self._send(connection, tally(call.name, call.amount, call.ttl_ms))
 
     def call_all(self, calls: list[CounterCall]) -> None:
@@ -177,7 +182,7 @@
             self.policy_timers.cancel(call)
             self.policy.counter_call_finished(call, outcome, total)  # type: ignore[arg-type]  # as above
         if not waiting:
-            advance(COUNTER_CONNECTION, connection, CounterConnectionEvent.DRAINED, self)
+            advance(COUNTER_CONNECTION, connection, DRAINED, self)
 
     def malformed(self, connection: CounterConnection, why: str) -> None:
         """What came is no reply."""
@@ -212,7 +217,7 @@
         now = self.context.now
         limits = self.context.limits
         for connection in self.active:
-            if connection is None or connection.state is not CounterConnectionState.OPEN:
+            if connection is None or connection.state is not OPEN:
                 continue
             active_at = max(connection.last_reply_at, connection.waiting_since)
             if connection.waiting and now - active_at > limits.counter_silence_ms:
@@ -282,7 +287,7 @@
             oldest = next(iter(self.retired))
             advance(COUNTER_CONNECTION, oldest, CounterConnectionEvent.LINGER_OVER, self)
         if not connection.waiting:
-            advance(COUNTER_CONNECTION, connection, CounterConnectionEvent.DRAINED, self)
+            advance(COUNTER_CONNECTION, connection, DRAINED, self)
 
     def connect_there(self, connection: CounterConnection) -> None:
         """Nothing of its calls was written, so they go where the new one leads."""
--- a/granitedock/service/dispatcher.py
+++ b/granitedock/service/dispatcher.py
@@ -150,7 +150,8 @@
         while follow_ups:
             function, *rest = follow_ups.popleft()
             function(*rest)
-        return self.take_effects()
+        effects, context.effects = context.effects, []
+        return effects
 
     def take_effects(self) -> list[Effect]:
         """The effects so far; what an input that failed asked for before is not lost."""
--- a/granitedock/service/endpoints.py
+++ b/granitedock/service/endpoints.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING, Any, Protocol
 
 from granitedock.policy.types import EndpointStatus, EndpointUpdate
 from granitedock.service import counter_names
@@ -25,8 +25,8 @@
 class EndpointListener(Protocol):
     """Who else wants the endpoints: the outlier detector, where gateways tell each other what they know."""
 
-    def listed(self, endpoints: dict[str, Endpoint], now: float) -> None:
-        """The list has changed; by name, and Unix ms."""
+    def listed(self, hosts: dict[str, Any], now: float) -> None:  # Any: it takes a dict of `Host`
+        """The list has changed: the endpoints by name, and Unix ms."""
         ...
 
 
--- a/granitedock/service/host_connections.py
+++ b/granitedock/service/host_connections.py
@@ -31,6 +31,16 @@
     from granitedock.service.timers import PolicyTimers
 
 
+# Bound once for the request path: Python 3.11 takes 0.2 us to look a member up on its enum.
+WAITING = HostConnectionState.WAITING
+WRITING = HostConnectionState.WRITING
+ASSIGNED = HostConnectionEvent.ASSIGNED
+WRITTEN = HostConnectionEvent.WRITTEN
+RESPONSE = HostConnectionEvent.RESPONSE
+ENDED = LifecycleState.ENDED
+ATTEMPT_DEADLINE = Input.ATTEMPT_DEADLINE
+
+
 class HostConnections:
     """The state machine of all connections to hosts of one gateway."""
 
@@ -87,7 +97,7 @@
                 connection.attempt_deadline = attempt_deadline
                 connection.reused = True
                 self._start_deadline(connection, attempt)
-                advance(HOST_CONNECTION, connection, HostConnectionEvent.ASSIGNED, self)
+                advance(HOST_CONNECTION, connection, ASSIGNED, self)
                 return
         self._connect(endpoint, attempt, attempt_deadline)
 
@@ -105,7 +115,7 @@
     def _start_deadline(self, connection: HostConnection, attempt: Attempt) -> None:
         self.by_attempt[attempt] = connection
         connection.deadline_timer = self.context.schedule(
-            connection.attempt_deadline, Input.ATTEMPT_DEADLINE, connection, attempt
+            connection.attempt_deadline, ATTEMPT_DEADLINE, connection, attempt
         )
 
     def _free_capacity(self) -> bool:
@@ -140,7 +150,7 @@
 
     def written(self, connection: HostConnection) -> None:
         """The request is written whole."""
-        advance(HOST_CONNECTION, connection, HostConnectionEvent.WRITTEN, self)
+        advance(HOST_CONNECTION, connection, WRITTEN, self)
 
     def stale(self, connection: HostConnection) -> None:
         """Something has come since the last response, so the request was not written."""
@@ -154,14 +164,14 @@
         attempt = connection.attempt
         before = connection.state
         if clean:
-            event = HostConnectionEvent.RESPONSE
+            event = RESPONSE
         else:
             event = HostConnectionEvent.EXCESS_DATA
             self.context.counts[counter_names.OVERFULL] += 1
         advance(HOST_CONNECTION, connection, event, self)
-        if before is HostConnectionState.WAITING:
+        if before is WAITING:
             self._finish_attempt(attempt, outcome, data, units, used)  # type: ignore[arg-type]  # it has one
-        elif before is HostConnectionState.WRITING:  # as a host does that has too many connections
+        elif before is WRITING:  # as a host does that has too many connections
             overloaded = outcome is Outcome.OVERLOADED
             self._end_attempt(connection, outcome if overloaded else Outcome.CONNECTION_FAILED)
 
@@ -230,7 +240,7 @@
         connection.attempt = None
         connection.idle_since = self.context.now
         endpoint = connection.endpoint
-        if endpoint.status is EndpointStatus.READY and self.lifecycle.state is not LifecycleState.ENDED:
+        if endpoint.status is EndpointStatus.READY and self.lifecycle.state is not ENDED:
             endpoint.idle.append(connection)
             return None
         return HostConnectionEvent.EXPIRED
--- a/granitedock/service/in_flight_requests.py
+++ b/granitedock/service/in_flight_requests.py
@@ -30,6 +30,12 @@
 FAILED = b"-ERR failed\r\n"
 
 
+# Bound once for the request path: Python 3.11 takes 0.2 us to look a member up on its enum.
+OPEN = ClientState.OPEN
+STARTING = LifecycleState.STARTING
+REQUEST_WATCHDOG = Input.REQUEST_WATCHDOG
+
+
 @dataclass(eq=False, slots=True, kw_only=True)
 class InFlightRequest(Request):
     """A request with the connection it came on and the bytes it came in."""
@@ -126,7 +132,7 @@
         """
         context = self.context
         left_ms = min(parsed.left_ms, request_class.deadline_ms)  # guards against requests held for hours
-        starting = self.lifecycle.state is LifecycleState.STARTING
+        starting = self.lifecycle.state is STARTING
         arrived_at = context.process_started_at if starting else context.earliest_arrival
         return max(context.now, arrived_at + max(left_ms / 2, left_ms - context.limits.margin_ms))
 
@@ -151,9 +157,9 @@
         # Guards against whatever leaves a request with nothing that will bring it back, as a fault in a
         # decision does: an error promises nothing, and comes in time.
         request.watchdog = context.schedule(
-            request.deadline + limits.margin_ms / 2, Input.REQUEST_WATCHDOG, request
+            request.deadline + limits.margin_ms / 2, REQUEST_WATCHDOG, request
         )
-        if self.lifecycle.state is LifecycleState.STARTING:
+        if self.lifecycle.state is STARTING:
             self.queued_at_start.append(request)
         else:
             self.policy.handle_request(request)
@@ -229,7 +235,7 @@
     def _finish(self, request: InFlightRequest, answer: bytes) -> None:
         client = request.client
         self._release(request)
-        if client.state is ClientState.OPEN or client.state is ClientState.MALFORMED:
+        if client.state is OPEN or client.state is ClientState.MALFORMED:
             self.replies.fill(client, request, answer)
 
     def _release(self, request: InFlightRequest) -> None:
--- a/granitedock/service/lifecycle.py
+++ b/granitedock/service/lifecycle.py
@@ -92,6 +92,7 @@
 }
 
 SHUTTING = frozenset({_S.CLOSING, _S.ENDED, _S.LEFT})  # no request is taken any more
+DRAINING = _S.DRAINING  # bound once for the request path: Python 3.11 takes 0.2 us to look a member up
 
 
 class Lifecycle:
@@ -130,7 +131,7 @@
     def refusing(self) -> bool:
         """Requests are refused at once: the process shuts, or was told to before a list came. Guards hosts
         that drain by a list that the process never got: what it was handed may be old."""
-        return self.state in SHUTTING or (self.state is LifecycleState.DRAINING and not self.has_endpoints)
+        return self.state in SHUTTING or (self.state is DRAINING and not self.has_endpoints)
 
     def signal(self, event: LifecycleEvent) -> None:
         """An input, or an event of another machine."""
--- a/granitedock/service/timers.py
+++ b/granitedock/service/timers.py
@@ -11,6 +11,10 @@
     from granitedock.service.context import Context
 
 
+# Bound once for the request path: Python 3.11 takes 0.2 us to look a member up on its enum.
+POLICY_TIMER_FIRED = Input.POLICY_TIMER_FIRED
+
+
 @dataclass(eq=False, slots=True)
 class Timer:
     """An input with its arguments, due at a time in Unix ms. Without an input it is cancelled."""
@@ -35,7 +39,7 @@
     def start(self, after_ms: float, reason: object) -> None:
         """Give `reason` back to the policy in so many ms."""
         due = self.context.now + after_ms
-        self.by_reason[reason] = self.context.schedule(due, Input.POLICY_TIMER_FIRED, reason)
+        self.by_reason[reason] = self.context.schedule(due, POLICY_TIMER_FIRED, reason)
 
     def fired(self, reason: object) -> None:
         """The timer is over."""
