--- a/granitedock/lab/scale/gateway_rows.py
+++ b/granitedock/lab/scale/gateway_rows.py
@@ -47,7 +47,7 @@
             "MB",
             "hosts",
             MEASURED,
-            "`Reducer.places`, `Fleet.known`",
+            "`EndpointList.by_name`, `Fleet.known`",
             size.control_memory_mb,
         ),
         Row(
@@ -57,7 +57,7 @@
             "% of a core",
             "hosts",
             MEASURED,
-            "`Fleet.look_round`, `Reducer.sweep`, whole list each time",
+            "`Fleet.look_round`, `GatewayStateMachine.maintain`, whole list each time",
             100.0 * size.control_core,
         ),
         Row(
@@ -123,7 +123,7 @@
             "MB",
             "plans",
             MEASURED,
-            "`Reducer.plans`",
+            "`InFlightRequests.plans`",
             size.control_memory_mb,
         ),
         Row(
