--- a/granitedock/configuration/gateway_applier.py
+++ b/granitedock/configuration/gateway_applier.py
@@ -36,7 +36,7 @@
         self.state = state
         self.clock = clock
         self.history = PlanHistory()
-        state.gateway.rate_limiter.open_account = self.history.open_account
+        state.policy.rate_limiter.open_account = self.history.open_account
 
     # `DocumentConsumer` of the replicated document.
 
@@ -67,7 +67,7 @@
             removed[section].append(name)
         self.apply_plans(plans, removed[Section.PLANS])
         if classes or removed[Section.CLASSES]:
-            classes = self.state.request_classes | classes
+            classes = self.state.requests.request_classes | classes
             for name in removed[Section.CLASSES]:
                 del classes[name]
             self.apply_classes(classes)
@@ -79,14 +79,14 @@
         known.
         """
         plans = cast(dict[str, Plan], after.values[Section.PLANS])
-        present_plans = self.state.plans
+        present_plans = self.state.requests.plans
         for name, plan in plans.items():
             present = present_plans.get(name)
             if present is not None and present is not plan and same_plan(present, plan):
                 plans[name] = present
         self.apply_plans(plans, [name for name in present_plans if name not in plans])
         classes = cast(dict[str, RequestClass], after.values[Section.CLASSES])
-        present_classes = self.state.request_classes
+        present_classes = self.state.requests.request_classes
         for name, request_class in classes.items():
             if name in present_classes and class_fields(present_classes[name]) == class_fields(request_class):
                 classes[name] = present_classes[name]
@@ -103,22 +103,22 @@
         now = self.clock()
         changed: dict[str, Plan] = {}
         for name, plan in plans.items():
-            before = self.state.plans.get(name)
+            before = self.state.requests.plans.get(name)
             if before is plan:
                 continue
             if before is not None:
                 self.history.changed(before, now)
             if before is not None or name in self.history.former:  # or removed recently, and back
                 changed[name] = plan
-            self.state.plans[name] = plan
+            self.state.requests.plans[name] = plan
         for name in removed:
-            self.history.changed(self.state.plans.pop(name), now)
+            self.history.changed(self.state.requests.plans.pop(name), now)
         if changed:
             self.carry_over_accounts(changed, now)
 
     def carry_over_accounts(self, changed: dict[str, Plan], now: float) -> None:
         """Continue the accounts of the customers of changed plans under the new plans, by name."""
-        policy = self.state.gateway
+        policy = self.state.policy
         policy.advance_clock(now)
         for customer in policy.rate_limiter.accounts:
             plan = changed.get(customer.account.plan.name)
@@ -130,5 +130,5 @@
 
         The process's own graceful shutdown (`limits.leave_ms`) stays by the classes that it began with.
         """
-        self.state.request_classes = classes
-        self.state.gateway.load_balancer.set_request_classes(list(classes.values()))
+        self.state.requests.replace_request_classes(classes)
+        self.state.policy.load_balancer.set_request_classes(list(classes.values()))
--- a/granitedock/configuration/gateway_attachment.py
+++ b/granitedock/configuration/gateway_attachment.py
@@ -158,12 +158,12 @@
     def status_json(self) -> bytes:
         """What is in force here and from whom, as JSON."""
         document = self.document
-        state = self.applier.state
+        requests = self.applier.state.requests
         in_force = {
             "cluster": self.file.cluster,
             "version": document.version,
             "digest": digest_text(document.digest),
-            "plans": len(state.plans),
-            "classes": len(state.request_classes),
+            "plans": len(requests.plans),
+            "classes": len(requests.request_classes),
         }
         return orjson.dumps(in_force | self.follower.status())
--- a/granitedock/configuration/gateway_state.py
+++ b/granitedock/configuration/gateway_state.py
@@ -45,13 +45,26 @@
         ...
 
 
-class GatewayState(Protocol):
-    """The plans and classes by which a gateway admits new requests, and its policy."""
+class RequestAdmission(Protocol):
+    """The plans and classes by which a gateway admits requests (`granitedock.service.in_flight_requests`)."""
 
     plans: dict[str, Plan]
     request_classes: dict[str, RequestClass]
 
+    def replace_request_classes(self, request_classes: dict[str, RequestClass]) -> None:
+        """Admit requests by these classes from now on; those in flight keep theirs."""
+        ...
+
+
+class GatewayState(Protocol):
+    """A gateway's state machine (`granitedock.service.dispatcher`)."""
+
+    @property
+    def requests(self) -> RequestAdmission:
+        """What admits requests."""
+        ...
+
     @property
-    def gateway(self) -> GatewayPolicy:
+    def policy(self) -> GatewayPolicy:
         """The gateway's policy."""
         ...
--- a/granitedock/lab/scale/documents.py
+++ b/granitedock/lab/scale/documents.py
@@ -16,7 +16,7 @@
 from granitedock.configuration.message_codec import decode
 from granitedock.configuration.messages import Page, SnapshotBegins
 from granitedock.configuration.replicated_document import ReplicatedDocument
-from granitedock.lab.scale.hosts import reducer
+from granitedock.lab.scale.hosts import state_machine
 from granitedock.lab.scale.platform import platform_file, settings
 from granitedock.lab.scale.probe import MIB, allocated_bytes, cpu_ms
 
@@ -43,7 +43,7 @@
 
 def fresh_document() -> ReplicatedDocument:
     """A gateway that has only the platform's file."""
-    return ReplicatedDocument(GatewayApplier(reducer(platform_file()), lambda: NOW_MS))
+    return ReplicatedDocument(GatewayApplier(state_machine(platform_file()), lambda: NOW_MS))
 
 
 def taken_in(document: ReplicatedDocument, lines: list[bytes]) -> float:
--- a/granitedock/model_checking/state_digest.py
+++ b/granitedock/model_checking/state_digest.py
@@ -25,7 +25,7 @@
     {
         "counts",
         "event_log",
-        "doors",
+        "io",
         "limits",
         "leave",
         "cold",
@@ -39,6 +39,7 @@
         "made",
         "plans",
         "known",
+        "initial_endpoints",
         "permitted",
         "settings",
     }
