--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -35,7 +35,7 @@
         def __init__(self) -> None:
             super().__init__(1024, 64 * 1024, 68 * 1024, 64, 4)
 
-        def received(self, value, parts) -> None:
+        def value_received(self, value, parts) -> None:
             self.send(b"$2\r\nok\r\n")
 
     port = reactor.listenTCP(0, Factory.forProtocol(Link), interface="127.0.0.1")
--- a/granitedock/commands/gateway.py
+++ b/granitedock/commands/gateway.py
@@ -35,7 +35,7 @@
 )
 def serve(told: str, fleet: str | None, config: str | None, configuration: str | None) -> None:
     """Serve until SIGTERM."""
-    from granitedock.service.event_loop import serve as run
+    from granitedock.gateway_process import serve as run
 
     raise SystemExit(run(told, fleet_file(fleet), config, configuration_file(configuration)))
 
@@ -74,11 +74,11 @@
     try:
         record = load_told(told)
         born = record["settings"]
-        limits = Limits.told(record)
+        limits = Limits.from_platform_file(record)
         if config is not None:
             from granitedock.service.operator_settings import load
 
-            limits = load(config).over(limits)
+            limits = load(config).apply_to(limits)
         shown = {
             "limits": limits,
             "seat": platform_settings.seat(int(record["seed"], 16), born),
--- a/granitedock/lab/counter.py
+++ b/granitedock/lab/counter.py
@@ -21,8 +21,8 @@
 
 from granitedock.lab.running import listen, serve, vanish
 from granitedock.lab.scenario import Scenario, load
-from granitedock.service.counter_protocol import amount
-from granitedock.service.resp import RespReceiver, bulk
+from granitedock.service.counter_protocol import format_amount
+from granitedock.service.resp import RespReceiver, encode_bulk_string
 
 
 class Counts:
@@ -123,7 +123,7 @@
         stale = self.stale_at or self.stale_counts
         if stale is not None:
             total = stale.total(words[1], now)
-        return bulk(amount(total))
+        return encode_bulk_string(format_amount(total))
 
 
 class CounterSide(RespReceiver):
@@ -138,7 +138,7 @@
     def connectionLost(self, reason: Any = None) -> None:
         self.counter.links.discard(self)
 
-    def received(self, value: Any, parts: list[bytes]) -> None:
+    def value_received(self, value: Any, parts: list[bytes]) -> None:
         words = value if isinstance(value, list) else []
         answer = self.counter.answer([word for word in words if isinstance(word, bytes)])
         if self.counter.holds("partition"):
--- a/granitedock/lab/hollow.py
+++ b/granitedock/lab/hollow.py
@@ -22,8 +22,8 @@
 from granitedock.lab.running import serve
 from granitedock.lab.scale.platform import platform_file
 from granitedock.lab.scale.roster import commanded
-from granitedock.service.connector import Dialler
-from granitedock.service.discovery_protocol import WatchLink
+from granitedock.service.connector import Connector
+from granitedock.service.discovery_protocol import DiscoveryWatchProtocol
 from granitedock.service.limits import Limits
 from granitedock.service.reducer import Reducer
 
@@ -82,7 +82,7 @@
         self.counts["log_lines"] += 1
 
 
-class CountedWatch(WatchLink):
+class CountedWatch(DiscoveryWatchProtocol):
     """A watch that counts the bytes that come."""
 
     counts: Counter[str]
@@ -99,7 +99,9 @@
     def __init__(self, gateway: HollowGateway, address: str) -> None:
         self.gateway, self.address = gateway, address
         limits = gateway.limits
-        self.watch = Dialler(gateway.reactor, gateway.tell, self.link, "watch down", limits.watch_connect_ms)
+        self.watch = Connector(
+            gateway.reactor, gateway.tell, self.link, "watch down", limits.watch_connect_ms
+        )
 
     def link(self) -> CountedWatch:
         link = CountedWatch(self.gateway.tell, self.address, self.gateway.limits)
@@ -115,7 +117,7 @@
             self.gateway.tell(wake.name, *wake.what)
 
     def dial_watch(self, watch: Any) -> None:
-        self.watch.dial(watch, self.address)
+        self.watch.connect(watch, self.address)
 
 
 class HollowGateway:
@@ -129,7 +131,7 @@
         told["settings"]["Specifics"]["Counter"] = False
         told["settings"]["Balancers"], told["settings"]["Me"] = order.gateways, number
         self.settings = told["settings"]
-        self.limits = Limits.told(told)
+        self.limits = Limits.from_platform_file(told)
         self.doors = HollowDoors(self, order.discovery)
         self.reducer = Reducer(
             self.clock(), self.limits, told["settings"], number, None, self.doors, self.diary
--- a/granitedock/lab/hosts.py
+++ b/granitedock/lab/hosts.py
@@ -128,7 +128,7 @@
         if self.out is not None:
             self.out.until_s = min(self.out.until_s, time.monotonic())
 
-    def received(self, value: Any, parts: list[bytes]) -> None:
+    def value_received(self, value: Any, parts: list[bytes]) -> None:
         if isinstance(value, list) and value and value[0] == b"PING":
             self.send(b"+PONG\r\n")
             return
--- a/granitedock/lab/load.py
+++ b/granitedock/lab/load.py
@@ -23,7 +23,7 @@
 from granitedock.lab.rules import Answer, Ceiling, Records, Start, check
 from granitedock.lab.scenario import Clients, Scenario
 from granitedock.lab.settings import COLD, PRODUCTS, REMEMBERED_MS
-from granitedock.service.resp import Fault, RespReceiver, command
+from granitedock.service.resp import ErrorReply, RespReceiver, encode_command
 
 SAFE = {name for name, repeat in PRODUCTS if repeat == "safe"}  # these are read, the others written
 KEYED = {name for name, repeat in PRODUCTS if repeat == "keyed"}
@@ -69,13 +69,13 @@
         self.waiting.append((row, clients, again))
         self.send(worded(row, clients, row.left_ms - (self.load.now() - row.sent_s) * 1000.0))
 
-    def received(self, value: Any, parts: list[bytes]) -> None:
+    def value_received(self, value: Any, parts: list[bytes]) -> None:
         if not self.waiting:
             self.load.unasked += 1  # an answer to nothing: rule 1 is broken, and it is not hidden
             return
         row = self.waiting.popleft()[0]
         row.took_ms = (self.load.now() - row.sent_s) * 1000.0
-        if type(value) is Fault:
+        if type(value) is ErrorReply:
             row.kind = "deferred" if value.text.startswith(b"BUSY") else "errored"
         else:
             row.kind = "done"
@@ -113,7 +113,7 @@
         b",k=%016x" % row.task if clients.product in KEYED else b"",
     )
     word = b"API.READ" if clients.product in SAFE else b"API.WRITE"
-    return command(word, b"%016x" % clients.customer, b"%016x" % row.task, text)
+    return encode_command(word, b"%016x" % clients.customer, b"%016x" % row.task, text)
 
 
 class Dialling(ClientFactory):
--- a/granitedock/lab/rig.py
+++ b/granitedock/lab/rig.py
@@ -35,7 +35,7 @@
 from granitedock.lab.scenario import Fault, Scenario, numbers
 from granitedock.lab.settings import born
 from granitedock.lab.wires import FINE, DatagramWires, Fate, TcpWire, Weather
-from granitedock.service.resp import command
+from granitedock.service.resp import encode_command
 
 CLIENTS_PORT, FLEET_PORT = 6379, 7946
 NETS, NET_STEP, CLAIM_HOST = 60 * 256, 37, 250  # nets to choose from; apart for neighbouring process ids
@@ -414,7 +414,7 @@
         """One command to gateway `n`, and the first line or the bulk string that it answers."""
         try:
             with socket.create_connection((self.own(n), CLIENTS_PORT), timeout=within_s) as line:
-                line.sendall(command(*words))
+                line.sendall(encode_command(*words))
                 with line.makefile("rb") as said:
                     head = said.readline()
                     return said.read(int(head[1:])) if head[:1] == b"$" else head.rstrip()
--- a/granitedock/lab/scale/calls.py
+++ b/granitedock/lab/scale/calls.py
@@ -11,7 +11,7 @@
 
 from granitedock.lab.scale.probe import ScaleError, process_cpu_s
 from granitedock.lab.scale.requests import process, worded
-from granitedock.service.counter_protocol import tally
+from granitedock.service.counter_protocol import encode_call
 
 LIFE_MS = 12_000.0
 IN_FLIGHT = 4  # calls on a connection that wait for answers
@@ -42,7 +42,7 @@
 def pumped(lines: list[socket.socket], seconds: float) -> int:
     """Keep `IN_FLIGHT` calls out on each connection for so long; the answers that came."""
     selector = selectors.DefaultSelector()
-    calls = [tally(17 * number, 1.0, LIFE_MS) for number in range(NAMES)]
+    calls = [encode_call(17 * number, 1.0, LIFE_MS) for number in range(NAMES)]
     sent = answered = 0
     for line in lines:
         line.sendall(b"".join(calls[(sent + n) % NAMES] for n in range(IN_FLIGHT)))
@@ -73,7 +73,7 @@
             finally:
                 for line in lines:
                     line.close()
-    call = len(tally(2**62, 1.0, LIFE_MS))
+    call = len(encode_call(2**62, 1.0, LIFE_MS))
     return CallCost(
         connections, answered / lasted, 1e6 * cpu / max(1, answered), call, len(b"$6\r\n123456\r\n")
     )
--- a/granitedock/lab/scale/hosts.py
+++ b/granitedock/lab/scale/hosts.py
@@ -10,7 +10,7 @@
 
 from granitedock.lab.scale.platform import host_list, instance, platform_file
 from granitedock.lab.scale.probe import MIB, allocated_bytes, cpu_ms
-from granitedock.service.discovery_protocol import Listing, listing
+from granitedock.service.discovery_protocol import EndpointList, parse_endpoint_list
 from granitedock.service.limits import Limits
 from granitedock.service.reducer import Reducer
 
@@ -46,10 +46,10 @@
 def reducer(told: dict[str, Any]) -> Reducer:
     """A gateway's state machine that has spoken with nobody yet."""
     silent = Silent()
-    return Reducer(1e12, Limits.told(told), told["settings"], 7, None, silent, silent)
+    return Reducer(1e12, Limits.from_platform_file(told), told["settings"], 7, None, silent, silent)
 
 
-def filled(whole: Listing) -> Reducer:
+def filled(whole: EndpointList) -> Reducer:
     """A gateway's state machine that has taken this list in."""
     machine = reducer(platform_file())
     machine.entries(whole)
@@ -63,11 +63,11 @@
         {"generation": 2, "reset": False, "instances": [instance(0, lifecycle="terminating")]}
     )
     machine = reducer(platform_file())
-    read_ms = cpu_ms(lambda: listing(orjson.loads(line)))
-    whole = listing(orjson.loads(line))
+    read_ms = cpu_ms(lambda: parse_endpoint_list(orjson.loads(line)))
+    whole = parse_endpoint_list(orjson.loads(line))
     take_in_ms = cpu_ms(lambda: machine.entries(whole), 1)
     memory = allocated_bytes(lambda: filled(whole)) / MIB
-    change_ms = cpu_ms(lambda: machine.entries(listing(orjson.loads(change))))
+    change_ms = cpu_ms(lambda: machine.entries(parse_endpoint_list(orjson.loads(change))))
     sweep_ms = cpu_ms(machine.sweep)
     fleet = machine.gateway.fleet
 
--- a/granitedock/model_checking/gateways.py
+++ b/granitedock/model_checking/gateways.py
@@ -27,11 +27,11 @@
     RequestClass,
     SlowStart,
 )
-from granitedock.service.client_protocol import read
-from granitedock.service.discovery_protocol import Entry, Listing
+from granitedock.service.client_protocol import parse_request
+from granitedock.service.discovery_protocol import EndpointEntry, EndpointList
 from granitedock.service.limits import Limits
 from granitedock.service.reducer import Reducer
-from granitedock.service.resp import command
+from granitedock.service.resp import encode_command
 
 START = 1_000_000.0  # Unix ms, where a window of the plan begins
 HORIZON_MS = 2600.0  # time stands still after this: past every cut-off, and a drain's grace
@@ -101,7 +101,7 @@
     def limits(self, me: int) -> Limits:
         """The program's own, but for sweeps, which are as far apart as shows all that they do, and for one
         connection to the counter."""
-        told = Limits.told({"settings": self.settings(me)})
+        told = Limits.from_platform_file({"settings": self.settings(me)})
         return replace(told, sweep_ms=500.0, counter_links=1)
 
 
@@ -189,7 +189,7 @@
         self.made = self.calls = 0
         self.soon: list[tuple] = []
         shape = world.shape
-        known = Listing(1, True, world.entries())
+        known = EndpointList(1, True, world.entries())
         self.reducer = Reducer(
             world.now, shape.limits(number), shape.settings(number), 7 + number, known, self, Diary()
         )
@@ -274,9 +274,9 @@
             plan = "c" if request.endswith("!") else "p"
             self.client(f"t{number}", request.rstrip("!"), number % shape.gateways, plan)
 
-    def entries(self, draining: int = -1) -> list[Entry]:
+    def entries(self, draining: int = -1) -> list[EndpointEntry]:
         return [
-            Entry(
+            EndpointEntry(
                 f"h{n}",
                 f"h{n}:1",
                 1.0,
@@ -373,8 +373,8 @@
         link = Link(gate, "client")
         gate.tell("client up", link)
         job.caller = link.record
-        parts = command(*words).split(b"\r\n")[:-1]
-        gate.tell("asked", link.record, read(words, parts, gate.reducer.limits))
+        parts = encode_command(*words).split(b"\r\n")[:-1]
+        gate.tell("asked", link.record, parse_request(words, parts, gate.reducer.limits))
 
     def on_dial(self, outcome: str, lane: Any, gateway: int, request: str, number: int) -> None:
         gate = self.gates[gateway]
@@ -529,7 +529,7 @@
         gate = self.gates[gateway]
         if gate.up:
             self.draining[gateway][host] = self.now
-            gate.tell("listed", gate.reducer.watch, Listing(2, True, self.entries(host)))
+            gate.tell("listed", gate.reducer.watch, EndpointList(2, True, self.entries(host)))
 
     # What is asked of a world.
 
--- a/granitedock/service/connector.py
+++ b/granitedock/service/connector.py
@@ -1,45 +1,72 @@
-"""Opening connections outward, for every party that this gateway calls.
+"""Opens outgoing connections, to hosts, the counter and discovery.
 
-Owns a connection until it is up, with the time that it may take. It must never try again by itself:
-whether there is another try is for the reducer.
+Owns a connection until it is up, with the time that it may take. It never tries again by itself: whether
+there is another try is the state machine's part.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Callable
+from typing import Any, Protocol
 
+from twisted.internet.interfaces import IConnector, IReactorTCP
 from twisted.internet.protocol import ClientFactory
+from twisted.python.failure import Failure
 
+from granitedock.service.callbacks import InputHandler
+from granitedock.service.clock import MS_PER_S
 
-class Dial(ClientFactory):
-    """One connection: its link learns its record, or the reducer learns that it never came up."""
+
+class Link(Protocol):
+    """A Twisted protocol that knows the state machine's record of its connection."""
+
+    record: Any
+
+
+class SingleConnectionFactory(ClientFactory):
+    """One connection: its protocol comes up with its record, or the state machine gets the input `down`."""
 
     noisy = False
 
-    def __init__(self, tell, down: str, record: Any, link: Any) -> None:
-        self.tell, self.down, self.record, self.link = tell, down, record, link
+    def __init__(self, tell: InputHandler, down: str, link: Link) -> None:
+        self.tell = tell
+        self.down = down
+        self.link = link
 
-    def buildProtocol(self, addr) -> Any:
+    def buildProtocol(self, addr: object) -> Any:  # noqa: ARG002 - Twisted's signature
+        """The protocol that was made before the dial."""
         return self.link
 
-    def clientConnectionFailed(self, connector, reason) -> None:
-        self.tell(self.down, self.record)
+    def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002 - as above
+        """Refused, unreachable or out of time."""
+        self.tell(self.down, self.link.record)
 
 
-class Dialler:
-    """Makes links of one party."""
+class Connector:
+    """Opens connections to one kind of server."""
 
-    def __init__(self, reactor, tell, make, down: str, within_ms: float) -> None:
-        self.reactor, self.tell, self.make, self.down = reactor, tell, make, down
-        self.within_s = within_ms / 1000.0
+    def __init__(
+        self,
+        reactor: IReactorTCP,
+        tell: InputHandler,
+        make_link: Callable[[], Link],
+        down: str,
+        timeout_ms: float,
+    ) -> None:
+        self.reactor = reactor
+        self.tell = tell
+        self.make_link = make_link
+        self.down = down
+        self.timeout_s = timeout_ms / MS_PER_S
 
-    def dial(self, record: Any, address: str) -> None:
-        link = self.make()
+    def connect(self, record: object, address: str) -> None:
+        """Open a connection to HOST:PORT for this record."""
+        link = self.make_link()
         link.record = record
         host, _, port = address.rpartition(":")
-        factory = Dial(self.tell, self.down, record, link)
+        factory = SingleConnectionFactory(self.tell, self.down, link)
         try:
-            self.reactor.connectTCP(host.strip("[]"), int(port), factory, timeout=self.within_s)
+            self.reactor.connectTCP(host.strip("[]"), int(port), factory, timeout=self.timeout_s)
         except (OSError, ValueError):
             # Guards against an address that makes no sense, and a process with no descriptor left.
             self.tell(self.down, record)
--- /dev/null
+++ b/granitedock/service/effects.py
@@ -0,0 +1,95 @@
+"""The effects of the state machine beyond a connection that is open: dials, timers, the listener, the exit.
+
+Carries out what it is asked for; decides nothing, and keeps no state of a request or of a connection.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+from granitedock.service.callbacks import InputHandler
+from granitedock.service.connector import Connector, Link
+from granitedock.service.counter_protocol import CounterProtocol
+from granitedock.service.discovery_protocol import DiscoveryWatchProtocol, WatchRecord
+from granitedock.service.host_protocol import HostProtocol
+from granitedock.service.limits import Limits
+from granitedock.service.listener import ClientPort
+from granitedock.service.reactor import GatewayReactor
+
+
+class ServerAddresses(NamedTuple):
+    """Where the counter and discovery are, each HOST:PORT; the counter's is empty where there is none."""
+
+    counter: str
+    discovery: str
+
+    @classmethod
+    def from_platform_file(cls, contents: dict[str, Any]) -> ServerAddresses:
+        """Of the checked contents of a platform file."""
+        return cls(contents.get("counter") or "", contents["discovery"])
+
+
+class ReactorEffects:
+    """Carries out effects on Twisted's reactor."""
+
+    port: ClientPort  # set by the service once it listens
+
+    def __init__(
+        self, reactor: GatewayReactor, tell: InputHandler, addresses: ServerAddresses, limits: Limits
+    ) -> None:
+        self.reactor = reactor
+        self.tell = tell
+        self.addresses = addresses
+        self.wake = reactor.timer_queue.add
+        self.exit_hooks: list[Callable[[], object]] = []  # called in this order before the process ends
+        self.hosts = self.connector(lambda: HostProtocol(tell, limits), "host down", limits.connect_ms)
+        self.counter = self.connector(
+            lambda: CounterProtocol(tell, limits), "counter down", limits.connect_ms
+        )
+        self.watch = self.connector(
+            lambda: DiscoveryWatchProtocol(tell, self.addresses.discovery, limits),
+            "watch down",
+            limits.watch_connect_ms,
+        )
+
+    def connector(self, make_link: Callable[[], Link], down: str, timeout_ms: float) -> Connector:
+        """Connects to one kind of server; `down` is the input where a connection does not come up."""
+        return Connector(self.reactor, self.tell, make_link, down, timeout_ms)
+
+    def update_addresses(self, addresses: ServerAddresses) -> tuple[bool, bool]:
+        """Dial these from now on. Whether the counter's address changed, and whether discovery's."""
+        before = self.addresses
+        self.addresses = addresses
+        return addresses.counter != before.counter, addresses.discovery != before.discovery
+
+    def dial_host(self, connection: object, address: str) -> None:
+        """Connect to a host."""
+        self.hosts.connect(connection, address)
+
+    def dial_counter(self, connection: object) -> None:
+        """Connect to the counter."""
+        self.counter.connect(connection, self.addresses.counter)
+
+    def dial_watch(self, watch: WatchRecord) -> None:
+        """Connect to discovery."""
+        self.watch.connect(watch, self.addresses.discovery)
+
+    def take_in(self, on: bool) -> None:
+        """Accept new connections of clients from now on, or no more for a while."""
+        if not self.port.connected:
+            return
+        if on:
+            self.port.startReading()
+        else:
+            self.port.stopReading()
+
+    def shut(self) -> None:
+        """Accept no connection any more."""
+        self.port.close()
+
+    def leave(self) -> None:
+        """End the process: every client has gone by now, or the time for the shutdown is over."""
+        for hook in self.exit_hooks:
+            hook()
+        self.reactor.callLater(0.0, self.reactor.stop)
--- /dev/null
+++ b/granitedock/service/errors.py
@@ -0,0 +1,12 @@
+"""The errors of the service."""
+
+from granitedock.errors import GranitedockError
+
+
+class ServiceError(GranitedockError):
+    """The base of the service's errors."""
+
+
+class RequestFormatError(ServiceError):
+    """A command that names itself a request and does not hold what a request needs; the client is told its
+    text."""
--- a/granitedock/service/host_protocol.py
+++ b/granitedock/service/host_protocol.py
@@ -1,7 +1,7 @@
-"""The hosts' side: one forward at a time on a connection, and what its answer means.
+"""The protocol towards hosts: one attempt at a time on a connection, and what its answer means.
 
-Owns the bytes of one forward from its first to its answer, and tells when the last of them was
-written. It must never send a forward again, hold two, choose a host, or call good what is out of form.
+Owns the bytes of one attempt from its first to its answer, and tells when the last of them was written. It
+never sends an attempt again, holds two, chooses a host, or takes a malformed answer for a good one.
 """
 
 from __future__ import annotations
@@ -9,86 +9,118 @@
 import re
 from contextlib import suppress
 from socket import SHUT_WR
-from typing import Any
+from typing import Any, NamedTuple
+
+from twisted.python.failure import Failure
 
 from granitedock.policy.types import Outcome
+from granitedock.service.callbacks import InputHandler
 from granitedock.service.limits import Limits
-from granitedock.service.resp import Fault, RespReceiver, unread, whole
+from granitedock.service.resp import ErrorReply, RespReceiver, has_unread_input, join_parts
 
-BUSY = re.compile(rb"BUSY( [!-~]*)?").fullmatch
+OVERLOADED = re.compile(rb"BUSY( [!-~]*)?").fullmatch
 FAILED = re.compile(rb"ERR failed( [!-~]*)?").fullmatch
-COST = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?").fullmatch
-USED = re.compile(rb"[0-9]{1,9}").fullmatch
+TRUE_COST = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?").fullmatch
+QUOTA_USED = re.compile(rb"[0-9]{1,9}").fullmatch
+ANSWER_ITEMS = 3  # the body, then two that a host may leave null
+SECOND_ANSWER = "more than one answer"
+NOT_AN_ANSWER = "no answer to a task"
+
+
+class HostAnswer(NamedTuple):
+    """What a host's answer means."""
+
+    outcome: Outcome
+    data: bytes  # for the client; empty without a body
+    true_units: float  # what the request really cost; 0 where it is not told
+    quota_used: int  # the customer's; 0 where it is not told
+
+
+OVERLOADED_ANSWER = HostAnswer(Outcome.OVERLOADED, b"", 0.0, 0)
+FAILED_ANSWER = HostAnswer(Outcome.ERROR, b"", 0.0, 0)
+
 
+def parse_usage(value: Any, max_units: float) -> tuple[float, int]:
+    """The true units and the customer's use, where an answer states them, else zeros.
 
-def figures(told: Any, most: float) -> tuple[float, int]:
-    """The true units and the customer's use, where an answer tells them. Guards the decisions against figures
-    that can't be read, are no numbers, or more than a task may take: the value is good without them."""
-    if type(told) is int:
-        told = b"used=%d" % told
-    named = dict(pair.partition(b"=")[::2] for pair in told.split(b",")) if type(told) is bytes else {}
-    cost, used = named.get(b"cost", b""), named.get(b"used", b"")
-    units = float(cost) if COST(cost) else 0.0
-    return units if units <= most else 0.0, int(used) if USED(used) else 0
+    Guards the decisions against figures that can't be read, are no numbers, or more than a request may take:
+    the answer is good without them.
+    """
+    if type(value) is int:
+        value = b"used=%d" % value
+    named = dict(pair.partition(b"=")[::2] for pair in value.split(b",")) if type(value) is bytes else {}
+    cost = named.get(b"cost", b"")
+    used = named.get(b"used", b"")
+    units = float(cost) if TRUE_COST(cost) else 0.0
+    return units if units <= max_units else 0.0, int(used) if QUOTA_USED(used) else 0
 
 
-class HostLink(RespReceiver):
+class HostProtocol(RespReceiver):
     """One connection to a host. It is its own pull producer: it is asked for more once all is written."""
 
-    record: Any = None
+    record: Any = None  # the state machine's record of the connection
 
-    def __init__(self, tell, limits: Limits) -> None:
+    def __init__(self, tell: InputHandler, limits: Limits) -> None:
         super().__init__(limits.line, limits.value, limits.whole, limits.items, limits.depth)
-        self.tell, self.most_units = tell, limits.true_units
-        self.data: bytes | None = None
-        self.answer: tuple | None = None
-        self.why = ""  # what is out of form
-        self.begun = False
+        self.tell = tell
+        self.max_units = limits.true_units
+        self.data: bytes | None = None  # of the attempt, until it is handed to the transport
+        self.answer: HostAnswer | None = None
+        self.malformed_because = ""  # empty while all is in form
+        self.answer_begun = False
 
     def connectionMade(self) -> None:
+        """The connection is up."""
         self.transport.setTcpNoDelay(True)
         self.tell("host up", self.record, self)
 
-    def connectionLost(self, reason=None) -> None:
+    def connectionLost(self, _reason: Failure | None = None) -> None:
+        """The connection ended."""
         self.tell("host down", self.record)
 
     def dataReceived(self, data: bytes) -> None:
-        """Guards against answers that bring more than is theirs: one is told once all that came with it has
-        been looked at, with whether the connection may be used again."""
-        if self.deaf:
+        """Guards against answers that bring more than is theirs: one is handed on once all that came with it
+        has been looked at, with whether the connection may be used again."""
+        if self.ignoring_input:
             return
         super().dataReceived(data)
         if self.answer is not None:
-            answer, self.answer, self.begun = self.answer, None, False
-            clean = not (self.why or self.half() or unread(self.transport))
+            answer = self.answer
+            self.answer = None
+            self.answer_begun = False
+            clean = not (self.malformed_because or self.half() or has_unread_input(self.transport))
             self.tell("host answered", self.record, clean, *answer)
-        elif self.why:
-            self.tell("host malformed", self.record, self.why)
-        elif not self.begun and self.half():
-            self.begun = True
+        elif self.malformed_because:
+            self.tell("host malformed", self.record, self.malformed_because)
+        elif not self.answer_begun and self.half():
+            self.answer_begun = True
             self.tell("host begun", self.record)
 
-    def received(self, value: Any, parts: list[bytes]) -> None:
+    def value_received(self, value: Any, parts: list[bytes]) -> None:
+        """An answer came."""
         if self.answer is not None:
-            self.spoil("more than one answer")
-        elif type(value) is list and len(value) == 3 and type(value[0]) is bytes:
-            self.answer = Outcome.DONE, whole(parts), *figures(value[1], self.most_units)
-        elif type(value) is Fault and BUSY(value.text):
-            self.answer = Outcome.OVERLOADED, b"", 0.0, 0
-        elif type(value) is Fault and FAILED(value.text):
-            self.answer = Outcome.ERROR, b"", 0.0, 0
+            self.reject_input(SECOND_ANSWER)
+        elif type(value) is list and len(value) == ANSWER_ITEMS and type(value[0]) is bytes:
+            units, used = parse_usage(value[1], self.max_units)
+            self.answer = HostAnswer(Outcome.DONE, join_parts(parts), units, used)
+        elif type(value) is ErrorReply and OVERLOADED(value.text):
+            self.answer = OVERLOADED_ANSWER
+        elif type(value) is ErrorReply and FAILED(value.text):
+            self.answer = FAILED_ANSWER
         else:
-            self.spoil("no answer to a task")
+            self.reject_input(NOT_AN_ANSWER)
 
     def malformed(self, why: str) -> None:
-        self.why = why
+        """The host sent what is no answer; `dataReceived` hands it on."""
+        self.malformed_because = why
 
-    # What the reducer asks for.
+    # Effects of the state machine.
 
-    def send(self, data: bytes, at_once: bool) -> None:
-        """A further forward leaves a turn of the loop later, behind the end of the connection before it.
-        Guards against what has come since the last answer here: it would be taken for the next one."""
-        if self.half() or unread(self.transport):
+    def send(self, data: bytes, at_once: bool = True) -> None:
+        """Write an attempt; not `at_once`, a turn of the event loop later, behind the end of the connection
+        before it. Guards against what has come since the last answer here: it would be taken for the next
+        one."""
+        if self.half() or has_unread_input(self.transport):
             self.tell("host stale", self.record)
             return
         self.data = data
@@ -97,24 +129,27 @@
             self.transport.doWrite()
 
     def abort(self) -> None:
-        """At once, before anything else is written: the host may then drop what it has of it."""
-        self.deaf = True
+        """Reset the connection at once, before anything else is written: the host may then drop what it has
+        of the attempt."""
+        self.ignoring_input = True
         with suppress(OSError):
             self.transport.getHandle().shutdown(SHUT_WR)
         self.transport.abortConnection()
 
-    # What the transport asks for: the bytes, and then more, when the last of them are written.
+    # The pull producer, called by the transport.
 
     def resumeProducing(self) -> None:
+        """First it asks for the bytes, then for more, when the last of them are written."""
         if self.data is not None:
-            data, self.data = self.data, None
+            data = self.data
+            self.data = None
             self.transport.write(data)
         else:
             self.transport.unregisterProducer()
             self.tell("written", self.record)
 
     def pauseProducing(self) -> None:
-        """Nothing more is ever to come behind one forward."""
+        """Nothing to do: nothing more ever comes behind one attempt."""
 
     def stopProducing(self) -> None:
-        """The connection's end is told by itself."""
+        """Nothing to do: the connection's end has an input of its own."""
--- a/granitedock/service/limits.py
+++ b/granitedock/service/limits.py
@@ -1,7 +1,7 @@
 """The limits of one gateway process: every size, count and time that bounds it.
 
-Owns the figures, filled once at start from what the gateway is told, and handed down. It must never
-decide anything about a task, and nothing may change it while the gateway runs.
+Filled once at the start from the platform file and the operators' settings, and handed down. They decide
+nothing about a request, and nothing changes them while the gateway runs.
 """
 
 from __future__ import annotations
@@ -11,17 +11,29 @@
 
 KIB = 1024
 MIB = 1024 * KIB
-PROCESS = 26 * MIB  # the process itself, with its connections and notes
+PROCESS_BYTES = 26 * MIB  # the process itself, with its connections and records
+DEFAULT_MEMORY_MB = 192
+DEFAULT_SOCKETS = 1024
+SPARE_SOCKETS = 20  # standard streams, the reactor's own, the listener, the watch, and some to spare
+MAX_COUNTER_LINKS = 4
+DEFAULT_MAX_HELD_REQUESTS = 20000
+BYTES_PER_REQUEST = 32 * KIB  # of memory, by which the requests held at once are bounded
+DEFAULT_MAX_UNITS = 1e9
+DEFAULT_CONNECT_MS = 250.0
+DEFAULT_HOST_IDLE_MS = 15000.0
+DEFAULT_DEADLINE_MS = 3000.0  # where there is no request class; and the longest that a shutdown waits for one
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
+    """Each limit with its unit: bytes, counts, or milliseconds where the name ends with `_ms`."""
+
     # Sizes, in bytes.
     value: int  # one bulk string
     whole: int  # one command or answer with all it holds
     line: int  # one line of the framing
     document: int  # one line of the list of hosts
-    held: int  # all commands and answers that wait here
+    held: int  # all commands and answers in flight or queued here
     unread: int  # answers that one client leaves unread
     # Counts.
     items: int  # of one array
@@ -29,17 +41,17 @@
     requests: int  # held at once
     queue: int  # commands of one client's connection that wait for answers
     client_links: int  # beyond this one that waits for nothing is closed
-    client_most: int  # beyond this none is taken in
+    client_most: int  # beyond this none is accepted
     client_over: int  # and beyond this one that slipped in is closed at once
     host_links: int
     counter_links: int  # in use at once
     counter_old: int  # silent ones that are kept for late totals
     backlog: int
-    accepts: int  # connections taken in at a turn of the loop, so that what they say is read between
-    log_lines: int  # a second
-    gateways: int  # numbered from 0 in a customer's set
-    units: float  # of one task
-    true_units: float  # as a host may tell them behind an answer; 0 where they are not settled
+    accepts: int  # connections accepted in a turn of the event loop, so that what they send is read between
+    log_lines: int  # of the event log, a second
+    gateways: int  # of the deployment, numbered from 0
+    units: float  # of one request
+    true_units: float  # as a host may state them behind an answer; 0 where they are not settled
     # Times, in milliseconds.
     connect_ms: float
     host_idle_ms: float  # a connection to a host is closed when idle so long, before the host does
@@ -55,47 +67,51 @@
     watch_first_ms: float  # and one that came up, without its first line
     watch_list_ms: float  # or, once that has begun, without its end
     watch_connect_ms: float
-    redial_ms: float
+    redial_ms: float  # the backoff of a watch begins with this
     watch_most_ms: float  # a watch turned away again and again is dialled at most so seldom
     watch_refusals: int  # in a row while starting: the list as last had serves without waiting longer
     half_ms: float  # a command begun and not ended, since its last bytes, or a first one not begun
     half_most_ms: float  # and since it was first found so
-    spoilt_ms: float  # tasks before a malformed command are waited for
+    spoilt_ms: float  # requests before a malformed command are waited for
     fresh_ms: float  # a client's connection that has said nothing may be closed to make room
     rest_ms: float  # one without a command for so long since its last answer is closed
     close_ms: float  # we have closed our side of a connection, the client not its own
     flush_ms: float  # answers are written to a connection that is to close, and not read
     margin_ms: float  # answers leave so long before the client's time is up
     ready_ms: float  # the longest wait for a first list at start, where there is an old one
-    ready_most_ms: float  # and without one, from the process's birth
-    open_ms: float  # after SIGTERM new connections are taken for so long
+    ready_most_ms: float  # and without one, from the process's start
+    open_ms: float  # after SIGTERM new connections are accepted for so long
     leave_ms: float  # after SIGTERM all is answered by then
     leave_most_ms: float  # and the process ends, read or not
-    sweep_ms: float
+    sweep_ms: float  # between two turns of the periodic maintenance
 
     @classmethod
-    def told(cls, told: dict[str, Any]) -> Limits:
-        """From the file the gateway is started with: its own limits, and those the deployment states."""
-        own, born = told.get("limits") or {}, told["settings"]
-        memory = float(own.get("memory_mb") or 192) * MIB
-        sockets = int(own.get("sockets") or 1024)
-        counter = min(4, max(1, sockets // 32))
-        # Beside the links: standard streams, the reactor's own, the listener, the watch, and some to spare.
-        links = max(8, sockets - 2 * counter - 20)
-        allowed = born.get("Allowed") or {}
-        special = born.get("Specifics") or {}
-        units = float(special.get("MaxUnits") or 1e9)
-        longest = max((float(lane["GiveUpMs"]) for lane in born["Lanes"]), default=3000.0)
+    def from_platform_file(cls, contents: dict[str, Any]) -> Limits:
+        """By the checked contents of a platform file: the process's own limits, and those that the deployment
+        states."""
+        own = contents.get("limits") or {}
+        settings = contents["settings"]
+        memory = float(own.get("memory_mb") or DEFAULT_MEMORY_MB) * MIB
+        sockets = int(own.get("sockets") or DEFAULT_SOCKETS)
+        counter = min(MAX_COUNTER_LINKS, max(1, sockets // 32))
+        links = max(8, sockets - 2 * counter - SPARE_SOCKETS)
+        allowed = settings.get("Allowed") or {}
+        special = settings.get("Specifics") or {}
+        units = float(special.get("MaxUnits") or DEFAULT_MAX_UNITS)
+        connect_ms = float(allowed.get("ConnectTimeoutMs") or DEFAULT_CONNECT_MS)
+        max_requests = int(allowed.get("MostHeld") or DEFAULT_MAX_HELD_REQUESTS)
+        longest_ms = max((float(lane["GiveUpMs"]) for lane in settings["Lanes"]), default=DEFAULT_DEADLINE_MS)
+        shutdown_ms = min(longest_ms, DEFAULT_DEADLINE_MS)
         return cls(
             value=64 * KIB,
             whole=68 * KIB,
             line=KIB,
             document=4 * MIB,
-            held=int(max(memory / 32, (memory - PROCESS) / 4)),
+            held=int(max(memory / 32, (memory - PROCESS_BYTES) / 4)),
             unread=256 * KIB,
             items=64,
             depth=4,
-            requests=min(int(allowed.get("MostHeld") or 20000), int(memory / (32 * KIB))),
+            requests=min(max_requests, int(memory / BYTES_PER_REQUEST)),
             queue=64,
             client_links=int(links * 0.45),
             client_most=int(links * 0.5),
@@ -106,11 +122,11 @@
             backlog=512,
             accepts=8,
             log_lines=50,
-            gateways=max(1, int(born.get("Balancers") or 1)),
+            gateways=max(1, int(settings.get("Balancers") or 1)),
             units=units,
             true_units=units if special.get("TruedUp") else 0.0,
-            connect_ms=float(allowed.get("ConnectTimeoutMs") or 250.0),
-            host_idle_ms=float(allowed.get("ConnIdleMs") or 15000.0) / 2,
+            connect_ms=connect_ms,
+            host_idle_ms=float(allowed.get("ConnIdleMs") or DEFAULT_HOST_IDLE_MS) / 2,
             wary_ms=5000.0,
             settle_ms=5.0,
             answer_ms=250.0,
@@ -122,7 +138,7 @@
             watch_silence_ms=2500.0,
             watch_first_ms=800.0,
             watch_list_ms=500.0,
-            watch_connect_ms=min(250.0, float(allowed.get("ConnectTimeoutMs") or 250.0)),
+            watch_connect_ms=min(DEFAULT_CONNECT_MS, connect_ms),
             redial_ms=100.0,
             watch_most_ms=1500.0,
             watch_refusals=3,
@@ -137,7 +153,7 @@
             ready_ms=1000.0,
             ready_most_ms=5000.0,
             open_ms=500.0,
-            leave_ms=min(longest, 3000.0) + 480.0,
-            leave_most_ms=min(longest, 3000.0) + 590.0,
+            leave_ms=shutdown_ms + 480.0,
+            leave_most_ms=shutdown_ms + 590.0,
             sweep_ms=100.0,
         )
--- a/granitedock/service/operator_settings.py
+++ b/granitedock/service/operator_settings.py
@@ -1,8 +1,8 @@
-"""The operators' own file: settings of a gateway beyond what the platform hands it (docs/configuration.md).
+"""The operators' own file: settings of a gateway beyond the platform file (docs/configuration.md).
 
-TOML, checked by pydantic; without a file all stands as the program has it. Limits are taken at the start, the
-log's share also on SIGHUP. A file that is not right changes nothing, and says where: FILE:LINE: PATH: WHAT.
-Owns the form of that file, and must never hold a setting of a decision: those come from the platform.
+TOML, checked by pydantic; without a file the program's defaults hold. Limits are taken at the start, the
+log's bound also on SIGHUP. A file with an error changes nothing, and says where: FILE:LINE: PATH: WHAT. It
+holds no setting of a decision: those come from the platform.
 """
 
 from __future__ import annotations
@@ -16,45 +16,53 @@
 from granitedock.service.limits import Limits
 from granitedock.toml_file import Strict, checked, read
 
-Ms = Annotated[float, Field(ge=1, le=600_000)]
+DEFAULT_REDIAL_MS = 100.0  # as Limits has it
+DEFAULT_WATCH_MOST_MS = 1500.0
+Milliseconds = Annotated[float, Field(ge=1, le=600_000)]
 
 
-class LogLines(Strict):
+class LogSettings(Strict):
+    """The event log's bound."""
+
     lines_a_second: Annotated[int, Field(ge=1, le=10_000)] = 50  # beyond it they are counted and dropped
 
 
-class Peers(Strict):
+class ConnectionSettings(Strict):
     """Times of connections, in ms, and the listener's queue; what is left out stands as in the program. The
-    bounds of each are its neighbours': a client's half command is waited for no longer than a rested one."""
+    bounds of each are its neighbours': a client's half command is waited for no longer than an idle one."""
 
     backlog: Annotated[int, Field(ge=1, le=65_535)] | None = None
-    connect_ms: Ms | None = None
-    host_idle_ms: Ms | None = None
-    half_ms: Ms | None = None
+    connect_ms: Milliseconds | None = None
+    host_idle_ms: Milliseconds | None = None
+    half_ms: Milliseconds | None = None
     rest_ms: Annotated[float, Field(ge=2000, le=600_000)] | None = None  # no sooner: the platform's page
-    counter_silence_ms: Ms | None = None
+    counter_silence_ms: Milliseconds | None = None
     watch_silence_ms: Annotated[float, Field(ge=2500, le=600_000)] | None = None  # a line comes every 2 s
     redial_ms: Annotated[float, Field(ge=10, le=60_000)] | None = None
-    watch_most_ms: Ms | None = None
+    watch_most_ms: Milliseconds | None = None
+
 
+class OperatorSettings(Strict):
+    """The whole file."""
 
-class Operators(Strict):
-    log: LogLines = LogLines()
-    limits: Peers = Peers()
+    log: LogSettings = LogSettings()
+    limits: ConnectionSettings = ConnectionSettings()
 
-    def over(self, limits: Limits) -> Limits:
+    def apply_to(self, limits: Limits) -> Limits:
         """The limits with what the file says of them."""
-        told = self.limits.model_dump(exclude_none=True)
-        return replace(limits, log_lines=self.log.lines_a_second, **told)
+        stated = self.limits.model_dump(exclude_none=True)
+        return replace(limits, log_lines=self.log.lines_a_second, **stated)
 
 
-def crossed(file: Operators) -> list[tuple[tuple, str]]:
-    redial, most = file.limits.redial_ms or 100.0, file.limits.watch_most_ms or 1500.0
-    if most < redial:
-        return [(("limits", "watch_most_ms"), f"less than redial_ms, {redial:g}")]
+def contradictions(settings: OperatorSettings) -> list[tuple[tuple[str, ...], str]]:
+    """Fields that each are right and contradict one another: where in the file, and what is wrong."""
+    redial_ms = settings.limits.redial_ms or DEFAULT_REDIAL_MS
+    watch_most_ms = settings.limits.watch_most_ms or DEFAULT_WATCH_MOST_MS
+    if watch_most_ms < redial_ms:
+        return [(("limits", "watch_most_ms"), f"less than redial_ms, {redial_ms:g}")]
     return []
 
 
-def load(path: str | Path) -> Operators:
-    """Read and check the file. Raises FileError."""
-    return checked(read(path), str(path), Operators, crossed)
+def load(path: str | Path) -> OperatorSettings:
+    """Read and check the file. Raises toml_file.FileError."""
+    return checked(read(path), str(path), OperatorSettings, contradictions)
--- a/granitedock/service/reducer.py
+++ b/granitedock/service/reducer.py
@@ -25,13 +25,13 @@
     Outcome,
     Request,
 )
-from granitedock.service.client_protocol import Ask
-from granitedock.service.counter_protocol import PING, tally
-from granitedock.service.discovery_protocol import Listing
+from granitedock.service.client_protocol import ParsedRequest
+from granitedock.service.counter_protocol import PING, encode_call
+from granitedock.service.discovery_protocol import EndpointList
 from granitedock.service.discovery_watch import DiscoveryWatch, Watch
 from granitedock.service.lifecycle import Lifecycle
 from granitedock.service.limits import Limits
-from granitedock.service.resp import bulk
+from granitedock.service.resp import encode_bulk_string
 from granitedock.state_table import advance
 
 PONG = b"+PONG\r\n"
@@ -131,7 +131,7 @@
     """A task with the client's connection it came on and the bytes it came in."""
 
     caller: Caller | None = None
-    ask: Ask | None = None
+    ask: ParsedRequest | None = None
     size: int = 0
     answer: bytes | None = None
     alarm: Wake | None = None
@@ -181,7 +181,7 @@
         limits: Limits,
         born: dict[str, Any],
         seed: int,
-        known: Listing | None,
+        known: EndpointList | None,
         doors: Any,
         diary: Any,
     ) -> None:
@@ -393,11 +393,13 @@
             else:
                 self.fill(caller, reply, CLOSING if self.lifecycle.shutting else PONG)
         elif name == b"INFO":
-            self.fill(caller, reply, bulk(b"".join(b"%b:%d\r\n" % pair for pair in self.figures())))
+            self.fill(
+                caller, reply, encode_bulk_string(b"".join(b"%b:%d\r\n" % pair for pair in self.figures()))
+            )
         elif name in (b"CLIENT", b"SELECT"):
             self.fill(caller, reply, b"+OK\r\n")
         elif name in self.shown:
-            self.fill(caller, reply, bulk(self.shown[name]()))
+            self.fill(caller, reply, encode_bulk_string(self.shown[name]()))
         else:
             self.fill(caller, reply, b"-ERR unknown command\r\n")
 
@@ -423,7 +425,7 @@
         self.malformed(caller, "too many commands wait")
         return True
 
-    def asked(self, caller: Caller, ask: Ask) -> None:
+    def asked(self, caller: Caller, ask: ParsedRequest) -> None:
         if caller.state != "up" or self.crowded(caller):
             return
         caller.spoke = True
@@ -432,8 +434,8 @@
             self.malformed(caller, "unknown product or plan")
             return
         kind = request_class.kind
-        if ask.harmless != (kind is Idempotency.IDEMPOTENT) or (
-            kind is Idempotency.KEYED and not ask.stamped
+        if ask.idempotent != (kind is Idempotency.IDEMPOTENT) or (
+            kind is Idempotency.KEYED and not ask.keyed
         ):
             self.malformed(caller, "not a command of this product")
             return
@@ -444,7 +446,9 @@
         customer = self.customers.get(ask.customer)
         if customer is None:
             customer = self.customers[ask.customer] = Customer(ask.customer)
-        left_ms = min(ask.left_ms, request_class.deadline_ms)  # guards against tasks that are held for hours
+        left_ms = min(
+            ask.time_left_ms, request_class.deadline_ms
+        )  # guards against tasks that are held for hours
         # Guards against time that ran before we read the task: its time counts from the client's last byte,
         # which may have waited for a turn of our loop, or, while we start, for the process to listen and
         # read at all (0.6 to 0.9 s after a restart, all of which had run; lost tasks on herd+mass). Its
@@ -595,7 +599,7 @@
             wire.asked_at = self.now
         wire.waiting.append(call)
         if wire.state == "up":
-            self.do(wire.link.send, tally(call.name, call.amount, call.ttl_ms))
+            self.do(wire.link.send, encode_call(call.name, call.amount, call.ttl_ms))
 
     def start_timer(self, after_ms: float, why: object) -> None:
         self.wakes[why] = self.wake_at(self.now + after_ms, "woke", why)
@@ -699,7 +703,7 @@
             or self.now >= attempt.send_before
         ):
             return "unwanted"
-        self.do(lane.link.send, errand.ask.within(left_ms), len(errand.attempts) == 1)
+        self.do(lane.link.send, errand.ask.encode(left_ms), len(errand.attempts) == 1)
         return None
 
     def unsent(self, lane: Lane) -> None:
@@ -837,7 +841,7 @@
 
     def flush(self, wire: Wire) -> None:
         wire.heard_at = self.now
-        calls = [tally(call.name, call.amount, call.ttl_ms) for call in wire.waiting]
+        calls = [encode_call(call.name, call.amount, call.ttl_ms) for call in wire.waiting]
         if calls:
             self.do(wire.link.send, b"".join(calls))
 
@@ -900,7 +904,7 @@
     def watch(self) -> Watch:
         return self.discovery.now_used
 
-    def listed(self, watch: Watch, listing: Listing | None) -> None:
+    def listed(self, watch: Watch, listing: EndpointList | None) -> None:
         if not self.discovery.heard(watch):
             return
         if listing is not None:
@@ -908,7 +912,7 @@
             self.entries(listing)
         self.mode("listed")
 
-    def entries(self, listing: Listing) -> None:
+    def entries(self, listing: EndpointList) -> None:
         self.counts["lists"] += 1
         sightings = []
         for entry in listing.entries:
@@ -925,7 +929,7 @@
                     place, entry.size, entry.make, entry.zone, entry.cell, entry.started_at, entry.status
                 )
             )
-        self.gateway.update_endpoints(sightings, listing.whole)
+        self.gateway.update_endpoints(sightings, listing.complete)
         for name, place in list(self.places.items()):
             if place.idle and place.status is not EndpointStatus.READY:
                 self.suspect(place)
--- a/granitedock/service/resp.py
+++ b/granitedock/service/resp.py
@@ -1,19 +1,32 @@
 """RESP2 framing on Twisted's LineReceiver.
 
-Owns the bytes of one connection until they make a whole value, and keeps them as they came. It must
-never know what a value means, and never hold more than its limits, whatever the peer sends.
+Owns the bytes of one connection until they make a complete value, and keeps them as they came. Knows nothing
+of what a value means, and never holds more than its limits, whatever the peer sends.
+Source: the Redis serialization protocol specification, version 2.
 """
 
 from __future__ import annotations
 
 from socket import MSG_DONTWAIT, MSG_PEEK
-from typing import Any
+from typing import Any, TypeAlias
 
 from twisted.protocols.basic import LineReceiver
 
+LINE_END = b"\r\n"
+NULL_LENGTH = b"-1"
+NULL_BULK_STRING = b"$-1"
+ZERO_DIGIT = ord("0")
 
-class Fault:
-    """An error line of the peer."""
+# Reasons that a peer is told or that are logged.
+LINE_TOO_LONG = "line too long"
+VALUE_TOO_LONG = "value too long"
+ARRAY_TOO_LONG = "array too long"
+BULK_STRING_NOT_ENDED = "bulk string not ended"
+NOT_RESP2 = "not a RESP2 value"
+
+
+class ErrorReply:
+    """An error line of the peer, without its mark."""
 
     __slots__ = ("text",)
 
@@ -21,27 +34,31 @@
         self.text = text
 
 
-def bulk(text: bytes) -> bytes:
+# A simple string is a str, a bulk string bytes, a null None.
+RespValue: TypeAlias = "bytes | str | int | ErrorReply | list[RespValue] | None"
+
+
+def encode_bulk_string(text: bytes) -> bytes:
     """A bulk string on the wire."""
     return b"$%d\r\n%b\r\n" % (len(text), text)
 
 
-def command(*words: bytes) -> bytes:
+def encode_command(*words: bytes) -> bytes:
     """A command on the wire: an array of bulk strings."""
-    return b"*%d\r\n" % len(words) + b"".join(bulk(word) for word in words)
+    return b"*%d\r\n" % len(words) + b"".join(encode_bulk_string(word) for word in words)
 
 
-def length(digits: bytes) -> int:
-    """A length as it must be written, else -1: what is passed on must be in the usual form."""
-    return int(digits) if digits.isdigit() and (digits[0] != 48 or digits == b"0") else -1
+def parse_length(digits: bytes) -> int:
+    """A length in its canonical form, else -1: what is passed on must be in the usual form."""
+    return int(digits) if digits.isdigit() and (digits[0] != ZERO_DIGIT or digits == b"0") else -1
 
 
-def whole(parts: list[bytes]) -> bytes:
-    """A value's bytes from its pieces."""
-    return b"\r\n".join(parts) + b"\r\n"
+def join_parts(parts: list[bytes]) -> bytes:
+    """A value's bytes from its parts, which stood between line ends."""
+    return LINE_END.join(parts) + LINE_END
 
 
-def unread(transport: Any) -> bool:
+def has_unread_input(transport: Any) -> bool:
     """Whether the peer has sent what is not read yet, or has ended the connection."""
     try:
         transport.getHandle().recv(1, MSG_PEEK | MSG_DONTWAIT)
@@ -52,29 +69,73 @@
     return True
 
 
-class RespReceiver(LineReceiver):
-    """Calls `received` with each whole value and the pieces of its bytes, which stood between line ends, and
-    `malformed` once, after which it is deaf."""
+def parse_complete_values(parts: list[bytes], max_items: int) -> list[tuple[Any, list[bytes]]] | None:
+    """The values, each with its parts, of data that holds complete ones only: bulk strings and arrays of
+    them, with no line end inside. None for anything else, and for all that is malformed."""
+    end = len(parts) - 1
+    at = 0
+    found: list[tuple[Any, list[bytes]]] = []
+    try:
+        while at < end:
+            begin = at
+            array: list[bytes | None] | None = None
+            count = 1
+            if parts[at][:1] == b"*":
+                array = []
+                count = parse_length(parts[at][1:])
+                at += 1
+                if not 0 < count <= max_items:
+                    return None
+            value: bytes | None = None
+            for _ in range(count):
+                if parts[at] == NULL_BULK_STRING:
+                    value = None
+                    at += 1
+                else:
+                    value = parts[at + 1]
+                    if parts[at] != b"$%d" % len(value):
+                        return None
+                    at += 2
+                if array is not None:
+                    array.append(value)
+            found.append((value if array is None else array, parts[begin:at]))
+    except IndexError:
+        return None
+    return found if at == end else None
 
-    def __init__(self, line: int, value: int, whole: int, items: int, depth: int) -> None:
-        self.MAX_LENGTH, self.most_value, self.most_whole = line, value, whole
-        self.most_items, self.most_depth = items, depth
-        self.parts: list[bytes] = []  # the bytes of the value so far
-        self.size = 0
-        self.open: list[tuple[list, int]] = []  # arrays begun, and how long each is to be
-        self.need = 0  # bytes of the bulk string that are still to come, with its line end
-        self.pieces: list[bytes] = []
-        self.deaf = False
-        self.got = 0  # bytes that have come, all told
 
-    def received(self, value: Any, parts: list[bytes]) -> None:
+class RespReceiver(LineReceiver):
+    """Calls `value_received` with each complete value and the parts of its bytes, which stood between line
+    ends, and `malformed` once, after which it ignores all input."""
+
+    transport: Any
+
+    def __init__(self, max_line: int, max_value: int, max_total: int, max_items: int, max_depth: int) -> None:
+        """The most bytes of a line, of a bulk string and of a value with all it holds; the most items of an
+        array, and arrays in arrays."""
+        self.MAX_LENGTH = max_line
+        self.max_value = max_value
+        self.max_total = max_total
+        self.max_items = max_items
+        self.max_depth = max_depth
+        self.parts: list[bytes] = []  # the bytes of the value so far
+        self.size = 0  # of the value so far, in bytes, with what it announced
+        self.open_arrays: list[tuple[list[Any], int]] = []  # arrays begun, and how long each is to be
+        self.missing = 0  # bytes of the bulk string that are still to come, with its line end
+        self.chunks: list[bytes] = []  # of that bulk string, as they came
+        self.ignoring_input = False
+        self.got = 0  # bytes received in total
+
+    def value_received(self, value: Any, parts: list[bytes]) -> None:
+        """A complete value came (`RespValue`)."""
         raise NotImplementedError
 
     def malformed(self, why: str) -> None:
+        """The peer sent what is no RESP2, or too much of it."""
         raise NotImplementedError
 
     def send(self, data: bytes) -> None:
-        """Now, and not a turn of the loop later; what the line does not take goes then."""
+        """Write now, not a turn of the event loop later; what the socket does not take is written then."""
         self.transport.write(data)
         if self.transport.connected:
             self.transport.doWrite()
@@ -83,120 +144,127 @@
         """Whether a value has begun and not ended."""
         return bool(self.parts or self._buffer)
 
-    def spoil(self, why: str) -> None:
+    def reject_input(self, why: str) -> None:
         """Guards against peers that send what is no RESP2 or too much of it."""
-        self.deaf = True
-        self.parts, self.open, self.pieces = [], [], []
+        self.ignoring_input = True
+        self.parts = []
+        self.open_arrays = []
+        self.chunks = []
         self.clearLineBuffer()
         self.malformed(why)
 
     def dataReceived(self, data: bytes) -> None:
+        """Bytes came."""
         self.got += len(data)
-        if self.deaf or (data and not self.half() and not self.paused and self.flat(data)):
+        if self.ignoring_input or (data and not self.half() and not self.paused and self.parse_fast(data)):
             return
         super().dataReceived(data)
 
-    def flat(self, data: bytes) -> bool:
-        """The short way for what nearly always comes: whole values, at most one array deep, with no line end
-        inside. Anything else, and all that is malformed, goes the long way from its first byte."""
-        pieces = data.split(b"\r\n")
-        end, at, found = len(pieces) - 1, 0, []
-        if pieces[end]:
+    def parse_fast(self, data: bytes) -> bool:
+        """The fast path for what nearly always comes. Anything else, and all that is malformed, takes the
+        slow path from its first byte: False then."""
+        pieces = data.split(LINE_END)
+        if pieces[-1]:
             return False
-        try:
-            while at < end:
-                begin, array, count = at, None, 1
-                if pieces[at][:1] == b"*":
-                    array, count, at = [], length(pieces[at][1:]), at + 1
-                    if not 0 < count <= self.most_items:
-                        return False
-                value = None
-                for _ in range(count):
-                    if pieces[at] == b"$-1":
-                        value, at = None, at + 1
-                    else:
-                        value = pieces[at + 1]
-                        if pieces[at] != b"$%d" % len(value):
-                            return False
-                        at += 2
-                    if array is not None:
-                        array.append(value)
-                found.append((value if array is None else array, pieces[begin:at]))
-        except IndexError:
-            return False
-        if at > end:
+        found = parse_complete_values(pieces, self.max_items)
+        if found is None:
             return False
         for value, parts in found:
-            if not self.deaf:
-                self.received(value, parts)
+            if not self.ignoring_input:
+                self.value_received(value, parts)
         return True
 
-    def lineLengthExceeded(self, line: bytes) -> None:
-        self.spoil("line too long")
+    # The slow path: line by line.
+
+    def lineLengthExceeded(self, _line: bytes) -> None:
+        """A line is too long."""
+        self.reject_input(LINE_TOO_LONG)
 
     def lineReceived(self, line: bytes) -> None:
-        if self.deaf:
+        """A line came that is no part of a bulk string."""
+        if self.ignoring_input:
             return
-        mark, rest = line[:1], line[1:]
+        mark = line[:1]
+        rest = line[1:]
         self.parts.append(line)
-        self.size += len(line) + 2
-        if self.size > self.most_whole:
-            self.spoil("value too long")
-        elif mark == b"$" and (size := length(rest)) >= 0:
-            self.need = size + 2
-            self.size += self.need
-            if self.need - 2 > self.most_value or self.size > self.most_whole:
-                self.spoil("value too long")
-            else:
-                self.setRawMode()
-        elif mark == b"*" and (count := length(rest)) >= 0:
-            if count > self.most_items or len(self.open) >= self.most_depth:
-                self.spoil("array too long")
-            elif count:
-                self.open.append(([], count))
-            else:
-                self.put([])
-        elif mark in (b"$", b"*") and rest == b"-1":
-            self.put(None)
+        self.size += len(line) + len(LINE_END)
+        if self.size > self.max_total:
+            self.reject_input(VALUE_TOO_LONG)
+        elif mark in (b"$", b"*"):
+            self.length_received(mark, rest)
         elif mark == b"+":
-            self.put(rest.decode("latin-1"))
+            self.add_value(rest.decode("latin-1"))
         elif mark == b"-":
-            self.put(Fault(rest))
+            self.add_value(ErrorReply(rest))
         elif mark == b":" and rest.removeprefix(b"-").isdigit():
-            self.put(int(rest))
+            self.add_value(int(rest))
         else:
-            self.spoil("not a RESP2 value")
+            self.reject_input(NOT_RESP2)
+
+    def length_received(self, mark: bytes, digits: bytes) -> None:
+        """The line that begins a bulk string or an array."""
+        length = parse_length(digits)
+        if digits == NULL_LENGTH:
+            self.add_value(None)
+        elif length < 0:
+            self.reject_input(NOT_RESP2)
+        elif mark == b"$":
+            self.begin_bulk_string(length)
+        else:
+            self.begin_array(length)
+
+    def begin_bulk_string(self, length: int) -> None:
+        """A bulk string of so many bytes follows."""
+        self.missing = length + len(LINE_END)
+        self.size += self.missing
+        if length > self.max_value or self.size > self.max_total:
+            self.reject_input(VALUE_TOO_LONG)
+        else:
+            self.setRawMode()
+
+    def begin_array(self, count: int) -> None:
+        """An array of so many items follows."""
+        if count > self.max_items or len(self.open_arrays) >= self.max_depth:
+            self.reject_input(ARRAY_TOO_LONG)
+        elif count:
+            self.open_arrays.append(([], count))
+        else:
+            self.add_value([])
 
     def rawDataReceived(self, data: bytes) -> None:
-        if self.deaf:
+        """Bytes of a bulk string came, and perhaps more behind it."""
+        if self.ignoring_input:
             return
-        if len(data) < self.need:
-            self.pieces.append(data)
-            self.need -= len(data)
+        if len(data) < self.missing:
+            self.chunks.append(data)
+            self.missing -= len(data)
             return
-        rest = data[self.need :]
-        text = data[: self.need] if rest else data
-        if self.pieces:
-            self.pieces.append(text)
-            text, self.pieces = b"".join(self.pieces), []
-        if not text.endswith(b"\r\n"):
-            self.spoil("bulk string not ended")
+        rest = data[self.missing :]
+        text = data[: self.missing] if rest else data
+        if self.chunks:
+            self.chunks.append(text)
+            text = b"".join(self.chunks)
+            self.chunks = []
+        if not text.endswith(LINE_END):
+            self.reject_input(BULK_STRING_NOT_ENDED)
             return
-        text = text[:-2]
+        text = text[: -len(LINE_END)]
         self.parts.append(text)
         self.line_mode = 1
-        self.put(text)
-        if rest and not self.deaf:
+        self.add_value(text)
+        if rest and not self.ignoring_input:
             self.setLineMode(rest)
 
-    def put(self, value: Any) -> None:
-        """A value is whole: it goes into the array that is open, or out."""
-        while self.open:
-            array, count = self.open[-1]
+    def add_value(self, value: Any) -> None:
+        """A value is complete: it goes into the array that is open, or out."""
+        while self.open_arrays:
+            array, count = self.open_arrays[-1]
             array.append(value)
             if len(array) < count:
                 return
-            self.open.pop()
+            self.open_arrays.pop()
             value = array
-        parts, self.parts, self.size = self.parts, [], 0
-        self.received(value, parts)
+        parts = self.parts
+        self.parts = []
+        self.size = 0
+        self.value_received(value, parts)
--- a/tests/configuration/test_configuration.py
+++ b/tests/configuration/test_configuration.py
@@ -593,9 +593,7 @@
 
 
 def test_nothing_of_it_is_imported_where_it_is_off():
-    code = (
-        "import sys, granitedock.service.event_loop\nprint([m for m in sys.modules if 'configuration' in m])"
-    )
+    code = "import sys, granitedock.gateway_process\nprint([m for m in sys.modules if 'configuration' in m])"
     said = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
     assert said.strip() == "[]"
 
--- a/tests/configuration/test_configuration_processes.py
+++ b/tests/configuration/test_configuration_processes.py
@@ -31,7 +31,7 @@
     try:
         yield live
     finally:
-        live.service.configuration.carrier.follower.on = False
+        live.configuration.carrier.follower.on = False
         live.close()
 
 
@@ -46,7 +46,7 @@
 
 
 def has(live, version):
-    until(live, lambda: live.service.configuration.document.version >= version)
+    until(live, lambda: live.configuration.document.version >= version)
 
 
 def change(base, put=(), remove=()):
@@ -105,12 +105,12 @@
             client.apply(writer.address, change(1, [PLAN | {"Name": "new"}]), 5.0)
             has(live, 2)
             writer.process.kill()
-            until(live, lambda: live.service.configuration.follower.counts["dials"] >= 3)
+            until(live, lambda: live.configuration.follower.counts["dials"] >= 3)
             assert "new" in live.reducer.plans
             assert served(live, live.client()) == VALUE
-            live.service.configuration.stop()
+            live.configuration.stop()
         with gateway(tmp_path, [writer.address], copy_file=copy) as live:
-            assert live.service.configuration.document.version == 2
+            assert live.configuration.document.version == 2
             assert "new" in live.reducer.plans
             assert served(live, live.client()) == VALUE
 
@@ -164,13 +164,13 @@
                     except OSError:
                         break  # it was refused meanwhile
                     live.turn(1)
-            return live.service.configuration.document.version >= 1
+            return live.configuration.document.version >= 1
 
         answered.done = False
         until(live, answered)
         said = [figures["why"] for event, figures in live.events if event == "configuration refused"]
         assert len(said) == 1 and why in said[0], said
-        assert live.service.configuration.follower.counts["refused"] == 1
+        assert live.configuration.follower.counts["refused"] == 1
     strange.sock.close()
 
 
@@ -192,7 +192,7 @@
                     client.apply(writer.address, change(base, [plan]), 5.0)
                 # Cut off: the replica has given its connection up and dials again and again, in vain.
                 until(live, lambda: replica.status()["following"]["counts"]["dials"] >= 4)
-                assert live.service.configuration.document.version == 1
+                assert live.configuration.document.version == 1
                 fresh = started(tmp_path, "late", [replica.address], None)
                 try:
                     wait_version([fresh], 1)  # served from the replica's own store
--- a/tests/golden/test_golden_names.py
+++ b/tests/golden/test_golden_names.py
@@ -46,10 +46,10 @@
     from granitedock.configuration.settings import ControlFile, GatewayFile
     from granitedock.lab.scenario import Scenario
     from granitedock.membership.settings import FleetFile
-    from granitedock.service.operator_settings import Operators
+    from granitedock.service.operator_settings import OperatorSettings
 
     return {
-        "gateway.toml": Operators,
+        "gateway.toml": OperatorSettings,
         "fleet.toml": FleetFile,
         "configuration.toml": GatewayFile,
         "control.toml": ControlFile,
--- a/tests/golden/test_golden_story.py
+++ b/tests/golden/test_golden_story.py
@@ -13,7 +13,7 @@
 from fake_gateway import BORN
 from loopback import START_MS, VALUE, Live, Peer, answer, chunk
 
-from granitedock.service.resp import command
+from granitedock.service.resp import encode_command
 
 RECORDED = Path(__file__).parents[1] / "data" / "golden_story.json"
 BUSY, FAILED = b"-BUSY\r\n", b"-ERR failed\r\n"
@@ -24,7 +24,7 @@
 
 def stop(gate):
     """What SIGTERM asks for."""
-    gate.service.stop_soon()
+    gate.service.shut_down()
 
 
 def final_counters(gate):
@@ -160,7 +160,7 @@
         self.turn()
 
     def info(self, name):
-        self.clients[name].send(command(b"INFO"))
+        self.clients[name].send(encode_command(b"INFO"))
         self.turn()
 
     # Discovery.
@@ -196,7 +196,9 @@
 def everyday(story):
     """Requests of each kind, pipelined, in two halves, and commands that are none."""
     story.opened("a")
-    story.clients["a"].send(command(b"PING") + command(b"SELECT", b"0") + command(b"WHAT"))
+    story.clients["a"].send(
+        encode_command(b"PING") + encode_command(b"SELECT", b"0") + encode_command(b"WHAT")
+    )
     story.turn()
     story.ask("a", "read")
     story.ask("a", "read", "mark", "once", "read")
@@ -210,7 +212,7 @@
     story.clients["malformed"].send(story.request("read") + b"nonsense\r\n")
     story.turn()
     story.opened("wrong fields")
-    story.clients["wrong fields"].send(command(b"API.READ", CUSTOMER, b"id", b"c=read"))
+    story.clients["wrong fields"].send(encode_command(b"API.READ", CUSTOMER, b"id", b"c=read"))
     story.turn()
     story.opened("wrong class")
     story.ask("wrong class", "nothing of that name")
--- a/tests/golden/test_golden_wire.py
+++ b/tests/golden/test_golden_wire.py
@@ -159,7 +159,7 @@
     from granitedock.service.limits import Limits
 
     settings = BORN | {"Specifics": BORN["Specifics"] | {"TruedUp": True}}
-    return Limits.told({"limits": {}, "settings": settings})
+    return Limits.from_platform_file({"limits": {}, "settings": settings})
 
 
 def resp_values(pieces):
@@ -169,7 +169,7 @@
 
     receiver = RespReceiver(64, 128, 256, 8, 3)
     values, faults = [], []
-    receiver.received = lambda value, parts: values.append(plain(value))
+    receiver.value_received = lambda value, parts: values.append(plain(value))
     receiver.malformed = faults.append
     receiver.makeConnection(transport())
     for piece in pieces:
@@ -178,11 +178,11 @@
 
 
 def plain(value):
-    from granitedock.service.resp import Fault
+    from granitedock.service.resp import ErrorReply
 
     if isinstance(value, bytes):
         return ["bulk", value.decode("latin-1")]
-    if isinstance(value, Fault):
+    if isinstance(value, ErrorReply):
         return ["error", value.text.decode("latin-1")]
     if isinstance(value, list):
         return ["array", [plain(one) for one in value]]
@@ -190,17 +190,17 @@
 
 
 def resp_command(words):
-    from granitedock.service.resp import command
+    from granitedock.service.resp import encode_command
 
-    return command(*words)
+    return encode_command(*words)
 
 
 def client_command(data, forward_ms):
     """What a client's command says and the bytes that its host gets, or why it is malformed."""
-    from granitedock.service.client_protocol import ClientLink
+    from granitedock.service.client_protocol import ClientProtocol
 
     told = []
-    link = ClientLink(lambda *happened: told.append(happened), limits())
+    link = ClientProtocol(lambda *happened: told.append(happened), limits())
     link.makeConnection(transport())
     link.dataReceived(data)
     found = []
@@ -219,23 +219,23 @@
         ask.request_class,
         ask.plan,
         ask.customer,
-        ask.harmless,
-        ask.stamped,
-        ask.left_ms,
+        ask.idempotent,
+        ask.keyed,
+        ask.time_left_ms,
         ask.units,
         ask.subset_size,
         ask.subset_start,
-        ask.within(forward_ms).decode("latin-1"),
+        ask.encode(forward_ms).decode("latin-1"),
     ]
 
 
 def host_answer(data):
     """What a host's bytes mean: [kind, whether the connection may be used again, bytes for the client, true
     units, the customer's use], or ["malformed", why], or [] while more is to come."""
-    from granitedock.service.host_protocol import HostLink
+    from granitedock.service.host_protocol import HostProtocol
 
     told = []
-    link = HostLink(lambda *happened: told.append(happened), limits())
+    link = HostProtocol(lambda *happened: told.append(happened), limits())
     link.makeConnection(transport())
     link.dataReceived(data)
     for event, _, *what in told:
@@ -248,9 +248,9 @@
 
 
 def counter_call(name, amount, life_ms):
-    from granitedock.service.counter_protocol import tally
+    from granitedock.service.counter_protocol import encode_call
 
-    return tally(name, amount, life_ms)
+    return encode_call(name, amount, life_ms)
 
 
 def counter_ping():
@@ -261,10 +261,10 @@
 
 def counter_answers(data):
     """What the counter's bytes mean: [kind, total] for each answer, ["malformed", why] at the end."""
-    from granitedock.service.counter_protocol import CounterLink
+    from granitedock.service.counter_protocol import CounterProtocol
 
     told = []
-    link = CounterLink(lambda *happened: told.append(happened), limits())
+    link = CounterProtocol(lambda *happened: told.append(happened), limits())
     link.makeConnection(transport())
     link.dataReceived(data)
     answers = [[what[0].value, what[1]] for event, _, *what in told if event == "counter answered"]
@@ -300,10 +300,10 @@
 def discovery_watch(pieces):
     """(request, list of what was heard) of a watch whose answer comes in pieces: None for an empty line,
     [version, whole, entries] for a list, a text for what ends the watch."""
-    from granitedock.service.discovery_protocol import WatchLink
+    from granitedock.service.discovery_protocol import DiscoveryWatchProtocol
 
     told = []
-    link = WatchLink(lambda *happened: told.append(happened), "127.0.0.1:99", limits())
+    link = DiscoveryWatchProtocol(lambda *happened: told.append(happened), "127.0.0.1:99", limits())
     link.record = START
     link.makeConnection(transport())
     asked = link.transport.value().decode()
@@ -323,7 +323,7 @@
 
     words = {status: word for word, status in STATUSES.items()}
     entries = [[*entry[:-1], words[entry.status]] for entry in listing.entries]
-    return [listing.version, listing.whole, entries]
+    return [listing.version, listing.complete, entries]
 
 
 def follower_watch_request():
--- a/tests/helpers/fake_gateway.py
+++ b/tests/helpers/fake_gateway.py
@@ -18,13 +18,13 @@
     RequestClass,
     SlowStart,
 )
-from granitedock.service.client_protocol import ClientLink
-from granitedock.service.counter_protocol import CounterLink
-from granitedock.service.discovery_protocol import WatchLink, listing
-from granitedock.service.host_protocol import HostLink
+from granitedock.service.client_protocol import ClientProtocol
+from granitedock.service.counter_protocol import CounterProtocol
+from granitedock.service.discovery_protocol import DiscoveryWatchProtocol, parse_endpoint_list
+from granitedock.service.host_protocol import HostProtocol
 from granitedock.service.limits import Limits
 from granitedock.service.reducer import Reducer
-from granitedock.service.resp import command
+from granitedock.service.resp import encode_command
 
 READ = RequestClass("read", Idempotency.IDEMPOTENT, IdempotencyScope.ALL, 0, 1000, 4000, 1, 0, False)
 STAMPED = RequestClass("stamped", Idempotency.KEYED, IdempotencyScope.ALL, 3000, 2000, 5000, 1, 0, False)
@@ -190,7 +190,9 @@
         self.left = self.shut_at = self.takes_in = None
         self.next_id = 0x0123456789ABCDEF
         self.since = None  # the earliest moment at which what is told may have come, as the loop says
-        self.limits = Limits.told({"limits": {"memory_mb": memory_mb, "sockets": sockets}, "settings": BORN})
+        self.limits = Limits.from_platform_file(
+            {"limits": {"memory_mb": memory_mb, "sockets": sockets}, "settings": BORN}
+        )
         self.reducer = Reducer(self.now, self.limits, BORN, 7, self.listing(1, hosts), self, self)
         self.tell("start")
 
@@ -200,7 +202,7 @@
             {"instanceId": f"h{n}", "hostPort": f"127.0.0.1:{n}", "lifecycle": lifecycle, **more}
             for n in range(hosts)
         ]
-        return listing({"generation": version, "reset": whole, "instances": entries})
+        return parse_endpoint_list({"generation": version, "reset": whole, "instances": entries})
 
     def tell(self, *happened):
         for act, *what in self.reducer.reduce(self.now, *happened, since=self.since):
@@ -213,13 +215,13 @@
         self.wakes.append(wake)
 
     def dial_host(self, lane, address):
-        self.dials.append((HostLink, lane, "host down"))
+        self.dials.append((HostProtocol, lane, "host down"))
 
     def dial_counter(self, wire):
-        self.dials.append((CounterLink, wire, "counter down"))
+        self.dials.append((CounterProtocol, wire, "counter down"))
 
     def dial_watch(self, watch):
-        self.dials.append((lambda *a: WatchLink(a[0], "d:1", a[1]), watch, "watch down"))
+        self.dials.append((lambda *a: DiscoveryWatchProtocol(a[0], "d:1", a[1]), watch, "watch down"))
 
     def take_in(self, on):
         self.takes_in = on
@@ -249,7 +251,7 @@
         return [self.comes_up(0) for _ in range(self.limits.counter_links)]
 
     def client(self):
-        link = ClientLink(self.tell, self.limits)
+        link = ClientProtocol(self.tell, self.limits)
         line = Line(link)
         link.connectionMade()
         return line
@@ -257,7 +259,9 @@
     def ask(self, line, request_class="read", d=3000, more=b"", body=(), customer=0xA1):
         text = b"c=%b,t=p,d=%d,units=1,spread=1,first=0%b" % (request_class.encode(), d, more)
         name = b"API.READ" if request_class == "read" else b"API.WRITE"
-        line.link.dataReceived(command(name, b"%016x" % customer, b"%016x" % self.next_id, text, *body))
+        line.link.dataReceived(
+            encode_command(name, b"%016x" % customer, b"%016x" % self.next_id, text, *body)
+        )
         self.next_id += 1
 
     def pass_ms(self, ms):
--- a/tests/helpers/loopback.py
+++ b/tests/helpers/loopback.py
@@ -13,8 +13,11 @@
 
 from fake_gateway import BORN
 
-from granitedock.service.event_loop import Clock, Service, SteadyReactor, Wakes
-from granitedock.service.resp import command
+from granitedock.gateway_process import build_gateway
+from granitedock.service.clock import Clock
+from granitedock.service.reactor import GatewayReactor
+from granitedock.service.resp import encode_command
+from granitedock.service.timer_queue import TimerQueue
 
 # Of this process, so that no outgoing connection of another one, on 127.0.0.1, takes the port meanwhile.
 OWN_ADDRESS = f"127.{100 + os.getpid() // 250 % 100}.{os.getpid() % 250}.1"
@@ -101,7 +104,7 @@
     ):
         self.t, self.next_id, self.version = START_MS, 1, 1
         clock = Clock(lambda: self.t / 1000.0, lambda: self.t / 1000.0)
-        self.reactor = SteadyReactor(Wakes(clock), self.t)
+        self.reactor = GatewayReactor(TimerQueue(clock), self.t)
         # Its own timers too (a dial's, above all) go by the story's clock: on a busy machine one had run out
         # between two steps, and nothing in a story whose time stands still dials again.
         self.reactor.seconds = lambda: self.t / 1000.0
@@ -124,7 +127,8 @@
         }
         path = tmp_path / "told.json"
         path.write_text(json.dumps(told))
-        self.service = Service(str(path), self.reactor, configuration=configuration)
+        gateway = build_gateway(str(path), self.reactor, configuration_file=configuration)
+        self.service, self.configuration = gateway.service, gateway.configuration
         self.reducer, self.limits = self.service.reducer, self.service.limits
         self.log = self.service.log
         self.log.event = lambda event, **figures: self.events.append((event, figures))
@@ -194,7 +198,7 @@
         """`narrow`: the bytes that the system holds on each side of a connection, where it matters."""
         sock = socket.socket()
         if narrow:
-            self.service.doors.port.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, narrow)
+            self.service.effects.port.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, narrow)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, narrow)
         sock.connect(self.listen)
         self.turn()
@@ -204,7 +208,7 @@
         text = b"c=%b,t=p,d=%d,units=1,spread=1,first=0%b" % (name.encode(), d, more)
         word = b"API.READ" if name == "read" else b"API.WRITE"
         self.next_id += 1
-        return command(word, b"00000000000000a1", b"%016x" % self.next_id, text, *body)
+        return encode_command(word, b"00000000000000a1", b"%016x" % self.next_id, text, *body)
 
     def at_host(self, number=0):
         """The oldest connection to this host that was not seen yet, if there is one."""
@@ -224,9 +228,9 @@
     def hold_dials(self):
         """From now on connections to hosts come up only when the story lets them (`release`): as late as
         connections on poor ways do."""
-        hosts = self.service.doors.hosts
-        dial = type(hosts).dial
-        hosts.dial = lambda lane, address: self.held.append((lane, address))
+        hosts = self.service.effects.hosts
+        dial = type(hosts).connect
+        hosts.connect = lambda lane, address: self.held.append((lane, address))
         self.release = lambda: (
             [dial(hosts, *self.held.popleft()) for _ in range(len(self.held))] and self.turn()
         )
--- a/tests/lab/test_lab_counter.py
+++ b/tests/lab/test_lab_counter.py
@@ -5,7 +5,7 @@
 
 from emulators import CLIENTS, ONE_HOST, spawned
 
-from granitedock.service.counter_protocol import tally
+from granitedock.service.counter_protocol import encode_call
 
 SCENARIO = (
     ONE_HOST
@@ -39,12 +39,12 @@
         host, _, port = said.rpartition(":")
         began = time.monotonic()  # its clock began a little before it spoke: ours is no sooner
         with socket.create_connection((host, int(port))) as line:
-            assert call(line, tally(7, 2.0, 10_000)) == b"$1\r\n2\r\n"
-            assert call(line, tally(7, 1.5, 10_000)) == b"$3\r\n3.5\r\n"
+            assert call(line, encode_call(7, 2.0, 10_000)) == b"$1\r\n2\r\n"
+            assert call(line, encode_call(7, 1.5, 10_000)) == b"$3\r\n3.5\r\n"
             time.sleep(max(0.0, 1.3 - (time.monotonic() - began)))
-            assert call(line, tally(7, 1.0, 10_000), wait_s=0.3) == b""  # held in the partition
+            assert call(line, encode_call(7, 1.0, 10_000), wait_s=0.3) == b""  # held in the partition
             time.sleep(max(0.0, 2.2 - (time.monotonic() - began)))
             assert call(line, b"", wait_s=0.5) == b"$3\r\n4.5\r\n"  # and written once it is over
         time.sleep(max(0.0, 4.4 - (time.monotonic() - began)))
         with socket.create_connection((host, int(port))) as line:
-            assert call(line, tally(7, 1.0, 10_000)) == b"$1\r\n1\r\n"  # back, and empty
+            assert call(line, encode_call(7, 1.0, 10_000)) == b"$1\r\n1\r\n"  # back, and empty
--- a/tests/lab/test_lab_hosts.py
+++ b/tests/lab/test_lab_hosts.py
@@ -5,7 +5,7 @@
 
 from emulators import CLIENTS, spawned
 
-from granitedock.service.resp import command
+from granitedock.service.resp import encode_command
 
 SCENARIO = (
     """
@@ -35,7 +35,7 @@
     host, _, port = address.rpartition(":")
     try:
         with socket.create_connection((host, int(port)), timeout=wait_s) as line:
-            line.sendall(command(b"API.READ", b"a1", b"b2", b"c=read,t=p,d=1000"))
+            line.sendall(encode_command(b"API.READ", b"a1", b"b2", b"c=read,t=p,d=1000"))
             try:
                 return line.recv(1024)
             except TimeoutError:
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -14,7 +14,7 @@
 from granitedock.lab.scale.results import Machine, Results, form, read, slope
 from granitedock.lab.scale.sizes import FULL, OperatorSize
 from granitedock.lab.scale.tables import filled
-from granitedock.service.discovery_protocol import listing
+from granitedock.service.discovery_protocol import parse_endpoint_list
 
 
 def steps(act):
@@ -39,7 +39,8 @@
     assert form(rows, "hosts", "change_bytes") == "flat"
     assert form(rows, "hosts", "memory_mb") == "linear"
     taken = [
-        steps(lambda count=count: hosts.filled(listing(host_list(count)))) / count for count in (200, 800)
+        steps(lambda count=count: hosts.filled(parse_endpoint_list(host_list(count)))) / count
+        for count in (200, 800)
     ]
     assert taken[1] < 1.5 * taken[0]
 
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -206,7 +206,7 @@
     with Rig(world(1, "talk = true", "talk = false"), tmp_path) as rig:
         rig.ready()
         assert rig.ask(0, b"FLEET") == b"-ERR unknown command"
-        off = [event for event in rig.gateways[0].events() if event["event"] == "fleet off"]
+        off = [event for event in rig.gateways[0].events() if event["event"] == "membership disabled"]
         assert off and "do not let" in off[0]["why"]
         told, file = tmp_path / "g0.json", tmp_path / "bad.toml"
         file.write_text('enabled = true\nlisten = "127.0.0.1:7946"\n[timing]\nsuspect_ms = 9000\n')
--- a/tests/service/test_discovery_watch.py
+++ b/tests/service/test_discovery_watch.py
@@ -121,7 +121,7 @@
 @pytest.mark.parametrize("connect_ms", [None, 100, 250, 1000, 5000])
 def test_the_bound_holds_by_the_limits_themselves_whatever_the_settings_say_of_hosts(connect_ms):
     born = BORN | {"Allowed": BORN["Allowed"] | {"ConnectTimeoutMs": connect_ms}}
-    assert told_within(Limits.told({"settings": born})) <= 6000.0
+    assert told_within(Limits.from_platform_file({"settings": born})) <= 6000.0
 
 
 @pytest.mark.parametrize("known", [True, False])
--- a/tests/service/test_gateway_process.py
+++ b/tests/service/test_gateway_process.py
@@ -6,11 +6,11 @@
 from fake_gateway import Wired
 from pytest import raises
 
+from granitedock.service.clock import Clock
 from granitedock.service.counter_protocol import PING
-from granitedock.service.discovery_protocol import listing
-from granitedock.service.event_loop import Clock
-from granitedock.service.host_protocol import HostLink
-from granitedock.service.resp import command
+from granitedock.service.discovery_protocol import parse_endpoint_list
+from granitedock.service.host_protocol import HostProtocol
+from granitedock.service.resp import encode_command
 
 NOTHING_NEW = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
 VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
@@ -486,10 +486,10 @@
     words += [(b"00000000000000a1", right)]
     for some in words:
         wired, lines, client = begun()
-        client.link.dataReceived(command(b"API.READ", *some))
+        client.link.dataReceived(encode_command(b"API.READ", *some))
         assert client.took().startswith(b"-ERR ") and client.closed == "closed", some
         assert not wired.reducer.customers and not any(line.written for line in lines)
-        client.link.dataReceived(command(b"API.READ", b"00000000000000a1", b"7", right))
+        client.link.dataReceived(encode_command(b"API.READ", b"00000000000000a1", b"7", right))
         assert not client.written and not wired.reducer.errands  # nothing behind it is read
 
 
@@ -599,7 +599,7 @@
                 chance.choice(lines).link.dataReceived(chance.choice((b"$1\r\n3\r\n", b"-BUSY\r\n")))
             while wired.dials and chance.random() < 0.8:
                 line = wired.comes_up()
-                if isinstance(line.link, HostLink):
+                if isinstance(line.link, HostProtocol):
                     hosts.append(line)
             out = Counter(attempt.request for attempt in wired.reducer.lanes)
             assert not out or max(out.values()) == 1  # never two out
@@ -660,7 +660,11 @@
         {"instanceId": "h0", "hostPort": "127.0.0.1:0", "lifecycle": "terminating"},
         {"instanceId": "h1", "hostPort": "127.0.0.1:1", "lifecycle": "in_service"},
     ]
-    wired.tell("listed", wired.reducer.watch, listing({"generation": 2, "reset": True, "instances": entries}))
+    wired.tell(
+        "listed",
+        wired.reducer.watch,
+        parse_endpoint_list({"generation": 2, "reset": True, "instances": entries}),
+    )
     assert wired.reducer.state == "serving"
     while any(b"TALLY" in line.written for line in lines):
         counted(wired, lines)
--- a/tests/service/test_operator_settings.py
+++ b/tests/service/test_operator_settings.py
@@ -48,11 +48,11 @@
             shown = subprocess.run(command, capture_output=True, text=True, timeout=20)
             assert shown.returncode == 1 and f"gateway.toml{told}" in shown.stderr
             rig.gateways[0].signal(signal.SIGHUP)
-            assert told in heard(rig, 0, "operators' file refused", n + 1)[-1]["why"]
+            assert told in heard(rig, 0, "operator settings rejected", n + 1)[-1]["why"]
         file.write_text("[log]\nlines_a_second = 9\n[limits]\nrest_ms = 5000\n")
         rig.gateways[0].signal(signal.SIGHUP)
-        read = heard(rig, 0, "operators' file read", 1)[-1]
-        assert read["lines_a_second"] == 9 and read["limits_wait_for_start"] is True
+        read = heard(rig, 0, "operator settings reloaded", 1)[-1]
+        assert read["max_lines_per_second"] == 9 and read["limits_need_restart"] is True
         # A gateway that cannot read its file at the start does not start, and says why.
         rig.kill(0)
         file.unlink()
--- a/tests/service/test_platform_file.py
+++ b/tests/service/test_platform_file.py
@@ -137,9 +137,9 @@
             "[]",
         ):
             (tmp_path / "told.json").write_text(text)
-            gate.service.read_anew()
+            gate.service.reload()
             gate.turn()
-        refused = [figures["why"] for event, figures in gate.events if event == "file refused"]
+        refused = [figures["why"] for event, figures in gate.events if event == "platform file rejected"]
         assert (
             len(refused) == 4
             and "counter: an address" in refused[1]
@@ -153,7 +153,7 @@
         gate.turn()
         assert client.read() == VALUE
         (tmp_path / "told.json").write_text(json.dumps(elsewhere))
-        gate.service.read_anew()  # and one that is right does
+        gate.service.reload()  # and one that is right does
         gate.turn()
         assert gate.hosts[0].take() is not None
     finally:
@@ -248,7 +248,7 @@
     assert [plan.name for plan in platform_settings.plans(told["settings"])] == [
         it["name"] for it in site["tenant"]
     ]
-    limits, longest = Limits.told(told), max(it["deadline_ms"] for it in site["class"])
+    limits, longest = Limits.from_platform_file(told), max(it["deadline_ms"] for it in site["class"])
     assert limits.open_ms < limits.leave_ms < limits.leave_most_ms < min(3000, longest) + 700
     # A request of each class is served by the program, under the names of this deployment alone.
     gate = Live(
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -11,7 +11,7 @@
 
 from fake_gateway import BORN
 
-from granitedock.service.resp import bulk, command
+from granitedock.service.resp import encode_bulk_string, encode_command
 
 VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
@@ -44,7 +44,7 @@
 
 def request(body):
     text = b"c=once,t=p,d=3000,k=1,units=1,spread=1,first=0"
-    return command(b"API.WRITE", b"00000000000000a1", b"0123456789abcdef", text, body)
+    return encode_command(b"API.WRITE", b"00000000000000a1", b"0123456789abcdef", text, body)
 
 
 def test_the_process_serves_moves_on_sighup_and_a_sigterm_answers_what_it_took_and_exits_with_0(tmp_path):
@@ -57,7 +57,7 @@
         "name": "g0",
         "listen": f"127.0.0.1:{address[1]}",
         "discovery": stand_in(lambda _: chunked),
-        "counter": stand_in(lambda _: bulk(b"1")),
+        "counter": stand_in(lambda _: encode_bulk_string(b"1")),
         "seed": "07",
         "settings": BORN,
     }
@@ -72,7 +72,7 @@
                 break
             except ConnectionRefusedError:
                 time.sleep(0.1)
-        client.sendall(command(b"PING"))
+        client.sendall(encode_command(b"PING"))
         said = client.makefile("rb")
         assert said.readline() == b"+PONG\r\n"  # discovery has spoken, so there is a host
         client.sendall(request(b"fast"))
@@ -80,7 +80,7 @@
         counters = subprocess.run([*run, "counters", told["listen"]], capture_output=True, timeout=10)
         assert b"done:1" in counters.stdout.split() and counters.returncode == 0
         calls = []
-        elsewhere = stand_in(lambda words: calls.append(words) or bulk(b"1"))
+        elsewhere = stand_in(lambda words: calls.append(words) or encode_bulk_string(b"1"))
         for text, most in ("{", 2), (json.dumps(told | {"counter": elsewhere}), 50):
             assert not calls  # a file that can't be read changes nothing
             path.write_text(text)
--- a/tests/service/test_race_conditions.py
+++ b/tests/service/test_race_conditions.py
@@ -9,9 +9,9 @@
 from fake_gateway import BORN
 from loopback import VALUE, WATCHED, Peer, Server, answer, chunk
 
-from granitedock.service.resp import command
+from granitedock.service.resp import encode_command
 
-PING = command(b"PING")
+PING = encode_command(b"PING")
 PATIENT = [lane | {"TargetMs": 4000} for lane in BORN["Lanes"]]  # attempts are out as long as clients wait
 ERR = b"-ERR failed\r\n"
 
@@ -25,7 +25,7 @@
 
 
 def stopping(gate):
-    gate.service.stop_soon()
+    gate.service.shut_down()
     gate.pass_ms(gate.limits.open_ms + 1)
     assert gate.reducer.state == "closing"
 
@@ -39,7 +39,7 @@
     gate = live(lanes=PATIENT)
     client = gate.client()
     out_at_host(gate, client, d=60000)
-    gate.service.stop_soon()
+    gate.service.shut_down()
     gate.pass_ms(gate.limits.leave_ms + 20)
     assert client.read() == ERR and client.ended == "closed"  # told, and parted with
     client.send(gate.request())  # crosses our end: it is neither taken nor sent on
@@ -54,7 +54,7 @@
     gate = live(lanes=PATIENT)
     client = gate.client()
     out_at_host(gate, client, d=60000)
-    gate.service.stop_soon()
+    gate.service.shut_down()
     gate.pass_ms(gate.limits.leave_most_ms + 20)
     assert client.read() == ERR and len(gate.left) == 1
     longest = min(3000.0, max(lane["GiveUpMs"] for lane in BORN["Lanes"]))
@@ -82,7 +82,7 @@
     host = gate.at_host()
     host.read()
     gate.answered(host, client)
-    gate.service.stop_soon()
+    gate.service.shut_down()
     gate.pass_ms(gate.limits.open_ms - 30)
     client.send(gate.request())  # lies unread when the timer of the shut door rings
     gate.t += 40
@@ -94,7 +94,7 @@
 
 def test_a_request_on_a_connection_nobody_accepted_yet_is_answered_when_the_port_closes(live):
     gate = live()
-    gate.service.stop_soon()
+    gate.service.shut_down()
     gate.pass_ms(gate.limits.open_ms - 30)
     clients = [Peer(socket.create_connection(gate.listen)) for _ in range(20)]  # more than a turn accepts
     for client in clients:
@@ -130,7 +130,7 @@
     client.send(PING + gate.request())
     gate.turn()
     assert client.read() == b"" and gate.reducer.state == "starting"
-    gate.service.stop_soon()
+    gate.service.shut_down()
     gate.turn()
     assert gate.reducer.state == "draining"
     said = client.read()
@@ -147,7 +147,7 @@
 
 def test_the_port_closes_in_the_same_turn_as_the_last_connection_is_taken_in(live):
     gate = live()
-    gate.service.stop_soon()
+    gate.service.shut_down()
     gate.pass_ms(gate.limits.open_ms - 30)
     gate.t += 40
     gate.reactor.runUntilCurrent()
@@ -166,7 +166,7 @@
         elsewhere = gate.hosts[0].address
         told = json.loads((tmp_path / "told.json").read_text()) | {"discovery": elsewhere}
         (tmp_path / "told.json").write_text(json.dumps(told))
-        gate.service.signals([signal.SIGHUP, signal.SIGTERM])
+        gate.service.install_signal_handlers([signal.SIGHUP, signal.SIGTERM])
         gate.turn()
         assert gate.at_host().read().startswith(b"GET ") and gate.reducer.state == "draining"
     finally:
@@ -178,12 +178,12 @@
     gate = live()
     client, elsewhere = gate.client(), Server()
     host = out_at_host(gate, client)
-    gate.service.stop_soon()
+    gate.service.shut_down()
     gate.pass_ms(300)
     told = json.loads((tmp_path / "told.json").read_text()) | {"discovery": elsewhere.address}
     (tmp_path / "told.json").write_text(json.dumps(told))
-    gate.service.read_anew()
-    gate.service.stop_soon()  # and once more: the time of the first one counts
+    gate.service.reload()
+    gate.service.shut_down()  # and once more: the time of the first one counts
     gate.turn()
     assert elsewhere.take().read().startswith(b"GET ")
     gate.pass_ms(gate.limits.open_ms - 300 + 1)
@@ -200,7 +200,7 @@
     client.send(gate.request("once", d=60000))
     gate.turn()
     assert gate.held
-    gate.service.stop_soon()
+    gate.service.shut_down()
     gate.pass_ms(gate.limits.leave_ms + 1)
     assert client.read() == ERR
     gate.release()
--- a/tests/test_small_functions.py
+++ b/tests/test_small_functions.py
@@ -137,14 +137,21 @@
 
 
 def test_service_clients_read():
-    from granitedock.service.client_protocol import Limits, read
-    from granitedock.service.resp import command
+    from granitedock.service.client_protocol import Limits, parse_request
+    from granitedock.service.resp import encode_command
 
     text = b"c=r,t=p,d=480,units=2,spread=3,first=1"
     words = [b"API.READ", b"00000000000000a1", b"9b1f03aa5c7e2d41", text]
-    limits = Limits.told({"settings": {"Balancers": 4, "Lanes": []}})
-    ask = read(words, command(*words).split(b"\r\n")[:-1], limits)
-    assert (ask.request_class, ask.customer, ask.left_ms, ask.subset_size, ask.head, ask.tail) == (
+    limits = Limits.from_platform_file({"settings": {"Balancers": 4, "Lanes": []}})
+    ask = parse_request(words, encode_command(*words).split(b"\r\n")[:-1], limits)
+    assert (
+        ask.request_class,
+        ask.customer,
+        ask.time_left_ms,
+        ask.subset_size,
+        ask.fields_before,
+        ask.fields_after,
+    ) == (
         "r",
         161,
         480.0,
@@ -155,29 +162,43 @@
 
 
 def test_service_counter_amount():
-    from granitedock.service.counter_protocol import amount
+    from granitedock.service.counter_protocol import format_amount
 
-    assert (amount(2.0), amount(-2.5), amount(1e-09), amount(0.1 + 0.2)) == (b"2", b"-2.5", b"0", b"0.3")
+    assert (format_amount(2.0), format_amount(-2.5), format_amount(1e-09), format_amount(0.1 + 0.2)) == (
+        b"2",
+        b"-2.5",
+        b"0",
+        b"0.3",
+    )
 
 
 def test_service_discovery_listing():
-    from granitedock.service.discovery_protocol import EndpointStatus, Entry, listing
+    from granitedock.service.discovery_protocol import EndpointEntry, EndpointStatus, parse_endpoint_list
 
     instance = {"instanceId": "s-1", "hostPort": "127.0.0.1:1", "lifecycle": "terminating"}
-    listed = listing({"generation": 4, "reset": True, "instances": [instance]})
-    assert listed.entries[0] == Entry("s-1", "127.0.0.1:1", 1.0, "", "", 0, 0.0, EndpointStatus.DRAINING)
+    listed = parse_endpoint_list({"generation": 4, "reset": True, "instances": [instance]})
+    assert listed.entries[0] == EndpointEntry(
+        "s-1", "127.0.0.1:1", 1.0, "", "", 0, 0.0, EndpointStatus.DRAINING
+    )
 
 
 def test_service_hosts_figures():
-    from granitedock.service.host_protocol import figures
+    from granitedock.service.host_protocol import parse_usage
 
-    assert (figures(b"used=86,cost=3", 4.0), figures(None, 4.0), figures(86, 4.0), figures(b"?", 4.0)) == (
+    assert (
+        parse_usage(b"used=86,cost=3", 4.0),
+        parse_usage(None, 4.0),
+        parse_usage(86, 4.0),
+        parse_usage(b"?", 4.0),
+    ) == (
         (3.0, 86),
         (0.0, 0),
         (0.0, 86),
         (0.0, 0),
     )
-    assert [figures(b"used=%b,cost=%b" % (it, it), 4.0) for it in (b"nan", b"inf", b"1_0", b"-1", b"9")] == [
+    assert [
+        parse_usage(b"used=%b,cost=%b" % (it, it), 4.0) for it in (b"nan", b"inf", b"1_0", b"-1", b"9")
+    ] == [
         (0.0, 0),
         (0.0, 0),
         (0.0, 0),
@@ -187,27 +208,33 @@
 
 
 def test_service_resp_bulk():
-    from granitedock.service.resp import bulk
+    from granitedock.service.resp import encode_bulk_string
 
-    assert bulk(b"ab") == b"$2\r\nab\r\n"
+    assert encode_bulk_string(b"ab") == b"$2\r\nab\r\n"
 
 
 def test_service_resp_command():
-    from granitedock.service.resp import command
+    from granitedock.service.resp import encode_command
 
-    assert command(b"PING") == b"*1\r\n$4\r\nPING\r\n"
+    assert encode_command(b"PING") == b"*1\r\n$4\r\nPING\r\n"
 
 
 def test_service_resp_length():
-    from granitedock.service.resp import length
+    from granitedock.service.resp import parse_length
 
-    assert (length(b"16"), length(b"0"), length(b"016"), length(b"+1"), length(b"")) == (16, 0, -1, -1, -1)
+    assert (
+        parse_length(b"16"),
+        parse_length(b"0"),
+        parse_length(b"016"),
+        parse_length(b"+1"),
+        parse_length(b""),
+    ) == (16, 0, -1, -1, -1)
 
 
 def test_service_resp_whole():
-    from granitedock.service.resp import whole
+    from granitedock.service.resp import join_parts
 
-    assert whole([b"$2", b"ab"]) == b"$2\r\nab\r\n"
+    assert join_parts([b"$2", b"ab"]) == b"$2\r\nab\r\n"
 
 
 def test_shared_bound_detection_ms():
