--- a/granitedock/gateway_process.py
+++ b/granitedock/gateway_process.py
@@ -7,8 +7,7 @@
 
 import signal
 import sys
-from dataclasses import dataclass
-from typing import TYPE_CHECKING, cast
+from typing import TYPE_CHECKING, NamedTuple, cast
 
 from twisted.internet.error import CannotListenError
 from twisted.internet.main import installReactor
@@ -32,8 +31,7 @@
 SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGUSR1)
 
 
-@dataclass(slots=True)
-class GatewayProcess:
+class GatewayProcess(NamedTuple):
     """A gateway and its optional parts; None for one that is off."""
 
     service: GatewayService
@@ -110,7 +108,7 @@
     operators_path: str | None = None,
     configuration_file: GatewayFile | None = None,
 ) -> int:
-    """Run a gateway until it is told to stop; the arguments are those of `build_gateway`. The process's exit
+    """Run a gateway until a signal ends it; the arguments are those of `build_gateway`. The process's exit
     status."""
     # Guards against signals that come during the start: by default they would end the process over
     # connections that the kernel has completed, and a new file would go unread.
--- a/granitedock/service/client_protocol.py
+++ b/granitedock/service/client_protocol.py
@@ -33,7 +33,7 @@
 DECIMAL = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?").fullmatch  # no sign, exponent or word as float takes
 INTEGER = re.compile(rb"[0-9]{1,9}").fullmatch
 
-# Reasons that a client is told.
+# Reason texts, sent to the client.
 NOT_A_COMMAND = "not a command"
 WRONG_WORDS = "a task has four words or five"
 NO_CUSTOMER = "no such customer"
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedRequest:
-    """A request as a client worded it, and its bytes round the time that it gives."""
+    """A request as a client sent it, and its bytes round the time that it states."""
 
     id: bytes
     request_class: str
@@ -99,7 +99,7 @@
     """A request by the words of its command and the parts of its bytes. Raises RequestFormatError.
 
     Guards the decisions against figures that are none, or out of the range that the settings state: a request
-    is taken as it should be worded, and nothing is put right in it.
+    is accepted in its exact form, and nothing is put right in it.
     """
     if len(words) not in REQUEST_WORDS or not all(type(word) is bytes for word in words):
         raise RequestFormatError(WRONG_WORDS)
--- a/granitedock/service/clock.py
+++ b/granitedock/service/clock.py
@@ -29,7 +29,7 @@
     def __call__(self) -> float:
         """The time now, Unix milliseconds."""
         monotonic_ms = self.monotonic() * MS_PER_S
-        half_speed_ms = self.last_ms + (monotonic_ms - self.last_monotonic_ms) / 2
-        self.last_ms = max(self.unix() * MS_PER_S, half_speed_ms)
+        half_speed = (monotonic_ms - self.last_monotonic_ms) / 2
+        self.last_ms = max(self.unix() * MS_PER_S, self.last_ms + half_speed)
         self.last_monotonic_ms = monotonic_ms
         return self.last_ms
--- a/granitedock/service/discovery_protocol.py
+++ b/granitedock/service/discovery_protocol.py
@@ -39,12 +39,12 @@
     """One host of an endpoint list, as discovery states it."""
 
     name: str
-    address: str  # HOST:PORT; empty where it is not told
-    size: float  # relative capacity; 1.0 where it is not told
+    address: str  # HOST:PORT; empty where it is not stated
+    size: float  # relative capacity; 1.0 where it is not stated
     make: str  # the machine's type
     zone: str
     cell: int
-    started_at: float  # Unix ms; 0.0 where it is not told
+    started_at: float  # Unix ms; 0.0 where it is not stated
     status: EndpointStatus
 
 
--- a/granitedock/service/errors.py
+++ b/granitedock/service/errors.py
@@ -8,5 +8,5 @@
 
 
 class RequestFormatError(ServiceError):
-    """A command that names itself a request and does not hold what a request needs; the client is told its
-    text."""
+    """A command that names itself a request and does not hold what a request needs; its text goes to the
+    client."""
--- a/granitedock/service/host_protocol.py
+++ b/granitedock/service/host_protocol.py
@@ -1,6 +1,6 @@
 """The protocol towards hosts: one attempt at a time on a connection, and what its answer means.
 
-Owns the bytes of one attempt from its first to its answer, and tells when the last of them was written. It
+Owns the bytes of one attempt from its first to its answer, and reports when the last of them was written. It
 never sends an attempt again, holds two, chooses a host, or takes a malformed answer for a good one.
 """
 
@@ -32,8 +32,8 @@
 
     outcome: Outcome
     data: bytes  # for the client; empty without a body
-    true_units: float  # what the request really cost; 0 where it is not told
-    quota_used: int  # the customer's; 0 where it is not told
+    true_units: float  # what the request really cost; 0 where it is not stated
+    quota_used: int  # the customer's; 0 where it is not stated
 
 
 OVERLOADED_ANSWER = HostAnswer(Outcome.OVERLOADED, b"", 0.0, 0)
--- a/granitedock/service/operator_settings.py
+++ b/granitedock/service/operator_settings.py
@@ -43,7 +43,7 @@
 
 
 class OperatorSettings(Strict):
-    """The whole file."""
+    """All that the file may hold."""
 
     log: LogSettings = LogSettings()
     limits: ConnectionSettings = ConnectionSettings()
--- a/granitedock/service/resp.py
+++ b/granitedock/service/resp.py
@@ -17,7 +17,7 @@
 NULL_BULK_STRING = b"$-1"
 ZERO_DIGIT = ord("0")
 
-# Reasons that a peer is told or that are logged.
+# Reason texts, sent to the peer or logged.
 LINE_TOO_LONG = "line too long"
 VALUE_TOO_LONG = "value too long"
 ARRAY_TOO_LONG = "array too long"
@@ -69,10 +69,13 @@
     return True
 
 
-def parse_complete_values(parts: list[bytes], max_items: int) -> list[tuple[Any, list[bytes]]] | None:
+def parse_complete_values(data: bytes, max_items: int) -> list[tuple[Any, list[bytes]]] | None:
     """The values, each with its parts, of data that holds complete ones only: bulk strings and arrays of
     them, with no line end inside. None for anything else, and for all that is malformed."""
+    parts = data.split(LINE_END)
     end = len(parts) - 1
+    if parts[end]:
+        return None
     at = 0
     found: list[tuple[Any, list[bytes]]] = []
     try:
@@ -156,24 +159,19 @@
     def dataReceived(self, data: bytes) -> None:
         """Bytes came."""
         self.got += len(data)
-        if self.ignoring_input or (data and not self.half() and not self.paused and self.parse_fast(data)):
+        if self.ignoring_input:
             return
+        # The fast path for what nearly always comes. Anything else, and all that is malformed, takes the slow
+        # path from its first byte.
+        if data and not (self.parts or self._buffer or self.paused):
+            values = parse_complete_values(data, self.max_items)
+            if values is not None:
+                for value, parts in values:
+                    if not self.ignoring_input:
+                        self.value_received(value, parts)
+                return
         super().dataReceived(data)
 
-    def parse_fast(self, data: bytes) -> bool:
-        """The fast path for what nearly always comes. Anything else, and all that is malformed, takes the
-        slow path from its first byte: False then."""
-        pieces = data.split(LINE_END)
-        if pieces[-1]:
-            return False
-        found = parse_complete_values(pieces, self.max_items)
-        if found is None:
-            return False
-        for value, parts in found:
-            if not self.ignoring_input:
-                self.value_received(value, parts)
-        return True
-
     # The slow path: line by line.
 
     def lineLengthExceeded(self, _line: bytes) -> None:
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -102,3 +102,13 @@
     finally:
         process.kill()
         process.wait()
+
+
+def test_the_service_imports_none_of_the_optional_parts_and_the_process_none_that_is_off():
+    parts = ("membership", "quota_sharing", "outlier_detection", "configuration")
+    for module in ("granitedock.service.gateway_service", "granitedock.gateway_process"):
+        code = f"import sys, {module}\nprint(*(m for m in sys.modules if m.startswith('granitedock.')))"
+        loaded = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+        names = loaded.stdout.split()
+        assert module in names
+        assert not [name for name in names if name.split(".")[1] in parts]
