--- a/granitedock/gateway_process.py
+++ b/granitedock/gateway_process.py
@@ -7,14 +7,14 @@
 
 import signal
 import sys
-from typing import TYPE_CHECKING, NamedTuple, cast
+from typing import TYPE_CHECKING, Any, NamedTuple, cast
 
 from twisted.internet.error import CannotListenError
 from twisted.internet.main import installReactor
 from twisted.logger import globalLogBeginner
 
 from granitedock import BEGAN_MS
-from granitedock.platform_file import ToldError
+from granitedock.platform_file import ToldError, load
 from granitedock.service.clock import Clock
 from granitedock.service.gateway_service import GatewayService
 from granitedock.service.reactor import GatewayReactor
@@ -54,10 +54,11 @@
 
     `membership_file` are the operators' settings of membership, quota sharing and the outlier detector,
     `operators_path` the path of their settings of the gateway itself, `configuration_file` those of the
-    configuration service; None for each that is not given. Raises as `GatewayService`.
+    configuration service; None for each that is not given. Raises ToldError, and as `GatewayService`.
     """
-    service = GatewayService(path, reactor, operators_path)
-    membership = attach_membership(service, membership_file)
+    contents = load(path)
+    service = GatewayService(path, contents, reactor, operators_path)
+    membership = attach_membership(service, contents["settings"], membership_file)
     configuration = attach_configuration(service, configuration_file)
     for part in (configuration, membership):
         if part is not None:
@@ -65,19 +66,22 @@
     return GatewayProcess(service, membership, configuration)
 
 
-def attach_membership(service: GatewayService, file: FleetFile | None) -> FleetLink | None:
+def attach_membership(
+    service: GatewayService, settings: dict[str, Any], file: FleetFile | None
+) -> FleetLink | None:
     """The view of the other gateways, where the operators turned it on and the deployment's settings let
-    gateways talk to each other; with it quota sharing and the outlier detector, each where it is on."""
+    gateways talk to each other; with it quota sharing and the outlier detector, each where it is on.
+    `settings` are the platform file's."""
     if file is None or not file.enabled:
         return None
     from granitedock.membership.carrier import FleetLink
     from granitedock.membership.settings import may_talk
 
     reducer = service.reducer
-    if not may_talk(service.settings):
+    if not may_talk(settings):
         service.log.event("membership disabled", why="the settings do not let gateways talk to each other")
         return None
-    link = FleetLink(file, service.name, service.settings, int(BEGAN_MS), service.reactor, service.log)
+    link = FleetLink(file, service.name, settings, int(BEGAN_MS), service.reactor, service.log)
     service.effects.exit_hooks.append(link.leave)
     reducer.shown[b"FLEET"] = link.shown
     reducer.gateway.peers = link
--- a/granitedock/service/gateway_service.py
+++ b/granitedock/service/gateway_service.py
@@ -44,18 +44,23 @@
 class GatewayService:
     """One gateway: its files, log, state machine and effects."""
 
-    def __init__(self, path: str, reactor: GatewayReactor, operators_path: str | None = None) -> None:
-        """`path` is the platform file's, `operators_path` that of the operators' settings, or None. Raises
-        ToldError and toml_file.FileError, and what `Reducer` raises by wrong settings."""
+    def __init__(
+        self,
+        path: str,
+        contents: dict[str, Any],
+        reactor: GatewayReactor,
+        operators_path: str | None = None,
+    ) -> None:
+        """`path` is the platform file's and `contents` what it holds, checked; `operators_path` is that of
+        the operators' settings, or None. Raises ToldError and toml_file.FileError, and what `Reducer` raises
+        by wrong settings. The contents are not kept, as plans may be many."""
         self.path = path
         self.operators_path = operators_path
-        contents = load(path)
         limits = Limits.from_platform_file(contents)
         if operators_path is not None:
             limits = self.load_operator_settings(operators_path).apply_to(limits)
         self.limits = limits
         self.name: str = contents["name"]
-        self.settings: dict[str, Any] = contents["settings"]  # of the deployment, the same at all gateways
         self.reactor = reactor
         self.clock = reactor.timer_queue.clock
         self.log = EventLog(self.name, self.clock, limits.log_lines)
@@ -63,10 +68,9 @@
         addresses = ServerAddresses.from_platform_file(contents)
         self.effects = ReactorEffects(reactor, self.tell, addresses, limits)
         initial_list = initial_endpoint_list(contents, path)
+        settings = contents["settings"]
         seed = int(contents["seed"], 16)
-        self.reducer = Reducer(
-            self.clock(), limits, self.settings, seed, initial_list, self.effects, self.log
-        )
+        self.reducer = Reducer(self.clock(), limits, settings, seed, initial_list, self.effects, self.log)
         self.reducer.began_at = min(reactor.earliest_arrival_ms, self.reducer.now)
         self.listen_address: str = contents["listen"]
         self.start_hooks: list[Callable[[], object]] = []  # called in this order once the port listens
