--- a/granitedock/service/operator_settings.py
+++ b/granitedock/service/operator_settings.py
@@ -13,11 +13,9 @@
 
 from pydantic import Field
 
-from granitedock.service.limits import Limits
+from granitedock.service.limits import REDIAL_MS, WATCH_MOST_MS, Limits
 from granitedock.toml_file import Strict, checked, read
 
-DEFAULT_REDIAL_MS = 100.0  # as Limits has it
-DEFAULT_WATCH_MOST_MS = 1500.0
 Milliseconds = Annotated[float, Field(ge=1, le=600_000)]
 
 
@@ -56,8 +54,8 @@
 
 def contradictions(settings: OperatorSettings) -> list[tuple[tuple[str, ...], str]]:
     """Fields that each are right and contradict one another: where in the file, and what is wrong."""
-    redial_ms = settings.limits.redial_ms or DEFAULT_REDIAL_MS
-    watch_most_ms = settings.limits.watch_most_ms or DEFAULT_WATCH_MOST_MS
+    redial_ms = settings.limits.redial_ms or REDIAL_MS
+    watch_most_ms = settings.limits.watch_most_ms or WATCH_MOST_MS
     if watch_most_ms < redial_ms:
         return [(("limits", "watch_most_ms"), f"less than redial_ms, {redial_ms:g}")]
     return []
