--- a/granitedock/commands/gateway.py
+++ b/granitedock/commands/gateway.py
@@ -48,7 +48,7 @@
     platform_path: str, fleet_path: str | None, settings_path: str | None, configuration_path: str | None
 ) -> None:
     """Serve until SIGTERM."""
-    from granitedock.service.event_loop import serve as run
+    from granitedock.gateway_process import serve as run
 
     fleet_file = load_fleet_file(fleet_path)
     raise SystemExit(
@@ -112,11 +112,11 @@
 
     try:
         platform_file = load_platform_file(platform_path)
-        limits = Limits.told(platform_file)
+        limits = Limits.from_platform_file(platform_file)
         if settings_path is not None:
             from granitedock.service.operator_settings import load
 
-            limits = load(settings_path).over(limits)
+            limits = load(settings_path).apply_to(limits)
         summary = settings_summary(platform_file, limits)
         if (fleet_file := load_fleet_file(fleet_path)) is not None:
             summary["fleet"] = fleet_summary(fleet_file, platform_file["settings"])
--- a/granitedock/lab/hollow.py
+++ b/granitedock/lab/hollow.py
@@ -22,8 +22,8 @@
 from granitedock.lab.running import serve
 from granitedock.lab.scale.platform import platform_file
 from granitedock.lab.scale.roster import commanded
-from granitedock.service.connector import Dialler
-from granitedock.service.discovery_protocol import WatchLink
+from granitedock.service.connector import Connector
+from granitedock.service.discovery_protocol import DiscoveryWatchProtocol
 from granitedock.service.dispatcher import GatewayParameters, GatewayStateMachine
 from granitedock.service.inputs import Input
 from granitedock.service.limits import Limits
@@ -83,7 +83,7 @@
         self.counts["log_lines"] += 1
 
 
-class CountedWatch(WatchLink):
+class CountedWatch(DiscoveryWatchProtocol):
     """A watch that counts the bytes that come."""
 
     counts: Counter[str]
@@ -100,7 +100,7 @@
     def __init__(self, gateway: HollowGateway, address: str) -> None:
         self.gateway, self.address = gateway, address
         limits = gateway.limits
-        self.watch = Dialler(
+        self.watch = Connector(
             gateway.reactor, gateway.tell, self.link, Input.WATCH_DISCONNECTED, limits.watch_connect_ms
         )
 
@@ -118,7 +118,7 @@
             self.gateway.tell(timer.input, *timer.arguments)
 
     def connect_watch(self, watch: Any) -> None:
-        self.watch.dial(watch, self.address)
+        self.watch.connect(watch, self.address)
 
 
 class HollowGateway:
@@ -132,7 +132,7 @@
         told["settings"]["Specifics"]["Counter"] = False
         told["settings"]["Balancers"], told["settings"]["Me"] = order.gateways, number
         self.settings = told["settings"]
-        self.limits = Limits.told(told)
+        self.limits = Limits.from_platform_file(told)
         self.doors = HollowDoors(self, order.discovery)
         io: Any = self.doors  # it lacks what no client, host or counter will ask for
         self.state_machine = GatewayStateMachine(
--- a/granitedock/lab/scale/hosts.py
+++ b/granitedock/lab/scale/hosts.py
@@ -10,7 +10,7 @@
 
 from granitedock.lab.scale.platform import host_list, instance, platform_file
 from granitedock.lab.scale.probe import MIB, allocated_bytes, cpu_ms
-from granitedock.service.discovery_protocol import Listing, listing
+from granitedock.service.discovery_protocol import EndpointListUpdate, parse_endpoint_list
 from granitedock.service.dispatcher import GatewayParameters, GatewayStateMachine
 from granitedock.service.limits import Limits
 
@@ -46,11 +46,11 @@
 def state_machine(told: dict[str, Any]) -> GatewayStateMachine:
     """A gateway's state machine that has spoken with nobody yet."""
     silent = Silent()
-    limits = Limits.told(told)
+    limits = Limits.from_platform_file(told)
     return GatewayStateMachine(GatewayParameters(1e12, limits, told["settings"], 7, None, silent, silent))
 
 
-def filled(whole: Listing) -> GatewayStateMachine:
+def filled(whole: EndpointListUpdate) -> GatewayStateMachine:
     """A gateway's state machine that has taken this list in."""
     machine = state_machine(platform_file())
     machine.endpoints.update(whole)
@@ -64,11 +64,11 @@
         {"generation": 2, "reset": False, "instances": [instance(0, lifecycle="terminating")]}
     )
     machine = state_machine(platform_file())
-    read_ms = cpu_ms(lambda: listing(orjson.loads(line)))
-    whole = listing(orjson.loads(line))
+    read_ms = cpu_ms(lambda: parse_endpoint_list(orjson.loads(line)))
+    whole = parse_endpoint_list(orjson.loads(line))
     take_in_ms = cpu_ms(lambda: machine.endpoints.update(whole), 1)
     memory = allocated_bytes(lambda: filled(whole)) / MIB
-    change_ms = cpu_ms(lambda: machine.endpoints.update(listing(orjson.loads(change))))
+    change_ms = cpu_ms(lambda: machine.endpoints.update(parse_endpoint_list(orjson.loads(change))))
     sweep_ms = cpu_ms(machine.maintain)
     load_balancer = machine.policy.load_balancer
 
--- a/granitedock/service/client_commands.py
+++ b/granitedock/service/client_commands.py
@@ -12,7 +12,7 @@
 from granitedock.service.client_connections import ClientState
 from granitedock.service.lifecycle import LifecycleState
 from granitedock.service.reply_queues import CommandReply
-from granitedock.service.resp import bulk
+from granitedock.service.resp import encode_bulk_string
 
 if TYPE_CHECKING:
     from granitedock.service.client_connections import ClientConnection, ClientConnections
@@ -62,11 +62,12 @@
         if name == b"PING":
             self._ping(client)
         elif name == b"INFO":
-            self.replies.reply(client, bulk(b"".join(b"%b:%d\r\n" % row for row in self.counters())))
+            lines = b"".join(b"%b:%d\r\n" % row for row in self.counters())
+            self.replies.reply(client, encode_bulk_string(lines))
         elif name in (b"CLIENT", b"SELECT"):
             self.replies.reply(client, b"+OK\r\n")
         elif name in self.status_commands:
-            self.replies.reply(client, bulk(self.status_commands[name]()))
+            self.replies.reply(client, encode_bulk_string(self.status_commands[name]()))
         else:
             self.replies.reply(client, b"-ERR unknown command\r\n")
 
--- a/granitedock/service/counter_connections.py
+++ b/granitedock/service/counter_connections.py
@@ -12,7 +12,7 @@
 
 from granitedock.policy.types import CounterCall, Outcome
 from granitedock.service import counter_names
-from granitedock.service.counter_protocol import PING, tally
+from granitedock.service.counter_protocol import PING, encode_call
 from granitedock.service.inputs import Input
 from granitedock.service.transitions import Ignored, pairs
 from granitedock.state_table import advance
@@ -143,7 +143,7 @@
             connection.waiting_since = context.now
         connection.waiting.append(call)
         if connection.state is OPEN:
-            self._send(connection, tally(call.name, call.amount, call.ttl_ms))
+            self._send(connection, encode_call(call.name, call.amount, call.ttl_ms))
 
     def call_all(self, calls: list[CounterCall]) -> None:
         """Make calls that no request asked for (presence at the counter)."""
@@ -236,7 +236,9 @@
         """It is up: write the calls that waited for it."""
         connection.last_reply_at = self.context.now
         calls = [
-            tally(call.name, call.amount, call.ttl_ms) for call in connection.waiting if call is not None
+            encode_call(call.name, call.amount, call.ttl_ms)
+            for call in connection.waiting
+            if call is not None
         ]
         if calls:
             self._send(connection, b"".join(calls))
--- a/granitedock/service/dispatcher.py
+++ b/granitedock/service/dispatcher.py
@@ -15,7 +15,7 @@
 from granitedock.service.client_connections import ClientConnections
 from granitedock.service.context import Context, Effect
 from granitedock.service.counter_connections import CounterConnections
-from granitedock.service.discovery_protocol import Listing
+from granitedock.service.discovery_protocol import EndpointListUpdate
 from granitedock.service.discovery_watch import DiscoveryWatch, Watch
 from granitedock.service.endpoints import EndpointList
 from granitedock.service.host_connections import HostConnections
@@ -40,7 +40,7 @@
     limits: Limits
     settings: dict[str, Any]
     seed: int
-    initial_endpoints: Listing | None
+    initial_endpoints: EndpointListUpdate | None
     io: GatewayIO
     event_log: EventLogPort
     process_started_at: float | None = None
--- a/granitedock/service/endpoints.py
+++ b/granitedock/service/endpoints.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from granitedock.policy.gateway import Gateway
     from granitedock.service.context import Context
-    from granitedock.service.discovery_protocol import Listing
+    from granitedock.service.discovery_protocol import EndpointListUpdate
     from granitedock.service.discovery_watch import DiscoveryWatch, Watch
     from granitedock.service.host_connections import HostConnections
     from granitedock.service.lifecycle import Lifecycle
@@ -52,7 +52,7 @@
         self.watch = watch
         self.policy = policy
 
-    def received(self, watch: Watch, listing: Listing | None) -> None:
+    def received(self, watch: Watch, listing: EndpointListUpdate | None) -> None:
         """A line of a watch: an endpoint update, or None for a sign of life."""
         if not self.watch.line_received(watch, None if listing is None else listing.version):
             return
@@ -60,7 +60,7 @@
             self.update(listing)
         self.lifecycle.signal(LifecycleEvent.ENDPOINTS_RECEIVED)
 
-    def update(self, listing: Listing) -> None:
+    def update(self, listing: EndpointListUpdate) -> None:
         """Take an endpoint update in, whole or of some endpoints."""
         self.context.counts[counter_names.LISTS] += 1
         updates = []
@@ -85,7 +85,7 @@
                     entry.status,
                 )
             )
-        self.policy.update_endpoints(updates, listing.whole)
+        self.policy.update_endpoints(updates, listing.complete)
         for name, endpoint in list(self.by_name.items()):
             if endpoint.idle and endpoint.status is not EndpointStatus.READY:
                 self.hosts.close_idle(endpoint)
--- a/granitedock/service/host_connections.py
+++ b/granitedock/service/host_connections.py
@@ -231,7 +231,7 @@
             or context.now >= attempt.send_before
         ):
             return HostConnectionEvent.ABANDONED
-        data = request.parsed.within(connection.attempt_deadline - context.now)
+        data = request.parsed.encode(connection.attempt_deadline - context.now)
         context.emit(connection.link.send, data, len(request.attempts) == 1)  # type: ignore[union-attr]  # up
         return None
 
--- a/granitedock/service/in_flight_requests.py
+++ b/granitedock/service/in_flight_requests.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from granitedock.policy.gateway import Gateway
     from granitedock.service.client_connections import ClientConnection, ClientConnections
-    from granitedock.service.client_protocol import Ask
+    from granitedock.service.client_protocol import ParsedRequest
     from granitedock.service.context import Context
     from granitedock.service.lifecycle import Lifecycle
     from granitedock.service.reply_queues import ReplyQueues
@@ -42,7 +42,7 @@
     """A request with the connection it came on and the bytes it came in."""
 
     client: ClientConnection
-    parsed: Ask
+    parsed: ParsedRequest
     reserved_bytes: int
     answer: bytes | None = None  # written by the reply queues
     watchdog: Timer | None = None
@@ -83,7 +83,7 @@
 
     # Taking a request.
 
-    def received(self, client: ClientConnection, parsed: Ask) -> None:
+    def received(self, client: ClientConnection, parsed: ParsedRequest) -> None:
         """A client sent a request."""
         if not self.clients.accepts_requests(client):
             return
@@ -93,8 +93,8 @@
             self.clients.malformed(client, "unknown product or plan")
             return
         kind = request_class.kind
-        if parsed.harmless != (kind is Idempotency.IDEMPOTENT) or (
-            kind is Idempotency.KEYED and not parsed.stamped
+        if parsed.idempotent != (kind is Idempotency.IDEMPOTENT) or (
+            kind is Idempotency.KEYED and not parsed.keyed
         ):
             self.clients.malformed(client, "not a command of this product")
             return
@@ -122,7 +122,7 @@
         )
         self._admit(client, request, parsed)
 
-    def _deadline(self, parsed: Ask, request_class: RequestClass) -> float:
+    def _deadline(self, parsed: ParsedRequest, request_class: RequestClass) -> float:
         """When the request is to be answered, Unix ms.
 
         Guards against time that ran before we read the request: it counts from the client's last byte, which
@@ -132,12 +132,13 @@
         time-out whatever kept it waiting; hurts by as much time, from requests read at start.
         """
         context = self.context
-        left_ms = min(parsed.left_ms, request_class.deadline_ms)  # guards against requests held for hours
+        # Guards against requests held for hours.
+        left_ms = min(parsed.time_left_ms, request_class.deadline_ms)
         starting = self.lifecycle.state is STARTING
         arrived_at = context.process_started_at if starting else context.earliest_arrival
         return max(context.now, arrived_at + max(left_ms / 2, left_ms - context.limits.margin_ms))
 
-    def _admit(self, client: ClientConnection, request: InFlightRequest, parsed: Ask) -> None:
+    def _admit(self, client: ClientConnection, request: InFlightRequest, parsed: ParsedRequest) -> None:
         """Reserve its bytes and hand it to the policy, or reject it where there is no room."""
         context = self.context
         limits = context.limits
--- a/tests/configuration/test_gateway_attachment.py
+++ b/tests/configuration/test_gateway_attachment.py
@@ -16,9 +16,7 @@
 
 
 def test_nothing_of_it_is_imported_where_it_is_off():
-    code = (
-        "import sys, granitedock.service.event_loop\nprint([m for m in sys.modules if 'configuration' in m])"
-    )
+    code = "import sys, granitedock.gateway_process\nprint([m for m in sys.modules if 'configuration' in m])"
     output = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
     assert output.strip() == "[]"
 
--- a/tests/helpers/fake_gateway.py
+++ b/tests/helpers/fake_gateway.py
@@ -19,14 +19,14 @@
     RequestClass,
     SlowStart,
 )
-from granitedock.service.client_protocol import ClientLink
-from granitedock.service.counter_protocol import CounterLink
-from granitedock.service.discovery_protocol import WatchLink, listing
+from granitedock.service.client_protocol import ClientProtocol
+from granitedock.service.counter_protocol import CounterProtocol
+from granitedock.service.discovery_protocol import DiscoveryWatchProtocol, parse_endpoint_list
 from granitedock.service.dispatcher import GatewayParameters, GatewayStateMachine
-from granitedock.service.host_protocol import HostLink
+from granitedock.service.host_protocol import HostProtocol
 from granitedock.service.inputs import Input
 from granitedock.service.limits import Limits
-from granitedock.service.resp import command
+from granitedock.service.resp import encode_command
 
 READ = RequestClass("read", Idempotency.IDEMPOTENT, IdempotencyScope.ALL, 0, 1000, 4000, 1, 0, False)
 KEYED = RequestClass("stamped", Idempotency.KEYED, IdempotencyScope.ALL, 3000, 2000, 5000, 1, 0, False)
@@ -216,7 +216,9 @@
         self.left = self.shut_at = self.takes_in = None
         self.next_id = 0x0123456789ABCDEF
         self.since = None  # the earliest moment at which what is told may have come, as the loop says
-        self.limits = Limits.told({"limits": {"memory_mb": memory_mb, "sockets": sockets}, "settings": BORN})
+        self.limits = Limits.from_platform_file(
+            {"limits": {"memory_mb": memory_mb, "sockets": sockets}, "settings": BORN}
+        )
         self.state_machine = GatewayStateMachine(
             GatewayParameters(self.now, self.limits, BORN, 7, self.listing(1, hosts), self, self)
         )
@@ -228,7 +230,7 @@
             {"instanceId": f"h{n}", "hostPort": f"127.0.0.1:{n}", "lifecycle": lifecycle, **more}
             for n in range(hosts)
         ]
-        return listing({"generation": version, "reset": whole, "instances": entries})
+        return parse_endpoint_list({"generation": version, "reset": whole, "instances": entries})
 
     def tell(self, *happened):
         for act, *what in self.state_machine.handle(self.now, *happened, earliest_arrival=self.since):
@@ -241,13 +243,16 @@
         self.timers.append(timer)
 
     def connect_host(self, connection, address):
-        self.dials.append((HostLink, connection, Input.HOST_DISCONNECTED))
+        self.dials.append((HostProtocol, connection, Input.HOST_DISCONNECTED))
 
     def connect_counter(self, connection):
-        self.dials.append((CounterLink, connection, Input.COUNTER_DISCONNECTED))
+        self.dials.append((CounterProtocol, connection, Input.COUNTER_DISCONNECTED))
 
     def connect_watch(self, watch):
-        self.dials.append((lambda *a: WatchLink(a[0], "d:1", a[1]), watch, Input.WATCH_DISCONNECTED))
+        def make(tell, limits):
+            return DiscoveryWatchProtocol(tell, "d:1", limits)
+
+        self.dials.append((make, watch, Input.WATCH_DISCONNECTED))
 
     def accept_connections(self, on):
         self.takes_in = on
@@ -277,7 +282,7 @@
         return [self.comes_up(0) for _ in range(self.limits.counter_links)]
 
     def client(self):
-        link = ClientLink(self.tell, self.limits)
+        link = ClientProtocol(self.tell, self.limits)
         line = Line(link)
         link.connectionMade()
         return line
@@ -285,7 +290,9 @@
     def ask(self, line, request_class="read", d=3000, more=b"", body=(), customer=0xA1):
         text = b"c=%b,t=p,d=%d,units=1,spread=1,first=0%b" % (request_class.encode(), d, more)
         name = b"API.READ" if request_class == "read" else b"API.WRITE"
-        line.link.dataReceived(command(name, b"%016x" % customer, b"%016x" % self.next_id, text, *body))
+        line.link.dataReceived(
+            encode_command(name, b"%016x" % customer, b"%016x" % self.next_id, text, *body)
+        )
         self.next_id += 1
 
     def pass_ms(self, ms):
