--- a/granitedock/service/dispatcher.py
+++ b/granitedock/service/dispatcher.py
@@ -19,6 +19,7 @@
 from granitedock.service.discovery_watch import DiscoveryWatch, Watch
 from granitedock.service.endpoints import EndpointList
 from granitedock.service.host_connections import HostConnections
+from granitedock.service.host_pool import HostConnectionPool
 from granitedock.service.in_flight_requests import InFlightRequests
 from granitedock.service.inputs import Input
 from granitedock.service.lifecycle import Lifecycle, LifecycleState
@@ -112,7 +113,8 @@
             {request_class.name: request_class for request_class in classes},
             {plan.name: plan for plan in plans},
         )
-        self.hosts = HostConnections(context)
+        self.host_pool = HostConnectionPool(context)
+        self.hosts = HostConnections(context, self.host_pool)
         self.counter = CounterConnections(context)
         self.endpoints = EndpointList(context)
         self.discovery = DiscoveryWatch(context, parameters.seed)
@@ -128,7 +130,8 @@
         self.replies.attach(self.clients, self.requests)
         self.commands.attach(self.clients, self.replies, self.requests, self.hosts, self.lifecycle)
         self.requests.attach(self.clients, self.replies, self.lifecycle, self.policy)
-        self.hosts.attach(self.endpoints, self.requests, self.lifecycle, self.policy_timers, self.policy)
+        self.host_pool.attach(self.endpoints, self.lifecycle)
+        self.hosts.attach(self.requests, self.policy_timers, self.policy)
         self.counter.attach(self.policy_timers, self.policy)
         self.endpoints.attach(self.hosts, self.lifecycle, self.discovery, self.policy)
         self.discovery.attach(self.lifecycle)
--- a/granitedock/service/host_connection.py
+++ b/granitedock/service/host_connection.py
@@ -108,7 +108,7 @@
     """A host with its address and the connections that are idle there, the longest idle first."""
 
     address: str = ""  # written by the endpoint list
-    idle: list[HostConnection] = field(default_factory=list)  # written by the host connections
+    idle: list[HostConnection] = field(default_factory=list)  # written by the pool
 
 
 @dataclass(eq=False, slots=True)
@@ -120,6 +120,6 @@
     attempt: Attempt | None
     attempt_deadline: float
     link: HostLinkPort | None = None
-    idle_since: float = 0.0
+    idle_since: float = 0.0  # written by the pool
     deadline_timer: Timer | None = None
     reused: bool = False  # it has carried an attempt before
--- a/granitedock/service/host_connections.py
+++ b/granitedock/service/host_connections.py
@@ -1,7 +1,7 @@
 """Connections to hosts: one attempt at a time on each, and those at rest kept for the next.
 
-Owns the state of each connection, the idle ones of each endpoint, and the outcome of each attempt. Whether
-and where an attempt is made is decided by the policy.
+Owns the state of each connection and the outcome of each attempt. Whether and where an attempt is made is
+decided by the policy; the idle connections are kept by the pool (`host_pool`).
 """
 
 from __future__ import annotations
@@ -18,15 +18,13 @@
     HostConnectionState,
 )
 from granitedock.service.inputs import Input
-from granitedock.service.lifecycle import LifecycleState
 from granitedock.state_table import advance
 
 if TYPE_CHECKING:
     from granitedock.policy.decisions import Gateway
     from granitedock.service.context import Context
-    from granitedock.service.endpoints import EndpointList
+    from granitedock.service.host_pool import HostConnectionPool
     from granitedock.service.in_flight_requests import InFlightRequest, InFlightRequests
-    from granitedock.service.lifecycle import Lifecycle
     from granitedock.service.ports import HostLinkPort
     from granitedock.service.timers import PolicyTimers
 
@@ -37,37 +35,26 @@
 ASSIGNED = HostConnectionEvent.ASSIGNED
 WRITTEN = HostConnectionEvent.WRITTEN
 RESPONSE = HostConnectionEvent.RESPONSE
-ENDED = LifecycleState.ENDED
 ATTEMPT_DEADLINE = Input.ATTEMPT_DEADLINE
 
 
 class HostConnections:
     """The state machine of all connections to hosts of one gateway."""
 
-    endpoints: EndpointList
     requests: InFlightRequests
-    lifecycle: Lifecycle
     policy_timers: PolicyTimers
     policy: Gateway
 
-    def __init__(self, context: Context) -> None:
+    def __init__(self, context: Context, pool: HostConnectionPool) -> None:
         self.context = context
+        self.pool = pool
         self.by_attempt: dict[Attempt, HostConnection] = {}
         self.open_count = 0  # open and connecting
         self.reset_at = float("-inf")  # when a reused connection was last reset under an attempt
 
-    def attach(
-        self,
-        endpoints: EndpointList,
-        requests: InFlightRequests,
-        lifecycle: Lifecycle,
-        policy_timers: PolicyTimers,
-        policy: Gateway,
-    ) -> None:
+    def attach(self, requests: InFlightRequests, policy_timers: PolicyTimers, policy: Gateway) -> None:
         """Set the machines that this one calls."""
-        self.endpoints = endpoints
         self.requests = requests
-        self.lifecycle = lifecycle
         self.policy_timers = policy_timers
         self.policy = policy
 
@@ -77,29 +64,26 @@
         """Send an attempt over an idle connection, or a new one.
 
         Guards against kept connections that are reset at their next use: a non-idempotent request gets one of
-        its own while that has been seen of late. Hurts by a handshake. Else the longest idle goes first: a
-        host that closes on us does so soon after a response.
+        its own while that has been seen of late. Hurts by a handshake.
         """
         context = self.context
-        limits = context.limits
         endpoint: Endpoint = attempt.host  # type: ignore[assignment]  # the endpoint list makes all hosts
         request = attempt.request
         attempt_deadline = min(attempt_deadline or request.deadline, request.deadline)
         context.counts[counter_names.FORWARDS] += 1
         wary = (
             request.request_class.kind is Idempotency.NON_IDEMPOTENT
-            and context.now - self.reset_at < limits.wary_ms
+            and context.now - self.reset_at < context.limits.wary_ms
         )
-        for connection in () if wary else endpoint.idle:
-            if limits.settle_ms <= context.now - connection.idle_since < limits.host_idle_ms:
-                endpoint.idle.remove(connection)
-                connection.attempt = attempt
-                connection.attempt_deadline = attempt_deadline
-                connection.reused = True
-                self._start_deadline(connection, attempt)
-                advance(HOST_CONNECTION, connection, ASSIGNED, self)
-                return
-        self._connect(endpoint, attempt, attempt_deadline)
+        connection = None if wary else self.pool.take(endpoint)
+        if connection is None:
+            self._connect(endpoint, attempt, attempt_deadline)
+            return
+        connection.attempt = attempt
+        connection.attempt_deadline = attempt_deadline
+        connection.reused = True
+        self._start_deadline(connection, attempt)
+        advance(HOST_CONNECTION, connection, ASSIGNED, self)
 
     def _connect(self, endpoint: Endpoint, attempt: Attempt, attempt_deadline: float) -> None:
         context = self.context
@@ -120,11 +104,11 @@
 
     def _free_capacity(self) -> bool:
         """Guards against running out of descriptors: an idle connection elsewhere makes room."""
-        for endpoint in self.endpoints.by_name.values():
-            if endpoint.idle:
-                advance(HOST_CONNECTION, endpoint.idle[0], HostConnectionEvent.EXPIRED, self)
-                return True
-        return False
+        connection = self.pool.longest_idle()
+        if connection is None:
+            return False
+        advance(HOST_CONNECTION, connection, HostConnectionEvent.EXPIRED, self)
+        return True
 
     def cancel(self, attempt: Attempt) -> None:
         """The policy wants this attempt no more."""
@@ -238,12 +222,7 @@
     def keep(self, connection: HostConnection) -> HostConnectionEvent | None:
         """The response came: keep the connection for the next attempt."""
         connection.attempt = None
-        connection.idle_since = self.context.now
-        endpoint = connection.endpoint
-        if endpoint.status is EndpointStatus.READY and self.lifecycle.state is not ENDED:
-            endpoint.idle.append(connection)
-            return None
-        return HostConnectionEvent.EXPIRED
+        return None if self.pool.put(connection) else HostConnectionEvent.EXPIRED
 
     def connect_anew(self, connection: HostConnection) -> None:
         """Send the attempt over a new connection."""
@@ -307,8 +286,7 @@
 
     def remove_idle(self, connection: HostConnection) -> None:
         """An idle connection has ended."""
-        if connection in connection.endpoint.idle:
-            connection.endpoint.idle.remove(connection)
+        self.pool.remove(connection)
 
     # Outcomes of attempts.
 
@@ -339,14 +317,10 @@
         """Guards against connections that look open and lead nowhere, as after a machine vanished: idle ones
         at a host that left an attempt unanswered are closed, so that the next attempt there connects and,
         where that fails, provably never ran. Hurts a slow host by some handshakes."""
-        idle, endpoint.idle = endpoint.idle, []
-        for connection in idle:
+        for connection in self.pool.take_all(endpoint):
             advance(HOST_CONNECTION, connection, HostConnectionEvent.EXPIRED, self)
 
     def maintain(self) -> None:
         """Close what has been idle for too long, before the host does."""
-        now = self.context.now
-        host_idle_ms = self.context.limits.host_idle_ms
-        for endpoint in self.endpoints.by_name.values():
-            while endpoint.idle and now - endpoint.idle[0].idle_since > host_idle_ms:
-                advance(HOST_CONNECTION, endpoint.idle[0], HostConnectionEvent.EXPIRED, self)
+        for connection in self.pool.expired():
+            advance(HOST_CONNECTION, connection, HostConnectionEvent.EXPIRED, self)
--- a/granitedock/service/ports.py
+++ b/granitedock/service/ports.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 if TYPE_CHECKING:
-    from granitedock.service.counter_connections import CounterConnection
+    from granitedock.service.counter_connection import CounterConnection
     from granitedock.service.discovery_watch import Watch
     from granitedock.service.host_connection import HostConnection
     from granitedock.service.inputs import Input
--- a/tests/service/test_transition_tables.py
+++ b/tests/service/test_transition_tables.py
@@ -9,6 +9,7 @@
 import pytest
 
 from granitedock.service import (
+    counter_connection,
     counter_connections,
     counter_names,
     discovery_watch,
@@ -31,10 +32,10 @@
         host_connections.HostConnections,
     ),
     "counter connection": (
-        counter_connections.COUNTER_CONNECTION,
-        counter_connections.IGNORED,
-        counter_connections.CounterConnectionState,
-        counter_connections.CounterConnectionEvent,
+        counter_connection.COUNTER_CONNECTION,
+        counter_connection.IGNORED,
+        counter_connection.CounterConnectionState,
+        counter_connection.CounterConnectionEvent,
         counter_connections.CounterConnections,
     ),
     "watch": (
