--- a/tests/service/test_discovery_watch.py
+++ b/tests/service/test_discovery_watch.py
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("ways", list(permutations(BAD, 2)), ids=" then ".join)
-def test_news_is_told_in_time_after_a_silence_and_two_watches_that_fail(ways):
+def test_an_endpoint_update_comes_in_time_after_a_silence_and_two_watches_that_fail(ways):
     for seed in range(3):
         wired = Wired()
         wired.counter_up()
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("first", BAD)
-def test_news_is_told_in_time_after_long_refusals_and_a_watch_that_fails(first):
+def test_an_endpoint_update_comes_in_time_after_long_refusals_and_a_watch_that_fails(first):
     for seed in range(3):
         wired = Wired()
         wired.counter_up()
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("ways", list(permutations(BAD, 2)), ids=" then ".join)
-def test_news_is_told_within_four_seconds_of_a_file_that_moves_discovery(ways):
+def test_an_endpoint_update_comes_within_four_seconds_of_a_file_that_moves_discovery(ways):
     wired = Wired()
     wired.counter_up()
     discovery = Discovery(wired, ways)
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("ways", [["refused"] * 2, ["silent"], ["half"], ["never up", "silent"]])
-def test_a_start_is_told_in_time_too(ways):
+def test_a_start_gets_its_endpoints_in_time_too(ways):
     wired = Wired(hosts=0)
     discovery = Discovery(wired, ways)
     assert discovery.told_after(wired.now) <= 6000.0
--- a/tests/service/test_gateway_process.py
+++ b/tests/service/test_gateway_process.py
@@ -58,7 +58,7 @@
     return hosts
 
 
-def test_a_task_goes_on_as_it_came_but_for_the_time_and_its_value_comes_back_as_the_host_made_it():
+def test_a_request_is_forwarded_as_it_came_but_for_the_time_and_its_response_comes_back_as_the_host_made_it():
     wired, lines, client = begun()
     host = forwarded(
         wired, lines, client, request_class="once", more=b",k=5c0f6e1a2b3d4c59", body=(b"\r\n*1",)
@@ -75,7 +75,7 @@
     assert b"API.READ" in host.took() and not wired.dials  # the connection serves again
 
 
-def test_a_line_of_the_decisions_reaches_the_diary():
+def test_a_line_of_the_policy_reaches_the_event_log():
     wired, lines, client = begun(hosts=1)
     host = None
     for _ in range(3):
@@ -88,7 +88,7 @@
     assert ("decision", {"line": "host trusted to aside: 3 failures, 0 out"}) in wired.lines
 
 
-def test_a_fault_in_a_decision_leaves_no_task_without_an_answer():
+def test_a_fault_in_a_decision_leaves_no_request_without_an_answer():
     wired, lines, client = begun()
     host = forwarded(wired, lines, client)
 
@@ -102,7 +102,7 @@
     assert client.took() == b"-ERR failed\r\n"
 
 
-def test_a_wake_that_is_over_wakes_nobody():
+def test_a_timer_that_is_over_is_cancelled():
     wired, lines, client = begun()
     host = forwarded(wired, lines, client)
     host.link.dataReceived(VALUE)
@@ -197,7 +197,7 @@
     assert client.took() == b"-ERR failed\r\n"  # and after that byte it may have run
 
 
-def test_what_may_not_run_twice_takes_no_kept_connection_after_one_was_cut_in_use():
+def test_a_non_idempotent_request_takes_no_kept_connection_after_one_was_reset_in_use():
     wired, lines, client = begun(hosts=1)
     [kept] = quick(wired, lines, client, 1)
     wired.ask(client, request_class="once")
@@ -214,7 +214,7 @@
         assert client.took() == VALUE
 
 
-def test_a_refused_dial_sends_the_task_on_and_all_refused_defer_it():
+def test_a_refused_connection_means_a_retry_and_all_refused_reject_the_request():
     wired, lines, client = begun()
     wired.ask(client, request_class="once")
     counted(wired, lines)
@@ -224,7 +224,7 @@
     assert client.took() == b"-BUSY\r\n"
 
 
-def test_a_host_s_busy_reaches_no_client_of_a_task_that_may_have_run():
+def test_a_host_s_busy_reaches_no_client_of_a_request_that_may_have_run():
     wired, lines, client = begun()
     host = forwarded(wired, lines, client, request_class="once")
     host.link.dataReceived(b"-BUSY inflight=7,queue=2\r\n")
@@ -276,7 +276,7 @@
         assert host.closed == "aborted" and wired.state_machine.watch.version == 2
 
 
-def test_an_answer_too_long_or_out_of_form_ends_its_forward_as_one_that_may_have_run():
+def test_a_response_too_long_or_malformed_ends_its_attempt_as_one_that_may_have_run():
     said = (
         b"*1\r\n$99999\r\n",
         b"?\r\n",
@@ -375,7 +375,7 @@
     assert any(b"TALLY" in line.written for line in moved if not line.closed)
 
 
-def test_an_idle_counter_line_is_kept_in_use_and_a_dead_one_dialled_again():
+def test_an_idle_counter_connection_is_kept_in_use_and_a_dead_one_made_again():
     wired, lines, _ = begun()
     wired.pass_ms(3200)
     assert all(line.took() == PING for line in lines)
@@ -385,7 +385,7 @@
     assert len(wired.dials) == 1
 
 
-def test_a_counter_that_is_away_is_dialled_by_calls_and_twice_a_second_and_no_more():
+def test_a_counter_that_is_away_is_connected_to_by_calls_and_twice_a_second_and_no_more():
     wired, lines, client = begun()
     for line in lines:
         line.link.connectionLost()
@@ -422,7 +422,7 @@
         forwarded(wired, lines, client)
 
 
-def test_a_client_that_reads_nothing_is_cut_off_and_one_that_left_costs_no_further_forward():
+def test_a_client_that_reads_nothing_is_cut_off_and_one_that_left_costs_no_retry():
     wired, lines, client = begun()
     hosts = quick(wired, lines, client)
     for _ in range(5):
@@ -446,7 +446,7 @@
     )
 
 
-def test_more_than_the_memory_holds_is_deferred_and_more_than_the_sockets_hold_makes_room():
+def test_more_than_the_memory_holds_is_rejected_and_more_than_the_sockets_hold_makes_room():
     wired, lines, client = begun(memory_mb=27)
     for _ in range(15):
         wired.ask(client, request_class="once", body=(60000 * b"x",))
@@ -486,7 +486,7 @@
     assert all(host.health.state == "trusted" for host in wired.state_machine.policy.fleet.ready)
 
 
-def test_a_task_out_of_form_or_range_is_answered_with_an_error_and_charges_nobody():
+def test_a_request_malformed_or_out_of_range_is_answered_with_an_error_and_charges_nobody():
     right = b"c=read,t=p,d=480,units=2,spread=1,first=0"
     bad = [right.replace(*change) for change in (
         (b"c=read", b"c=unheard"), (b"c=read", b"c=once"), (b"c=read", b"c=mark"), (b"t=p", b"t=q"),
@@ -507,7 +507,7 @@
         assert not client.written and not wired.state_machine.requests.in_flight  # nothing behind it is read
 
 
-def test_the_id_of_a_task_in_hand_is_refused_to_another_and_free_afterwards():
+def test_the_id_of_a_request_in_flight_is_refused_to_another_and_free_afterwards():
     wired, lines, client = begun()
     host = forwarded(wired, lines, client)
     other = wired.client()
@@ -524,7 +524,7 @@
     assert client.took() == VALUE
 
 
-def test_hosts_and_customers_that_are_gone_are_forgotten_once_nothing_is_out():
+def test_hosts_and_customers_that_are_gone_are_forgotten_once_nothing_is_in_flight():
     wired, lines, client = begun()
     host = forwarded(wired, lines, client)
     state_machine = wired.state_machine
@@ -550,7 +550,7 @@
     assert len(state_machine.policy.accounts) < 15 and len(state_machine.requests.customers) < 25
 
 
-def test_who_says_nothing_or_half_of_it_hears_of_it_within_three_seconds():
+def test_a_client_silent_or_in_the_middle_of_a_command_is_closed_within_three_seconds():
     wired, lines, client = begun()
     half, behind, busy = wired.client(), wired.client(), wired.client()
     half.link.dataReceived(PING[:6])
@@ -589,7 +589,7 @@
     assert clock() == 102000.0
 
 
-def test_whatever_comes_in_whatever_order_each_task_gets_one_answer_in_time():
+def test_whatever_comes_in_whatever_order_each_request_gets_one_answer_in_time():
     for seed in range(40):
         chance = Random(seed)
         wired, lines, _ = begun(hosts=3)
@@ -643,7 +643,7 @@
     return client.took()
 
 
-def test_a_task_that_waited_for_a_restarted_process_is_answered_before_its_client_gives_up():
+def test_a_request_that_waited_for_a_restarted_process_is_answered_before_its_client_gives_up():
     # As on herd+mass: the client wrote its task while the process was still starting, and its time ran
     # before the process could read it. The host it goes to never answers.
     wired = Wired()
@@ -660,7 +660,7 @@
     assert answered_by(wired, client, client_end) in FINAL
 
 
-def test_a_task_read_after_the_loop_was_away_counts_its_time_from_when_it_may_have_come():
+def test_a_request_read_after_the_loop_was_away_counts_its_time_from_when_it_may_have_come():
     wired, lines, client = begun()
     wired.since = wired.now - 300.0  # the last poll ended so long ago: the task may have waited as long
     client_end = wired.since + 1000.0
@@ -671,7 +671,7 @@
     assert answered_by(wired, client, client_end) in FINAL
 
 
-def test_tasks_taken_at_a_restart_wait_for_the_first_list_and_go_to_no_host_that_drains_since():
+def test_requests_taken_at_a_restart_wait_for_the_first_list_and_go_to_no_host_that_drains_since():
     # As on herd+mass: the process is handed the list as it last had it, with both hosts in service; one has
     # begun to drain since, and the first list from discovery says so.
     wired = Wired(hosts=2)
@@ -696,7 +696,7 @@
     assert places == {"127.0.0.1:1"}
 
 
-def test_a_ping_whose_client_left_while_starting_keeps_the_tasks_taken_meanwhile():
+def test_a_ping_whose_client_left_while_starting_keeps_the_requests_taken_meanwhile():
     # As on herd+vast: discovery is overbooked at a release, the front's PING waits, its connection goes, and
     # the first list then found the PING's queue empty; the fault left every task taken meanwhile unforwarded.
     wired = Wired(hosts=2)
@@ -717,7 +717,7 @@
     return [n for n, (_, _, down) in enumerate(wired.dials) if down is Input.WATCH_DISCONNECTED]
 
 
-def test_an_overbooked_discovery_is_asked_ever_less_often_and_as_before_once_it_answers():
+def test_an_overbooked_discovery_is_queried_ever_less_often_and_as_before_once_it_answers():
     # As on herd+vast: discovery turns watches away while asked too often; forty gateways that asked again
     # every 100 ms kept it so all day (336 dials a second), and none of them heard of the release.
     wired = Wired()
@@ -738,7 +738,7 @@
     assert watch_dials(wired)
 
 
-def test_a_start_waits_no_longer_for_a_discovery_that_turns_it_away():
+def test_a_start_waits_no_longer_for_a_discovery_that_refuses_it():
     # As on herd+vast: a restarted gateway's watches are all turned away, and its first tasks waited the whole
     # second for a list that never came; the shortest class lost most of its time so.
     wired = Wired()
--- a/tests/service/test_race_conditions.py
+++ b/tests/service/test_race_conditions.py
@@ -78,7 +78,7 @@
     assert said.startswith(VALUE + b"-BUSY") and said.count(b"-BUSY") == 2 and client.ended == "closed"
 
 
-def test_a_request_unread_when_the_door_shuts_is_answered_before_its_connection_ends(live):
+def test_a_request_unread_when_the_listener_closes_is_answered_before_its_connection_ends(live):
     gate = live()
     client = gate.client()
     client.send(gate.request())
@@ -111,7 +111,7 @@
         socket.create_connection(gate.listen)
 
 
-def test_half_a_request_when_the_door_shuts_has_a_moment_for_its_rest(live):
+def test_a_partial_request_when_the_listener_closes_has_a_moment_for_its_rest(live):
     gate = live()
     client, other = gate.client(), gate.client()
     request = gate.request()
@@ -198,7 +198,7 @@
     assert client.read() == VALUE and client.ended == "closed"
 
 
-def test_an_answer_given_at_the_end_calls_off_an_attempt_still_on_its_way_up(live):
+def test_an_answer_given_at_the_end_cancels_an_attempt_still_connecting(live):
     gate = live(lanes=PATIENT)
     gate.hold_dials()
     client = gate.client()
@@ -265,8 +265,8 @@
 BIG = answer(60000 * b"x")
 
 
-def choke(gate, client):
-    """Answers that the client does not read fill the way until the gateway holds some; how many."""
+def fill_write_buffer(gate, client):
+    """Answers that the client does not read fill the buffers until the gateway holds some; how many."""
     asked = 0
     while not next(iter(gate.state_machine.clients.connections)).write_paused:
         host = out_at_host(gate, client, "read")
@@ -281,7 +281,7 @@
 def test_the_end_of_a_client_that_reads_no_answers_is_seen(live):
     gate = live()
     client = gate.client(narrow=16384)
-    choke(gate, client)
+    fill_write_buffer(gate, client)
     client.send(gate.request())  # is kept, and not looked at
     gate.turn()
     assert gate.at_host() is None
@@ -293,7 +293,7 @@
 def test_a_slow_reader_whose_connection_is_to_end_gets_all_of_its_answer(live):
     gate = live()
     client = gate.client(narrow=16384)
-    asked = choke(gate, client)
+    asked = fill_write_buffer(gate, client)
     stopping(gate)
     began, got = gate.t, b""
     while not client.ended:
--- a/tests/service/test_standing_terms.py
+++ b/tests/service/test_standing_terms.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("waited_ms", [100.0, 700.0])
-def test_a_further_attempt_tells_its_host_at_most_what_is_left_to_the_client(live, waited_ms):
+def test_a_retry_tells_its_host_at_most_what_is_left_to_the_client(live, waited_ms):
     gate = live(hosts=2)
     client = gate.client()
     client.send(gate.request(d=3000))
