--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -255,7 +255,7 @@
 @main.command()
 def real() -> None:
     """Real processes on loopback: joins, crashes, silences, a cut and its heal, as told from the outside."""
-    from granitedock.lab.rig import Rig
+    from granitedock.lab.cluster.cluster import Rig
     from granitedock.lab.scenario import parse
 
     click.echo("| processes | joined | crash p50 | max | silence p50 | max | halves settled | heal (s) |")
@@ -300,8 +300,8 @@
 @click.option("--seconds", default=12.0, show_default=True)
 def cost(rounds: int, seconds: float) -> None:
     """CPU a task at a gateway of ten with the view off, and of ten with it on, loaded side by side."""
-    from granitedock.lab.load import load_on
-    from granitedock.lab.rig import Rig
+    from granitedock.lab.cluster.cluster import Rig
+    from granitedock.lab.load.generator import load_on
     from granitedock.lab.scenario import parse
 
     spent: dict[str, list[float]] = {"false": [], "true": []}
--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -18,7 +18,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from granitedock.lab.load import Load, broken  # noqa: E402
+from granitedock.lab.load.generator import Load, broken  # noqa: E402
 from granitedock.lab.scenario import parse  # noqa: E402
 
 SECONDS = 5.0
--- a/granitedock/commands/laboratory.py
+++ b/granitedock/commands/laboratory.py
@@ -20,8 +20,8 @@
 def lab_run(scenario: str | None, out: str | None) -> None:
     """Play SCENARIO with real gateways (without one: a minute of two gateways and a zone that slows); exits
     with 1 if it does not show what it expects."""
-    from granitedock.lab.play import DEFAULT, play
     from granitedock.lab.scenario import ScenarioError
+    from granitedock.lab.scenario_runner import DEFAULT, play
 
     try:
         raise SystemExit(play(scenario or DEFAULT, out, click.echo))
@@ -37,8 +37,8 @@
 def load_gateways(scenario: str, addresses: tuple[str, ...], seconds: float | None, out: str | None) -> None:
     """Put the load of SCENARIO's clients on gateways that run already; exits with 1 if an answer broke the
     first rule. Its faults are not played: those are for `lab run`."""
-    from granitedock.lab.play import loaded
     from granitedock.lab.scenario import ScenarioError
+    from granitedock.lab.scenario_runner import loaded
 
     try:
         raise SystemExit(loaded(scenario, list(addresses), seconds, out, click.echo))
--- a/granitedock/lab/rig.py
+++ b/granitedock/lab/cluster/cluster.py
@@ -1,8 +1,8 @@
 """A fleet of real gateway processes on this machine's loopback, and the faults that are put on it.
 
 The rig starts `granitedock serve` as processes of their own, with emulated hosts, counter and discovery, and
-failing wires between all of them (`wires.py`). A test or a scenario's timeline kills (SIGKILL), pauses
-(SIGSTOP), wakes (SIGCONT), stops (SIGTERM) and restarts gateways, and cuts or spoils wires. It ends only
+failing wires between all of them (`faults/proxies.py`). A test or a scenario's timeline kills (SIGKILL),
+pauses (SIGSTOP), wakes (SIGCONT), stops (SIGTERM) and restarts gateways, and cuts or spoils wires. It ends only
 processes it started, by their ids, also when a test fails. The stand-ins run on one Twisted reactor in a
 thread of this process; everything public here may be called from any other thread.
 
@@ -29,12 +29,12 @@
 from twisted.internet.defer import DeferredList
 from twisted.internet.threads import blockingCallFromThread
 
-from granitedock.lab import hosts
-from granitedock.lab.counter import Counter, Counts
-from granitedock.lab.discovery import Discovery
+from granitedock.lab.emulators import hosts
+from granitedock.lab.emulators.counter import Counter, Counts
+from granitedock.lab.emulators.discovery import Discovery
+from granitedock.lab.faults.proxies import FINE, DatagramWires, Fate, TcpWire, Weather
+from granitedock.lab.gateway_settings import born
 from granitedock.lab.scenario import Fault, Scenario, numbers
-from granitedock.lab.settings import born
-from granitedock.lab.wires import FINE, DatagramWires, Fate, TcpWire, Weather
 from granitedock.service.resp import command
 
 CLIENTS_PORT, FLEET_PORT = 6379, 7946
--- /dev/null
+++ b/granitedock/lab/emulators/__init__.py
@@ -0,0 +1,1 @@
+"""Emulators of what surrounds a gateway: hosts, the counter service and discovery."""
--- a/granitedock/lab/counter.py
+++ b/granitedock/lab/emulators/counter.py
@@ -6,8 +6,8 @@
 empty), `restart_empty` (connections cut and totals forgotten, at once), `partition` (connections stay open
 and answers are held for `for_s`, then written), `stale` (for `for_s`, totals as they stood when it began).
 
-Run as `python -m granitedock.lab.counter SCENARIO`: it prints its address as one JSON line and serves until
-SIGTERM. Source: docs/lab-design.md ("The counter and discovery").
+Run as `python -m granitedock.lab.emulators.counter SCENARIO`: it prints its address as one JSON
+line and serves until SIGTERM. Source: docs/lab-design.md ("The counter and discovery").
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 from twisted.internet import reactor as default_reactor
 
-from granitedock.lab.running import listen, serve, vanish
+from granitedock.lab.emulators.process import listen, serve, vanish
 from granitedock.lab.scenario import Scenario, load
 from granitedock.service.counter_protocol import amount
 from granitedock.service.resp import RespReceiver, bulk
--- a/granitedock/lab/discovery.py
+++ b/granitedock/lab/emulators/discovery.py
@@ -7,8 +7,9 @@
 (open and silent), `late_lists` (each list written `factor` seconds late), `wrong_lists` (addresses that lead
 nowhere). HTTP is read and written by h11.
 
-Run as `python -m granitedock.lab.discovery SCENARIO HOSTS`, where HOSTS is a file that holds the JSON line
-that `granitedock.lab.hosts` printed: it prints its own address as one JSON line and serves until SIGTERM."""
+Run as `python -m granitedock.lab.emulators.discovery SCENARIO HOSTS`, where HOSTS is a file that holds the
+JSON line that `granitedock.lab.emulators.hosts` printed: it prints its own address as one JSON line and serves
+until SIGTERM."""
 
 from __future__ import annotations
 
@@ -23,7 +24,7 @@
 from twisted.internet import reactor as default_reactor
 from twisted.internet.protocol import Protocol
 
-from granitedock.lab.running import listen, serve, vanish
+from granitedock.lab.emulators.process import listen, serve, vanish
 from granitedock.lab.scenario import Scenario, load
 
 
--- a/granitedock/lab/hosts.py
+++ b/granitedock/lab/emulators/hosts.py
@@ -1,13 +1,13 @@
 """Emulated hosts: many RESP2 servers on loopback in one Twisted process, each living as its scenario says.
 
 Each host listens on its own port, serves `slots` tasks at once with a queue of `queue` behind them
-(beyond it: `-BUSY`), and does with each task what `life.reply` says: answers after its service time,
-errs, refuses, stays silent, writes half an answer and stalls, or resets the connection. A killed host
+(beyond it: `-BUSY`), and does with each task what `faults.host_faults.reply` says: answers after its service
+time, errs, refuses, stays silent, writes half an answer and stalls, or resets the connection. A killed host
 closes its listener and its connections at once, as a dead process does. Framing is the service's own
 (`service/resp.py`).
 
-Run as `python -m granitedock.lab.hosts SCENARIO`: it prints one JSON line, {"zone/n": "127.0.0.1:port", ...},
-and serves until SIGTERM. Source: docs/lab-design.md ("Where the emulated hosts run").
+Run as `python -m granitedock.lab.emulators.hosts SCENARIO`: it prints one JSON line,
+{"zone/n": "127.0.0.1:port", ...}, and serves until SIGTERM. Source: docs/lab-design.md ("Where the emulated hosts run").
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 
 from twisted.internet import reactor as default_reactor
 
-from granitedock.lab.life import condition, faults_of, reply
-from granitedock.lab.rules import Seen
-from granitedock.lab.running import listen, serve, vanish
+from granitedock.lab.emulators.process import listen, serve, vanish
+from granitedock.lab.faults.host_faults import condition, faults_of, reply
+from granitedock.lab.load.rule_checks import Seen
 from granitedock.lab.scenario import Scenario, Zone, load
 from granitedock.service.resp import RespReceiver
 
--- a/granitedock/lab/hollow.py
+++ b/granitedock/lab/hollow.py
@@ -19,7 +19,7 @@
 
 from twisted.internet import reactor as default_reactor
 
-from granitedock.lab.running import serve
+from granitedock.lab.emulators.process import serve
 from granitedock.lab.scale.platform import platform_file
 from granitedock.lab.scale.roster import commanded
 from granitedock.service.connector import Dialler
--- a/granitedock/lab/load.py
+++ b/granitedock/lab/load/generator.py
@@ -19,10 +19,10 @@
 from twisted.internet import reactor
 from twisted.internet.protocol import ClientFactory
 
-from granitedock.lab.rig import CLIENTS_PORT, Rig, on_loop
-from granitedock.lab.rules import Answer, Ceiling, Records, Start, check
+from granitedock.lab.cluster.cluster import CLIENTS_PORT, Rig, on_loop
+from granitedock.lab.gateway_settings import COLD, PRODUCTS, REMEMBERED_MS
+from granitedock.lab.load.rule_checks import Answer, Ceiling, Records, Start, check
 from granitedock.lab.scenario import Clients, Scenario
-from granitedock.lab.settings import COLD, PRODUCTS, REMEMBERED_MS
 from granitedock.service.resp import Fault, RespReceiver, command
 
 SAFE = {name for name, repeat in PRODUCTS if repeat == "safe"}  # these are read, the others written
--- a/granitedock/lab/report.py
+++ b/granitedock/lab/report.py
@@ -13,7 +13,7 @@
 import orjson
 from hdrh.histogram import HdrHistogram
 
-from granitedock.lab.load import Row
+from granitedock.lab.load.generator import Row
 
 PERCENTILES = (50.0, 99.0, 99.9)
 KINDS = ("done", "deferred", "errored", "lost", "open")
--- a/granitedock/lab/scale/calls.py
+++ b/granitedock/lab/scale/calls.py
@@ -64,7 +64,7 @@
     with tempfile.TemporaryDirectory() as folder:
         scene = Path(folder) / "scenario.toml"
         scene.write_text(worded(1))
-        with process("granitedock.lab.counter", str(scene)) as (counter, address):
+        with process("granitedock.lab.emulators.counter", str(scene)) as (counter, address):
             lines = connected(address, connections)
             try:
                 began, cpu = time.monotonic(), process_cpu_s(counter.pid)
--- a/granitedock/lab/scale/platform.py
+++ b/granitedock/lab/scale/platform.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
+from granitedock.lab.gateway_settings import born
 from granitedock.lab.scenario import parse
-from granitedock.lab.settings import born
 from granitedock.lab.sharesim import SCENARIO
 
 ZONES = 5
--- a/granitedock/lab/scale/requests.py
+++ b/granitedock/lab/scale/requests.py
@@ -19,7 +19,7 @@
 import orjson
 
 from granitedock.commands.asking import asked
-from granitedock.lab.load import Load, Row
+from granitedock.lab.load.generator import Load, Row
 from granitedock.lab.scale.platform import settings
 from granitedock.lab.scale.probe import ScaleError, memory_mb, process_cpu_s, quantile
 from granitedock.lab.scenario import Scenario, parse
@@ -154,11 +154,11 @@
         scene, list_file = folder / "scenario.toml", folder / "hosts.json"
         scene.write_text(worded(hosts))
         with (
-            process("granitedock.lab.hosts", str(scene)) as (_, addresses),
-            process("granitedock.lab.counter", str(scene)) as (_, counter),
+            process("granitedock.lab.emulators.hosts", str(scene)) as (_, addresses),
+            process("granitedock.lab.emulators.counter", str(scene)) as (_, counter),
         ):
             list_file.write_bytes(orjson.dumps(addresses))
-            with process("granitedock.lab.discovery", str(scene), str(list_file)) as (_, discovery):
+            with process("granitedock.lab.emulators.discovery", str(scene), str(list_file)) as (_, discovery):
                 told = {
                     "name": "g0",
                     "listen": f"{LISTEN}:{free_port()}",
--- a/granitedock/lab/scale/roster.py
+++ b/granitedock/lab/scale/roster.py
@@ -1,7 +1,7 @@
 """A discovery stand-in at fleet size: thousands of hosts, hundreds of watches, whole lists and changes.
 
-The wire is that of `lab/discovery.py`. A new watch gets the whole list; later changes go out as lists that
-name only what changed (`"reset": false`). A silent stand-in leaves its watches open and writes nothing.
+The wire is that of `lab/emulators/discovery.py`. A new watch gets the whole list; later changes go out as
+lists that name only what changed (`"reset": false`). A silent stand-in leaves its watches open and writes nothing.
 
 Run as `python -m granitedock.lab.scale.roster HOSTS`: prints its address as one JSON line, takes one JSON
 command a line on standard input (`{"change": N}`, `{"silent": true}`) and answers each with one JSON line:
@@ -17,8 +17,8 @@
 import orjson
 from twisted.internet import reactor as default_reactor
 
-from granitedock.lab.discovery import Watch
-from granitedock.lab.running import listen, serve
+from granitedock.lab.emulators.discovery import Watch
+from granitedock.lab.emulators.process import listen, serve
 from granitedock.lab.scale.platform import host_list, instance
 
 HEARTBEAT_S = 1.0
--- a/granitedock/lab/play.py
+++ b/granitedock/lab/scenario_runner.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 
 from granitedock.lab import report
-from granitedock.lab.load import Load, Row, broken, done_units, load_on
-from granitedock.lab.rig import Rig, RigError
+from granitedock.lab.cluster.cluster import Rig, RigError
+from granitedock.lab.load.generator import Load, Row, broken, done_units, load_on
 from granitedock.lab.scenario import FAULTS, Scenario, load, numbers
 
 JOIN_S = 20.0
--- a/granitedock/lab/sharesim.py
+++ b/granitedock/lab/sharesim.py
@@ -15,8 +15,8 @@
 
 from granitedock import platform_settings
 from granitedock.lab.fleetsim import EPOCH, Node, World
+from granitedock.lab.gateway_settings import born
 from granitedock.lab.scenario import parse
-from granitedock.lab.settings import born
 from granitedock.membership.pace import Pace
 from granitedock.membership.wire import Kind, Message
 from granitedock.outlier_detection.judge import Judge, Weights
--- a/granitedock/model_checking/gateways.py
+++ b/granitedock/model_checking/gateways.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from granitedock.lab.rules import CEILING_SLACK_S, GRACE_S, SLACK_S
+from granitedock.lab.load.rule_checks import CEILING_SLACK_S, GRACE_S, SLACK_S
 from granitedock.model_checking.canon import digest
 from granitedock.model_checking.explore import Move
 from granitedock.model_checking.still import keep, maker, still
--- a/tests/configuration/test_configuration_processes.py
+++ b/tests/configuration/test_configuration_processes.py
@@ -15,10 +15,10 @@
 from granitedock.__main__ import main
 from granitedock.configuration import client, follower, lines
 from granitedock.configuration.settings import GatewayFile
-from granitedock.lab.rig import on_loop
+from granitedock.lab.cluster.cluster import on_loop
+from granitedock.lab.faults.proxies import FINE, Fate, TcpWire, Weather
 from granitedock.lab.scale.configuration import CLUSTER, controls, started, wait_version
 from granitedock.lab.scale.fleet import commanded, hollow_fleet
-from granitedock.lab.wires import FINE, Fate, TcpWire, Weather
 
 WITHIN_S = 20.0
 PLAN = {"Name": "p", "Refill": 1000, "MostAtOnce": 1000}
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -95,7 +95,7 @@
 
 
 def write_run(folder, name, length_s, faults, rows):
-    from granitedock.lab.load import Row
+    from granitedock.lab.load.generator import Row
     from granitedock.lab.report import keep
 
     keep(folder, name, length_s, faults, [Row(*row) for row in rows])
--- a/tests/helpers/emulators.py
+++ b/tests/helpers/emulators.py
@@ -14,11 +14,11 @@
 
 @contextmanager
 def spawned(module, tmp_path, scenario, *more):
-    """`python -m granitedock.lab.MODULE` on a scenario's text; gives what it printed first, as JSON."""
+    """`python -m granitedock.lab.emulators.MODULE` on a scenario's text; gives its first line, as JSON."""
     path = tmp_path / "s.toml"
     path.write_text(scenario)
     process = subprocess.Popen(
-        [sys.executable, "-m", f"granitedock.lab.{module}", str(path), *more],
+        [sys.executable, "-m", f"granitedock.lab.emulators.{module}", str(path), *more],
         stdout=subprocess.PIPE,
         text=True,
     )
--- a/tests/lab/test_life.py
+++ b/tests/lab/test_life.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 from random import Random
 
-from granitedock.lab.life import condition, faults_of, reply
+from granitedock.lab.faults.host_faults import condition, faults_of, reply
 from granitedock.lab.scenario import Fault, Service, load
 
 EXAMPLE = Path(__file__).parents[2] / "docs" / "examples" / "zone-slow.toml"
--- a/tests/lab/test_report.py
+++ b/tests/lab/test_report.py
@@ -2,7 +2,7 @@
 
 from pytest import approx, raises
 
-from granitedock.lab.load import Row
+from granitedock.lab.load.generator import Row
 from granitedock.lab.report import ReportError, keep, latencies, lines, plot, read
 
 FAULT = {"at_s": 2.0, "what": "slow", "target": "east", "off": "", "for_s": 3.0}
--- a/tests/lab/test_rig.py
+++ b/tests/lab/test_rig.py
@@ -6,9 +6,9 @@
 
 from pytest import raises
 
-from granitedock.lab.rig import FLEET_PORT, Rig, RigError, on_loop
+from granitedock.lab.cluster.cluster import FLEET_PORT, Rig, RigError, on_loop
+from granitedock.lab.faults.proxies import Fate, arrivals
 from granitedock.lab.scenario import ScenarioError, parse
-from granitedock.lab.wires import Fate, arrivals
 
 WORLD = """
 seed = 3
--- a/tests/lab/test_rules.py
+++ b/tests/lab/test_rules.py
@@ -7,9 +7,9 @@
 
 from pytest import mark
 
-from granitedock.lab.load import Load, broken, load_on
-from granitedock.lab.rig import Rig
-from granitedock.lab.rules import Answer, Ceiling, Records, Seen, Start, check
+from granitedock.lab.cluster.cluster import Rig
+from granitedock.lab.load.generator import Load, broken, load_on
+from granitedock.lab.load.rule_checks import Answer, Ceiling, Records, Seen, Start, check
 from granitedock.lab.scenario import parse
 
 REPEATS = {"read": ("safe", 0.0), "mark": ("keyed", 3000.0), "once": ("unsafe", 0.0)}
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -9,9 +9,9 @@
 from process_fleet import WITHIN_S, world
 from pytest import mark, raises
 
-from granitedock.lab.load import broken, done_units, load_on
-from granitedock.lab.rig import FLEET_PORT, Rig, RigError
-from granitedock.lab.wires import Fate
+from granitedock.lab.cluster.cluster import FLEET_PORT, Rig, RigError
+from granitedock.lab.faults.proxies import Fate
+from granitedock.lab.load.generator import broken, done_units, load_on
 
 
 def fleet(count, tmp_path, view=None):
--- a/tests/outlier_detection/test_outlier_detection.py
+++ b/tests/outlier_detection/test_outlier_detection.py
@@ -9,8 +9,8 @@
 from process_fleet import WITHIN_S
 from pytest import mark, raises
 
-from granitedock.lab.load import broken, load_on
-from granitedock.lab.rig import FLEET_PORT, Rig
+from granitedock.lab.cluster.cluster import FLEET_PORT, Rig
+from granitedock.lab.load.generator import broken, load_on
 from granitedock.lab.scenario import parse
 from granitedock.membership.member import Member, State
 from granitedock.membership.wire import MOST_BYTES, Kind, Message, decode, encode
--- a/tests/quota_sharing/test_quota_sharing.py
+++ b/tests/quota_sharing/test_quota_sharing.py
@@ -9,9 +9,9 @@
 from process_fleet import WITHIN_S, world
 from pytest import mark, raises
 
-from granitedock.lab.counter import Counts as CounterCounts
-from granitedock.lab.load import broken, done_units, load_on
-from granitedock.lab.rig import Rig, on_loop
+from granitedock.lab.cluster.cluster import Rig, on_loop
+from granitedock.lab.emulators.counter import Counts as CounterCounts
+from granitedock.lab.load.generator import broken, done_units, load_on
 from granitedock.lab.sharesim import Offer, ShareFleet, admitted
 from granitedock.membership.machine import Change
 from granitedock.membership.member import Member, State
--- a/tests/service/test_operator_settings.py
+++ b/tests/service/test_operator_settings.py
@@ -8,7 +8,7 @@
 
 from process_fleet import world
 
-from granitedock.lab.rig import Rig
+from granitedock.lab.cluster.cluster import Rig
 
 GRANITEDOCK = [sys.executable, "-m", "granitedock"]
 
--- a/tests/test_small_functions.py
+++ b/tests/test_small_functions.py
@@ -46,26 +46,26 @@
 
 
 def test_lab_life_condition():
-    from granitedock.lab.life import Fault, condition
+    from granitedock.lab.faults.host_faults import Fault, condition
 
     slow = Fault(at_s=20, what="slow", target="east", for_s=15, factor=6)
     assert [condition([slow], 0, ms).slower for ms in (19999, 20000, 35000)] == [1.0, 6.0, 1.0]
 
 
 def test_lab_life_service_ms():
-    from granitedock.lab.life import Random, Service, service_ms
+    from granitedock.lab.faults.host_faults import Random, Service, service_ms
 
     assert service_ms(Service(kind="fixed", mean_ms=12), Random(1)) == 12.0
 
 
 def test_lab_load_frozen_s():
-    from granitedock.lab.load import frozen_s
+    from granitedock.lab.load.generator import frozen_s
 
     assert frozen_s([[2.0, 5.0], [9.0, float("inf")]], 4.0, 10.0) == 2.0
 
 
 def test_lab_rules_held():
-    from granitedock.lab.rules import held
+    from granitedock.lab.load.rule_checks import held
 
     assert held(
         [(1.0, frozenset()), (2.0, frozenset({"a"})), (3.0, frozenset({"a"})), (9.0, frozenset())]
@@ -73,7 +73,7 @@
 
 
 def test_lab_rules_can():
-    from granitedock.lab.rules import Start
+    from granitedock.lab.load.rule_checks import Start
 
     start = Start("east/0", 10.0, 100.0)
     assert (round(start.can(10.0, 11.0)), round(start.can(11.0, 12.0)), round(start.can(10.5, 11.5))) == (
@@ -104,7 +104,7 @@
 
 
 def test_lab_wires_arrivals():
-    from granitedock.lab.wires import FINE, Fate, Random, arrivals
+    from granitedock.lab.faults.proxies import FINE, Fate, Random, arrivals
 
     assert (arrivals(Fate(cut=True), b"abc", Random(1)), arrivals(FINE, b"abc", Random(1))) == (
         [],
