--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -255,7 +255,7 @@
 @main.command()
 def real() -> None:
     """Real processes on loopback: joins, crashes, silences, a cut and its heal, as told from the outside."""
-    from granitedock.lab.cluster.cluster import Rig
+    from granitedock.lab.cluster.cluster import GatewayCluster
     from granitedock.lab.scenario import parse
 
     click.echo("| processes | joined | crash p50 | max | silence p50 | max | halves settled | heal (s) |")
@@ -263,26 +263,26 @@
     for count in (10, 40):
         with (
             tempfile.TemporaryDirectory() as folder,
-            Rig(parse(WORLD % (count, "true", 1, 1)), Path(folder)) as rig,
+            GatewayCluster(parse(WORLD % (count, "true", 1, 1)), Path(folder)) as rig,
         ):
-            rig.ready(within_s=60)
-            joined = rig.agreed(range(count), 30)
+            rig.wait_until_ready(within_s=60)
+            joined = rig.wait_for_agreement(range(count), 30)
             crash, silence = [], []
             for n in range(1, 6):
                 rest = set(range(count)) - {n}
                 rig.kill(n)
-                crash.append(rig.agreed(rest, 30))
+                crash.append(rig.wait_for_agreement(rest, 30))
                 rig.start(n)
-                rig.agreed(range(count), 30)
+                rig.wait_for_agreement(range(count), 30)
                 rig.pause(n)
-                silence.append(rig.agreed(rest, 30))
-                rig.wake(n)
-                rig.agreed(range(count), 30)
+                silence.append(rig.wait_for_agreement(rest, 30))
+                rig.resume(n)
+                rig.wait_for_agreement(range(count), 30)
             half = range(count // 2), range(count // 2, count)
             rig.cut(*half)
-            settled = max(rig.agreed(side, 60) for side in half)
+            settled = max(rig.wait_for_agreement(side, 60) for side in half)
             rig.heal()
-            healed = rig.agreed(range(count), 60)
+            healed = rig.wait_for_agreement(range(count), 60)
         figures = (
             joined,
             statistics.median(crash),
@@ -300,8 +300,8 @@
 @click.option("--seconds", default=12.0, show_default=True)
 def cost(rounds: int, seconds: float) -> None:
     """CPU a task at a gateway of ten with the view off, and of ten with it on, loaded side by side."""
-    from granitedock.lab.cluster.cluster import Rig
-    from granitedock.lab.load.generator import load_on
+    from granitedock.lab.cluster.cluster import GatewayCluster
+    from granitedock.lab.load.verification import cluster_load
     from granitedock.lab.scenario import parse
 
     spent: dict[str, list[float]] = {"false": [], "true": []}
@@ -309,19 +309,20 @@
         views = ("false", "true") if number % 2 else ("true", "false")
         with tempfile.TemporaryDirectory() as one, tempfile.TemporaryDirectory() as other:
             worlds = [parse(WORLD % (10, view, 250, 1)) for view in views]
-            with Rig(worlds[0], Path(one)) as first, Rig(worlds[1], Path(other)) as second:
+            clusters = GatewayCluster(worlds[0], Path(one)), GatewayCluster(worlds[1], Path(other))
+            with clusters[0] as first, clusters[1] as second:
                 rigs = dict(zip(views, (first, second), strict=True))
                 loads = {}
                 for view, rig in rigs.items():
-                    rig.ready()
-                    loads[view] = load_on(rig)
+                    rig.wait_until_ready()
+                    loads[view] = cluster_load(rig)
                     loads[view].start()
                 time.sleep(4)
                 pids = {view: rig.gateways[0].process.pid for view, rig in rigs.items()}
-                before = {view: (cpu_s(pids[view]), len(loads[view].rows)) for view in views}
+                before = {view: (cpu_s(pids[view]), len(loads[view].records)) for view in views}
                 time.sleep(seconds)
                 for view in views:
-                    used, tasks = cpu_s(pids[view]), len(loads[view].rows)
+                    used, tasks = cpu_s(pids[view]), len(loads[view].records)
                     used, tasks = used - before[view][0], tasks - before[view][1]
                     spent[view].append(used / tasks * 1e6)
                 for load in loads.values():
--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -18,7 +18,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from granitedock.lab.load.generator import Load, broken  # noqa: E402
+from granitedock.lab.load.generator import LoadGenerator  # noqa: E402
+from granitedock.lab.load.verification import violations  # noqa: E402
 from granitedock.lab.scenario import parse  # noqa: E402
 
 SECONDS = 5.0
@@ -61,20 +62,20 @@
     for double in doubles:
         double.start()
     try:
-        load = Load(scenario(rate, gateways), [said.get(timeout=20) for _ in doubles])
+        load = LoadGenerator(scenario(rate, gateways), [said.get(timeout=20) for _ in doubles])
         load.start()
         cpu, began = time.process_time(), time.monotonic()
         time.sleep(SECONDS)
         cpu, lasted = time.process_time() - cpu, time.monotonic() - began
-        left = len(load.rows)
+        left = len(load.records)
         load.stop()
-        waits = sorted(row.took_ms for row in load.rows if row.kind == "done")
+        waits = sorted(row.latency_ms for row in load.records if row.outcome == "done")
         return (
             left / lasted,
             left / lasted / rate,
             waits[int(len(waits) * 0.99)],
             cpu / lasted,
-            len(broken(load)),
+            len(violations(load)),
         )
     finally:
         for double in doubles:
--- a/granitedock/commands/laboratory.py
+++ b/granitedock/commands/laboratory.py
@@ -21,10 +21,10 @@
     """Play SCENARIO with real gateways (without one: a minute of two gateways and a zone that slows); exits
     with 1 if it does not show what it expects."""
     from granitedock.lab.scenario import ScenarioError
-    from granitedock.lab.scenario_runner import DEFAULT, play
+    from granitedock.lab.scenario_runner import DEFAULT_SCENARIO, run_scenario
 
     try:
-        raise SystemExit(play(scenario or DEFAULT, out, click.echo))
+        raise SystemExit(run_scenario(scenario or DEFAULT_SCENARIO, out, click.echo))
     except ScenarioError as fault:
         raise click.ClickException(str(fault)) from None
 
@@ -38,10 +38,10 @@
     """Put the load of SCENARIO's clients on gateways that run already; exits with 1 if an answer broke the
     first rule. Its faults are not played: those are for `lab run`."""
     from granitedock.lab.scenario import ScenarioError
-    from granitedock.lab.scenario_runner import loaded
+    from granitedock.lab.scenario_runner import run_load
 
     try:
-        raise SystemExit(loaded(scenario, list(addresses), seconds, out, click.echo))
+        raise SystemExit(run_load(scenario, list(addresses), seconds, out, click.echo))
     except (ScenarioError, TimeoutError, ValueError) as fault:
         raise click.ClickException(str(fault)) from None
 
@@ -51,14 +51,14 @@
 @click.option("--out", default="report.png", show_default=True, type=click.Path(dir_okay=False))
 def report_runs(runs: tuple[str, ...], out: str) -> None:
     """Report on RUNS, folders that `lab run` left: one, or several side by side."""
-    from granitedock.lab import report
+    from granitedock.lab import report, run_storage
 
     try:
-        found = [report.read(run) for run in runs]
-    except report.ReportError as fault:
+        found = [run_storage.read(run) for run in runs]
+    except run_storage.RunError as fault:
         raise click.ClickException(str(fault)) from None
     for run in found:
-        for line in report.lines(run):
+        for line in report.report_lines(run):
             click.echo(line)
     report.plot(found, Path(out))
     click.echo(f"plots in {out}")
--- a/granitedock/lab/cluster/cluster.py
+++ b/granitedock/lab/cluster/cluster.py
@@ -1,165 +1,68 @@
-"""A fleet of real gateway processes on this machine's loopback, and the faults that are put on it.
+"""A test cluster: real gateway processes on this machine's loopback, and the faults that are put on it.
 
-The rig starts `granitedock serve` as processes of their own, with emulated hosts, counter and discovery, and
-failing wires between all of them (`faults/proxies.py`). A test or a scenario's timeline kills (SIGKILL),
-pauses (SIGSTOP), wakes (SIGCONT), stops (SIGTERM) and restarts gateways, and cuts or spoils wires. It ends only
-processes it started, by their ids, also when a test fails. The stand-ins run on one Twisted reactor in a
-thread of this process; everything public here may be called from any other thread.
-
-Addresses: each rig has a net of its own, 127.A.B.0, so that a gateway that comes back finds its port free:
-ports that the kernel lends to outgoing connections lie on 127.0.0.1 only. A net is claimed by a listening
-socket, so that rigs of several processes can run side by side.
+The cluster starts `granitedock serve` as processes of their own, with emulated hosts, counter and discovery,
+and proxies on all links between them. A test or a scenario's timeline kills (SIGKILL), pauses (SIGSTOP),
+resumes (SIGCONT), stops (SIGTERM) and restarts gateways, and cuts or disturbs links. It ends only processes
+it started, by their ids, also when a test fails. The emulators run on one Twisted reactor in a thread of this
+process; everything public here may be called from any other thread.
 """
 
 from __future__ import annotations
 
-import os
 import signal
-import socket
-import subprocess
-import sys
 import time
 from collections.abc import Iterable
 from pathlib import Path
-from threading import Thread
 from typing import Any
 
-import orjson
-from twisted.internet import reactor
-from twisted.internet.defer import DeferredList
-from twisted.internet.threads import blockingCallFromThread
-
-from granitedock.lab.emulators import hosts
-from granitedock.lab.emulators.counter import Counter, Counts
-from granitedock.lab.emulators.discovery import Discovery
-from granitedock.lab.faults.proxies import FINE, DatagramWires, Fate, TcpWire, Weather
-from granitedock.lab.gateway_settings import born
-from granitedock.lab.scenario import Fault, Scenario, numbers
-from granitedock.service.resp import command
-
-CLIENTS_PORT, FLEET_PORT = 6379, 7946
-NETS, NET_STEP, CLAIM_HOST = 60 * 256, 37, 250  # nets to choose from; apart for neighbouring process ids
-_thread: Thread | None = None
-
-
-def on_loop(act: Any, *what: Any, **more: Any) -> Any:
-    """Carry `act` out on the stand-ins' reactor, which runs in a thread from the first call on; gives what it
-    gives, or raises what it raises."""
-    global _thread
-    if _thread is None:
-        _thread = Thread(target=reactor.run, kwargs={"installSignalHandlers": False}, daemon=True)
-        _thread.start()
-    return blockingCallFromThread(reactor, act, *what, **more)
-
-
-class RigError(RuntimeError):
-    """A gateway did not come up, or does not answer."""
-
-
-class Process:
-    """One gateway of the rig: its file, and the process that runs by it now."""
-
-    def __init__(self, number: int, directory: Path, told: dict[str, Any], more: list[str]) -> None:
-        self.name, self.number, self.directory = f"gateway/{number}", number, directory
-        self.told, self.more = told, more
-        self.process: subprocess.Popen | None = None
-        self.starts = 0
-        self.paused = False
-        self.pauses: list[list[float]] = []  # from when to when it was stopped, on the steady clock
-
-    def running(self) -> bool:
-        return self.process is not None and self.process.poll() is None
-
-    def log(self, start: int | None = None) -> Path:
-        return self.directory / f"g{self.number}.{self.starts if start is None else start}.log"
-
-    def path(self) -> Path:
-        return self.directory / f"g{self.number}.json"
-
-    def write(self) -> None:
-        told = self.told | {"seed": f"{self.number:08x}{self.starts:08x}"}
-        self.path().write_bytes(orjson.dumps(told))
-
-    def start(self) -> None:
-        assert not self.running()
-        self.starts += 1
-        self.write()
-        with open(self.log(), "wb") as log:
-            self.process = subprocess.Popen(
-                [sys.executable, "-m", "granitedock", "serve", "--told", str(self.path()), *self.more],
-                stdin=subprocess.DEVNULL,
-                stdout=log,
-                stderr=log,
-            )
-        self.paused = False
-
-    def signal(self, number: int) -> None:
-        if self.running():
-            self.process.send_signal(number)
-
-    def end(self, number: int, within_s: float = 10.0) -> int | None:
-        """Send the signal and wait until it has ended; its exit code. One that does not end is killed."""
-        if self.process is None:
-            return None
-        if self.paused and number != signal.SIGKILL:
-            self.signal(signal.SIGCONT)
-        self.signal(number)
-        try:
-            return self.process.wait(within_s)
-        except subprocess.TimeoutExpired:
-            self.process.kill()
-            return self.process.wait()
-
-    def events(self) -> list[dict[str, Any]]:
-        """Its log lines, over all starts; a line that is still being written is left out."""
-        found = []
-        for start in range(1, self.starts + 1):
-            for line in self.log(start).read_bytes().splitlines():
-                try:
-                    found.append(orjson.loads(line) | {"start": start})
-                except orjson.JSONDecodeError:
-                    continue
-        return found
-
-
-def claimed_net() -> tuple[socket.socket, str]:
-    """A net 127.A.B. that no other rig of this machine has, and the socket that holds it. Raises RigError."""
-    for turn in range(NETS):
-        number = (os.getpid() * NET_STEP + turn) % NETS
-        net = f"127.{1 + number // 256}.{number % 256}."
-        try:
-            return socket.create_server((f"{net}{CLAIM_HOST}", CLIENTS_PORT)), net
-        except OSError:
-            continue  # another rig's
-    raise RigError("no loopback net is free for a rig")
-
+from granitedock.lab.cluster.errors import ClusterError, DisagreementError, GatewayUnreachableError
+from granitedock.lab.cluster.gateway_files import membership_file, platform_record
+from granitedock.lab.cluster.gateway_process import GatewayProcess, gateway_name
+from granitedock.lab.cluster.links import link_fault, links_between
+from granitedock.lab.cluster.network import MEMBERSHIP_PORT, LoopbackNetwork
+from granitedock.lab.cluster.queries import ANSWER_WITHIN_S, GatewayQueries
+from granitedock.lab.cluster.surroundings import Surroundings
+from granitedock.lab.emulators.counter import CounterEmulator, ExpiringCounts
+from granitedock.lab.emulators.discovery import DiscoveryEmulator
+from granitedock.lab.emulators.hosts import HostEmulator
+from granitedock.lab.fault_targets import Direction, FaultKind, gateway_numbers
+from granitedock.lab.faults.link_faults import CUT, NO_FAULT, LinkFault
+from granitedock.lab.faults.tcp_proxy import TcpProxy
+from granitedock.lab.reactor import on_reactor
+from granitedock.lab.scenario import Fault, Scenario
+
+READY_WITHIN_S = 20.0
+POLL_S = 0.05
+LOG_END = 2000  # characters of a gateway's log that an error shows
+
+
+class GatewayCluster:
+    """A scenario's gateways with what surrounds them; a context manager that starts and ends all of it.
+
+    Gateways are named by their numbers.
+    """
+
+    def __init__(self, scenario: Scenario, directory: Path, membership: dict[str, Any] | None = None) -> None:
+        """`membership` are lines of the operators' membership file beyond those that the cluster fills in
+        (addresses and seeds), used where the scenario turns membership on. Raises NoNetworkError."""
+        self.scenario = scenario
+        self.directory = Path(directory)
+        self.count = scenario.fleet.gateways
+        self.network = LoopbackNetwork()
+        self.surroundings = Surroundings(scenario, self.network)
+        self.queries = GatewayQueries(self.network)
+        self.gateways: list[GatewayProcess] = []
+        self.membership_lines = membership or {}
+        self.began_s = time.monotonic()
 
-class Rig:
-    """A scenario's world with its gateways. `view` are lines of the operators' fleet file beyond those that
-    the rig fills in (addresses and seeds), used where the scenario turns the view on."""
+    # Beginning and end.
 
-    def __init__(self, scenario: Scenario, directory: Path, view: dict[str, Any] | None = None) -> None:
-        self.scenario, self.directory = scenario, Path(directory)
-        self.count = scenario.fleet.gateways
-        self.claim, self.net = claimed_net()
-        self.weather = Weather(scenario.seed)
-        self.wires = DatagramWires(reactor, self.weather)
-        self.tcp: list[TcpWire] = []
-        self.gateways: list[Process] = []
-        self.discoveries: list[Discovery] = []
-        self.counter: Counter | None = None
-        self.counters: list[Counter] = []  # it, and those it took over from
-        self.hosts: list[hosts.Host] = []
-        self.lines = view or {}
-        self.began = time.monotonic()
-
-    # The world.
-
-    def __enter__(self) -> Rig:
+    def __enter__(self) -> GatewayCluster:
         try:
-            on_loop(self.build)
-            self.each(Process.start)
-            self.began = time.monotonic()
+            on_reactor(self.build)
+            for gateway in self.gateways:
+                gateway.start()
+            self.began_s = time.monotonic()
         except BaseException:
             self.__exit__()
             raise
@@ -170,295 +73,247 @@
             gateway.signal(signal.SIGKILL)
         for gateway in self.gateways:
             gateway.end(signal.SIGKILL)
-        on_loop(self.close)
-        self.claim.close()
-
-    def own(self, n: int) -> str:
-        return f"{self.net}{1 + n}"
-
-    def stand(self, n: int) -> str:
-        """The address that stands for gateway `n` towards the others, and leads it to its parties."""
-        return f"{self.net}{101 + n}"
+        on_reactor(self.surroundings.stop)
+        self.network.release()
 
     def build(self) -> None:
-        self.counter = Counter(self.scenario, reactor)
-        self.counters = [self.counter]
-        counter_at = self.counter.listen()
-        self.counter.check()
-        addresses, self.hosts = hosts.start(self.scenario, reactor)
-        for n in range(self.count):
-            name = f"gateway/{n}"
-
-            def lead(party: str, to: str, n: int = n, name: str = name) -> str:
-                wire = TcpWire(reactor, self.weather, name, party, f"{self.stand(n)}:0", to)
-                self.tcp.append(wire)
-                if party == "discovery":
-                    self.discoveries[n].reaches = lambda: not wire.cut()
-                return wire.address
-
-            seen = {host: lead("hosts", address) for host, address in addresses.items()}
-            discovery = Discovery(self.scenario, seen, reactor)
-            self.discoveries.append(discovery)
-            told = {
-                "name": f"g{n}",
-                "listen": f"{self.own(n)}:{CLIENTS_PORT}",
-                "discovery": lead("discovery", discovery.listen()),
-                "counter": lead("counter", counter_at),
-                "settings": born(self.scenario, n),
-            }
-            discovery.tick()
-            more = ["--fleet", str(self.fleet_file(n))] if self.scenario.fleet.view else []
-            self.gateways.append(Process(n, self.directory, told, more))
-            self.wires.add(name, (self.own(n), FLEET_PORT), (self.stand(n), FLEET_PORT))
-
-    def zero(self) -> None:
-        """The timeline of the stand-ins begins now."""
-
-        def begin() -> None:
-            began = time.monotonic()
-            self.counter.began = began
-            for discovery in self.discoveries:
-                discovery.zero()
-            for host in self.hosts:
-                host.clock = lambda: (time.monotonic() - began) * 1000.0
-                host.started_ms = host.up_ms = 0.0
-
-        on_loop(begin)
-
-    def fleet_file(self, n: int) -> Path:
-        """The operators' file of gateway `n`: it is known by its stand, and so are the seeds."""
-        told = {
-            "enabled": True,
-            "cluster": "lab",
-            "listen": f"{self.own(n)}:{FLEET_PORT}",
-            "advertise": f"{self.stand(n)}:{FLEET_PORT}",
-            "seeds": [f"{self.stand(0)}:{FLEET_PORT}"],
-        } | self.lines
-        path = self.directory / f"g{n}.fleet.toml"
-        lines = [f"{key} = {orjson.dumps(value).decode()}\n" for key, value in told.items()]
-        if self.scenario.fleet.shared:
-            file = orjson.dumps(str(self.directory / f"g{n}.snapshot")).decode()
-            lines.append(f"[shared]\nenabled = true\nsnapshot = {file}\n")
-        if self.scenario.fleet.hosts:
-            lines.append("[hosts]\nenabled = true\n")
-        path.write_text("".join(lines))
-        return path
-
-    def close(self) -> DeferredList:
-        waits = self.wires.end() + [wire.end() for wire in self.tcp]
-        waits += [part.end() for part in [*self.counters, *self.discoveries, *self.hosts]]
-        return DeferredList([wait for wait in waits if wait is not None])
-
-    # Hosts.
-
-    def host(self, name: str) -> hosts.Host:
-        return next(host for host in self.hosts if host.name == name)
-
-    def host_fault(
-        self, name: str, what: str, for_s: float = 0.0, rate: float = 1.0, factor: float = 1.0
-    ) -> None:
-        """A fault of one host from now on, as the timeline would begin it; discovery knows of drains."""
-        began = time.monotonic()
-        host = self.host(name)
-
-        def begin() -> None:
-            host.faults.append(
-                Fault(
-                    at_s=host.clock() / 1000.0, what=what, target=name, for_s=for_s, rate=rate, factor=factor
+        """Start the surroundings and write the gateways' files; in the reactor's thread."""
+        surroundings = self.surroundings
+        surroundings.start()
+        for gateway in range(self.count):
+            discovery_address, counter_address = surroundings.connect_gateway(gateway)
+            record = platform_record(self.scenario, self.network, gateway, discovery_address, counter_address)
+            surroundings.discoveries[gateway].publish()
+            options: list[str] = []
+            if self.scenario.fleet.membership:
+                path = self.directory / f"g{gateway}.fleet.toml"
+                path.write_text(
+                    membership_file(
+                        self.scenario, self.network, gateway, self.directory, self.membership_lines
+                    )
                 )
+                options = ["--fleet", str(path)]
+            self.gateways.append(GatewayProcess(gateway, self.directory, record, options))
+            surroundings.datagram_proxy.add(
+                gateway_name(gateway),
+                (self.gateway_host(gateway), MEMBERSHIP_PORT),
+                (self.proxy_host(gateway), MEMBERSHIP_PORT),
             )
-            for discovery in self.discoveries:
-                at_s = began - discovery.began
-                told = Fault(at_s=at_s, what=what, target=name, for_s=for_s, rate=rate)
-                discovery.timeline.append(told)
 
-        on_loop(begin)
+    def restart_timeline(self) -> None:
+        """The timeline of the emulators begins now."""
+        on_reactor(self.surroundings.restart_timeline)
 
-    def host_well(self, name: str) -> None:
-        """No more faults of this host."""
+    # Parts.
 
-        def end() -> None:
-            self.host(name).faults.clear()
-            for discovery in self.discoveries:
-                discovery.timeline[:] = [fault for fault in discovery.timeline if fault.target != name]
+    def gateway_host(self, gateway: int) -> str:
+        """The address at which a gateway listens."""
+        return self.network.gateway_host(gateway)
 
-        on_loop(end)
+    def proxy_host(self, gateway: int) -> str:
+        """The address at which the others know a gateway."""
+        return self.network.proxy_host(gateway)
 
-    def judged(self, n: int) -> dict[str, Any]:
-        """What gateway `n` knows of the hosts (`granitedock hosts --json`)."""
-        return orjson.loads(self.ask(n, b"HOSTS"))
+    @property
+    def hosts(self) -> list[HostEmulator]:
+        """The emulated hosts."""
+        return self.surroundings.hosts
 
-    # The counter.
+    @property
+    def counter(self) -> CounterEmulator:
+        """The emulated counter that the gateways' files name."""
+        return self.surroundings.counter
 
-    def counter_back(self, counts: Counts) -> None:
-        """The counter's process is gone and back at once, with these counts."""
+    @property
+    def discoveries(self) -> list[DiscoveryEmulator]:
+        """The emulated discovery of each gateway."""
+        return self.surroundings.discoveries
 
-        def begin() -> None:
-            self.counter.cut()
-            self.counter.counts = counts
-
-        on_loop(begin)
-
-    def counter_moves(self) -> None:
-        """A fresh counter takes over at another address: the gateways' files name it, and they hear SIGHUP.
-        The old one goes on for those that call it."""
-
-        def begin() -> list[str]:
-            self.counter = Counter(self.scenario, reactor)
-            self.counters.append(self.counter)
-            at = self.counter.listen()
-            self.counter.check()
-            wires = [
-                TcpWire(reactor, self.weather, f"gateway/{n}", "counter", f"{self.stand(n)}:0", at)
-                for n in range(self.count)
-            ]
-            self.tcp += wires
-            return [wire.address for wire in wires]
-
-        for gateway, address in zip(self.gateways, on_loop(begin), strict=True):
-            gateway.told["counter"] = address
-            gateway.write()
-            gateway.signal(signal.SIGHUP)
+    @property
+    def tcp_proxies(self) -> list[TcpProxy]:
+        """The links from gateways to their parties."""
+        return self.surroundings.tcp_proxies
 
-    # Faults. Gateways are named by their numbers.
+    def host(self, name: str) -> HostEmulator:
+        """An emulated host by its name ("zone/n")."""
+        return self.surroundings.host(name)
 
-    def each(self, act: Any, *which: int) -> None:
-        for n in which or range(self.count):
-            act(self.gateways[n])
+    # Faults of the surroundings.
 
-    def start(self, *which: int) -> None:
-        for n in which:
-            on_loop(self.wires.open, f"gateway/{n}")
-            self.gateways[n].start()
+    def add_host_fault(
+        self, name: str, kind: str, for_s: float = 0.0, rate: float = 1.0, factor: float = 1.0
+    ) -> None:
+        """A fault of one host from now on; `kind` is a word of the scenario file. Raises ValueError."""
+        on_reactor(self.surroundings.add_host_fault, name, FaultKind(kind), for_s, rate, factor)
+
+    def clear_host_faults(self, name: str) -> None:
+        """No more faults of this host."""
+        on_reactor(self.surroundings.clear_host_faults, name)
 
-    def gone(self, which: Iterable[int], number: int) -> list[int | None]:
-        for n in which:
-            self.gateways[n].signal(number)
+    def restart_counter(self, counts: ExpiringCounts) -> None:
+        """The counter's process is gone and back at once, with these counts."""
+        on_reactor(self.counter.restart, counts)
+
+    def move_counter(self) -> None:
+        """A fresh counter takes over at another address: the gateways' files name it, and they get SIGHUP."""
+        addresses = on_reactor(self.surroundings.move_counter)
+        for gateway, address in zip(self.gateways, addresses, strict=True):
+            gateway.platform["counter"] = address
+            gateway.write_platform_file()
+            gateway.signal(signal.SIGHUP)
+
+    # Faults of gateways.
+
+    def start(self, *gateways: int) -> None:
+        """Start gateways that do not run."""
+        for gateway in gateways:
+            on_reactor(self.surroundings.datagram_proxy.open, gateway_name(gateway))
+            self.gateways[gateway].start()
+
+    def end(self, gateways: Iterable[int], signal_number: int) -> list[int | None]:
+        """End gateways by a signal, all at once; the exit codes."""
+        gateways = list(gateways)
+        for gateway in gateways:
+            self.gateways[gateway].signal(signal_number)
         codes = []
-        for n in which:
-            codes.append(self.gateways[n].end(number))
-            on_loop(self.wires.close, f"gateway/{n}")
+        for gateway in gateways:
+            codes.append(self.gateways[gateway].end(signal_number))
+            on_reactor(self.surroundings.datagram_proxy.close, gateway_name(gateway))
         return codes
 
-    def kill(self, *which: int) -> None:
-        self.gone(which, signal.SIGKILL)
-
-    def stop(self, *which: int) -> list[int | None]:
-        """SIGTERM, as a planned stop; the exit codes."""
-        return self.gone(which, signal.SIGTERM)
-
-    def restart(self, *which: int) -> None:
-        self.kill(*which)
-        self.start(*which)
-
-    def pause(self, *which: int) -> None:
-        for n in which:
-            self.gateways[n].paused = True
-            self.gateways[n].pauses.append([time.monotonic(), float("inf")])
-            self.gateways[n].signal(signal.SIGSTOP)
-
-    def wake(self, *which: int) -> None:
-        for n in which:
-            self.gateways[n].signal(signal.SIGCONT)
-            self.gateways[n].paused = False
-            self.gateways[n].pauses[-1][1] = time.monotonic()
-
-    def pairs(
-        self, which: Iterable[int], off: Iterable[int] | str, way: str = "both"
-    ) -> list[tuple[str, str]]:
-        """The directed pairs between `which` and `off`; `way` as seen from `which`."""
-        which = list(which)
-        others = [off] if isinstance(off, str) else [f"gateway/{n}" for n in off if n not in which]
-        ours = [f"gateway/{n}" for n in which]
-        out = [(a, b) for a in ours for b in others]
-        back = [(b, a) for a in ours for b in others]
-        return {"both": out + back, "out": out, "in": back}[way]
-
-    def wire(self, fate: Fate, which: Iterable[int], off: Iterable[int] | str, way: str = "both") -> None:
-        on_loop(self.weather.set, fate, self.pairs(which, off, way))
-
-    def cut(self, which: Iterable[int], off: Iterable[int] | str, way: str = "both") -> None:
-        self.wire(Fate(cut=True), which, off, way)
+    def kill(self, *gateways: int) -> None:
+        """End gateways by SIGKILL."""
+        self.end(gateways, signal.SIGKILL)
+
+    def stop(self, *gateways: int) -> list[int | None]:
+        """End gateways by SIGTERM, as a planned stop; the exit codes."""
+        return self.end(gateways, signal.SIGTERM)
+
+    def restart(self, *gateways: int) -> None:
+        """Kill gateways and start them at once."""
+        self.kill(*gateways)
+        self.start(*gateways)
+
+    def pause(self, *gateways: int) -> None:
+        """Stop gateways by SIGSTOP."""
+        for gateway in gateways:
+            self.gateways[gateway].pause()
+
+    def resume(self, *gateways: int) -> None:
+        """Let paused gateways go on."""
+        for gateway in gateways:
+            self.gateways[gateway].resume()
+
+    # Faults of links.
+
+    def set_link_fault(
+        self,
+        fault: LinkFault,
+        gateways: Iterable[int],
+        other_side: Iterable[int] | str,
+        direction: str = Direction.BOTH,
+    ) -> None:
+        """The fault, from now on, of the links between `gateways` and the other side: gateways, or a party's
+        name. `direction` is as seen from `gateways`, a word of the scenario file."""
+        links = links_between(gateways, other_side, Direction(direction))
+        on_reactor(self.surroundings.link_faults.set, fault, links)
 
-    def heal(self) -> None:
-        on_loop(self.weather.set, FINE, list(self.weather.fates))
+    def cut(
+        self, gateways: Iterable[int], other_side: Iterable[int] | str, direction: str = Direction.BOTH
+    ) -> None:
+        """Let nothing through on these links from now on; as for `set_link_fault`."""
+        self.set_link_fault(CUT, gateways, other_side, direction)
 
-    def strike(self, fault: Fault) -> None:
-        """Begin a fault of the timeline that takes gateways; `relieve` ends it."""
-        which = numbers(fault.target, self.count)
-        if fault.what in ("kill", "stop", "pause", "restart"):
-            getattr(self, fault.what)(*which)
+    def heal(self) -> None:
+        """No link has a fault any more."""
+        on_reactor(self.surroundings.link_faults.heal)
+
+    # Faults of a timeline.
+
+    def begin_fault(self, fault: Fault) -> None:
+        """Begin a fault of the timeline that is put on gateways; `end_fault` ends it."""
+        gateways = gateway_numbers(fault.target, self.count)
+        if fault.kind == FaultKind.KILL:
+            self.kill(*gateways)
+        elif fault.kind == FaultKind.STOP:
+            self.stop(*gateways)
+        elif fault.kind == FaultKind.PAUSE:
+            self.pause(*gateways)
+        elif fault.kind == FaultKind.RESTART:
+            self.restart(*gateways)
         else:
-            fate = Fate(cut=True)
-            if fault.what == "wire":
-                fate = Fate(False, fault.rate, fault.late_ms, fault.jitter_ms, fault.twice)
-            self.wire(fate, which, self.others(fault), fault.way)
-
-    def relieve(self, fault: Fault) -> None:
-        which = numbers(fault.target, self.count)
-        if fault.what in ("kill", "stop"):
-            self.start(*which)
-        elif fault.what == "pause":
-            self.wake(*which)
-        elif fault.what in ("cut", "wire"):
-            self.wire(FINE, which, self.others(fault), fault.way)
-
-    def others(self, fault: Fault) -> list[int] | str:
-        if not fault.off:
+            self.set_link_fault(link_fault(fault), gateways, self.other_side(fault), fault.direction)
+
+    def end_fault(self, fault: Fault) -> None:
+        """End a fault of the timeline that is put on gateways."""
+        gateways = gateway_numbers(fault.target, self.count)
+        if fault.kind in (FaultKind.KILL, FaultKind.STOP):
+            self.start(*gateways)
+        elif fault.kind == FaultKind.PAUSE:
+            self.resume(*gateways)
+        elif fault.kind in (FaultKind.CUT, FaultKind.WIRE):
+            self.set_link_fault(NO_FAULT, gateways, self.other_side(fault), fault.direction)
+
+    def other_side(self, fault: Fault) -> list[int] | str:
+        """The other side of a link fault: gateways, or a party's name."""
+        if not fault.other_side:
             return list(range(self.count))
-        return numbers(fault.off, self.count) or fault.off
+        return gateway_numbers(fault.other_side, self.count) or fault.other_side
 
-    # What it can be asked.
+    # Questions.
 
-    def ask(self, n: int, *words: bytes, within_s: float = 2.0) -> bytes:
-        """One command to gateway `n`, and the first line or the bulk string that it answers."""
-        try:
-            with socket.create_connection((self.own(n), CLIENTS_PORT), timeout=within_s) as line:
-                line.sendall(command(*words))
-                with line.makefile("rb") as said:
-                    head = said.readline()
-                    return said.read(int(head[1:])) if head[:1] == b"$" else head.rstrip()
-        except (OSError, ValueError) as fault:
-            raise RigError(f"gateway/{n} does not answer: {fault}") from None
-
-    def view(self, n: int) -> dict[str, Any]:
-        """What gateway `n` holds of the others (`granitedock fleet --json`)."""
-        return orjson.loads(self.ask(n, b"FLEET"))
-
-    def states(self, n: int) -> dict[int, str]:
-        """The state of each other gateway in the view of `n`, by number; unknown ones are left out."""
-        return {row["seat"]: row["state"] for row in self.view(n)["members"]}
-
-    def agreed(self, live: Iterable[int], within_s: float) -> float:
-        """Wait until each of the `live` gateways holds exactly these live; the seconds it took."""
-        live, began = set(live), time.monotonic()
+    def ask(self, gateway: int, *words: bytes, within_s: float = ANSWER_WITHIN_S) -> bytes:
+        """One command; returns the first line or the bulk string of the answer. Raises
+        GatewayUnreachableError."""
+        return self.queries.ask(gateway, *words, within_s=within_s)
+
+    def view(self, gateway: int) -> dict[str, Any]:
+        """What a gateway holds of the others (`granitedock fleet --json`)."""
+        return self.queries.view(gateway)
+
+    def host_verdicts(self, gateway: int) -> dict[str, Any]:
+        """What a gateway knows of the hosts (`granitedock hosts --json`)."""
+        return self.queries.host_verdicts(gateway)
+
+    def member_states(self, gateway: int) -> dict[int, str]:
+        """The state of each other gateway in the view of this one, by number."""
+        return self.queries.member_states(gateway)
+
+    def wait_for_agreement(self, gateways: Iterable[int], within_s: float) -> float:
+        """Wait until each of these gateways holds exactly these live; the seconds it took. Raises
+        DisagreementError."""
+        live = set(gateways)
+        began = time.monotonic()
         while True:
-            views = {}
-            for n in live:
-                try:
-                    held = self.states(n).items()
-                    views[n] = {n} | {seat for seat, state in held if state in ("alive", "suspect")}
-                except RigError as fault:
-                    views[n] = str(fault)
+            views = {gateway: self.live_members_or_error(gateway) for gateway in live}
             if all(view == live for view in views.values()):
                 return time.monotonic() - began
             if time.monotonic() - began > within_s:
-                raise RigError(
-                    f"after {within_s} s, {sorted(live)} should be held live, and the views are {views}"
-                )
-            time.sleep(0.05)
+                raise DisagreementError(within_s, live, views)
+            time.sleep(POLL_S)
+
+    def live_members_or_error(self, gateway: int) -> set[int] | str:
+        """The gateways that this one holds live, or why it cannot be asked."""
+        try:
+            return self.queries.live_members(gateway)
+        except ClusterError as error:
+            return str(error)
 
-    def ready(self, *which: int, within_s: float = 20.0) -> None:
-        """Wait until these gateways (all, if none is named) answer PING."""
+    def wait_until_ready(self, *gateways: int, within_s: float = READY_WITHIN_S) -> None:
+        """Wait until these gateways (all, if none is named) answer PING. Raises GatewayUnreachableError."""
         ends = time.monotonic() + within_s
-        for n in which or range(self.count):
-            while True:
-                try:
-                    if self.ask(n, b"PING") == b"+PONG":
-                        break
-                except RigError as fault:
-                    if time.monotonic() > ends or not self.gateways[n].running():
-                        raise RigError(
-                            f"{fault}; its log: {self.gateways[n].log().read_text()[-2000:]}"
-                        ) from None
-                time.sleep(0.05)
+        for gateway in gateways or range(self.count):
+            while not self.answers_ping(gateway, ends):
+                time.sleep(POLL_S)
+
+    def answers_ping(self, gateway: int, until: float) -> bool:
+        """Whether a gateway answers PING. Raises GatewayUnreachableError where it does not and has ended, or
+        the steady clock is past `until`."""
+        process = self.gateways[gateway]
+        try:
+            return self.ask(gateway, b"PING") == b"+PONG"
+        except GatewayUnreachableError as error:
+            if time.monotonic() > until or not process.is_running():
+                log = process.log().read_text()[-LOG_END:]
+                raise GatewayUnreachableError(error.gateway, error.cause, log) from None
+            return False
--- /dev/null
+++ b/granitedock/lab/cluster/gateway_process.py
@@ -0,0 +1,109 @@
+"""One real gateway process of a test cluster, with its platform file and its logs."""
+
+from __future__ import annotations
+
+import signal
+import subprocess
+import sys
+import time
+from math import inf
+from pathlib import Path
+from typing import Any
+
+import orjson
+
+from granitedock.lab.load.generator import Pause
+
+STOP_WITHIN_S = 10.0
+
+
+def gateway_name(number: int) -> str:
+    """A gateway's name in scenarios and on links."""
+    return f"gateway/{number}"
+
+
+class GatewayProcess:
+    """A gateway: its platform file, and the process that runs by it now."""
+
+    def __init__(self, number: int, directory: Path, platform: dict[str, Any], options: list[str]) -> None:
+        """`platform` is the platform's file without its seed; `options` are further ones of `serve`."""
+        self.name = gateway_name(number)
+        self.number = number
+        self.directory = directory
+        self.platform = platform
+        self.options = options
+        self.process: subprocess.Popen[bytes] | None = None
+        self.starts = 0
+        self.paused = False
+        self.pauses: list[Pause] = []
+
+    def is_running(self) -> bool:
+        """Whether its process has begun and not ended; a paused one runs."""
+        return self.process is not None and self.process.poll() is None
+
+    def log(self, start: int | None = None) -> Path:
+        """The log of a start (from 1 on), by default of the last."""
+        return self.directory / f"g{self.number}.{self.starts if start is None else start}.log"
+
+    def platform_path(self) -> Path:
+        """Its platform file."""
+        return self.directory / f"g{self.number}.json"
+
+    def write_platform_file(self) -> None:
+        """Write the platform file, with a seed of its own for each start."""
+        seed = {"seed": f"{self.number:08x}{self.starts:08x}"}
+        self.platform_path().write_bytes(orjson.dumps(self.platform | seed))
+
+    def start(self) -> None:
+        """Start the process, which must not run."""
+        assert not self.is_running()
+        self.starts += 1
+        self.write_platform_file()
+        command = [sys.executable, "-m", "granitedock", "serve", "--told", str(self.platform_path())]
+        with open(self.log(), "wb") as log:
+            self.process = subprocess.Popen(
+                [*command, *self.options], stdin=subprocess.DEVNULL, stdout=log, stderr=log
+            )
+        self.paused = False
+
+    def signal(self, number: int) -> None:
+        """Send a signal, if it runs."""
+        if self.process is not None and self.is_running():
+            self.process.send_signal(number)
+
+    def pause(self) -> None:
+        """Stop it by SIGSTOP."""
+        self.paused = True
+        self.pauses.append(Pause(time.monotonic(), inf))
+        self.signal(signal.SIGSTOP)
+
+    def resume(self) -> None:
+        """Let it go on after a pause."""
+        self.signal(signal.SIGCONT)
+        self.paused = False
+        self.pauses[-1].ended_s = time.monotonic()
+
+    def end(self, number: int, within_s: float = STOP_WITHIN_S) -> int | None:
+        """Send the signal and wait until it has ended; its exit code. One that does not end is killed."""
+        if self.process is None:
+            return None
+        if self.paused and number != signal.SIGKILL:
+            self.signal(signal.SIGCONT)
+        self.signal(number)
+        try:
+            return self.process.wait(within_s)
+        except subprocess.TimeoutExpired:
+            self.process.kill()
+            return self.process.wait()
+
+    def events(self) -> list[dict[str, Any]]:
+        """The events of its logs over all starts, each with its `start`; a line that is still being written
+        is left out."""
+        found = []
+        for start in range(1, self.starts + 1):
+            for line in self.log(start).read_bytes().splitlines():
+                try:
+                    found.append(orjson.loads(line) | {"start": start})
+                except orjson.JSONDecodeError:
+                    continue
+        return found
--- a/granitedock/lab/emulators/process.py
+++ b/granitedock/lab/emulators/process.py
@@ -1,37 +1,62 @@
-"""How a stand-in of the laboratory runs as a process: it says where it is, then serves until SIGTERM."""
+"""How an emulator listens on loopback, vanishes, and runs as a process of its own."""
 
 from __future__ import annotations
 
 import signal
 import sys
-from typing import Any
+from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING, Any, Protocol
 
 import orjson
-from twisted.internet import reactor
+from twisted.internet.interfaces import IListeningPort, IProtocol
 from twisted.internet.protocol import Factory
 
+from granitedock.lab.reactor import REACTOR
 
-def serve(said: Any) -> int:
-    """Print `said` as one JSON line on standard output (addresses, for whoever started us), then run the
-    reactor until SIGTERM; exits with 0."""
-    sys.stdout.write(orjson.dumps(said).decode() + "\n")
+if TYPE_CHECKING:
+    from twisted.internet.defer import Deferred
+    from twisted.internet.posixbase import PosixReactorBase
+
+LOOPBACK = "127.0.0.1"
+
+
+class AbortableTransport(Protocol):
+    """A transport that can be reset."""
+
+    def abortConnection(self) -> None:
+        """End the connection at once, with a reset."""
+
+
+class Abortable(Protocol):
+    """A connection that can be reset."""
+
+    @property
+    def transport(self) -> AbortableTransport:
+        """Where its bytes go."""
+
+
+def run_until_sigterm(announcement: Any) -> int:
+    """Print `announcement` as one JSON line on standard output (addresses, for whoever started the process),
+    then run the reactor until SIGTERM; returns 0."""
+    sys.stdout.write(orjson.dumps(announcement).decode() + "\n")
     sys.stdout.flush()
-    signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(reactor.stop))
-    reactor.run(installSignalHandlers=False)
+    signal.signal(signal.SIGTERM, lambda *_: REACTOR.callFromThread(REACTOR.stop))
+    REACTOR.run(installSignalHandlers=False)
     return 0
 
 
-def listen(on: Any, port: int, make: Any) -> tuple[Any, int]:
-    """Listen on 127.0.0.1:`port` (0: any free one) with a protocol made by `make()`; the listening port and
-    its number."""
-    listening = on.listenTCP(port, Factory.forProtocol(make), interface="127.0.0.1")
+def listen_on_loopback(
+    reactor: PosixReactorBase, port: int, make_protocol: Callable[[], IProtocol]
+) -> tuple[IListeningPort, int]:
+    """Listen on 127.0.0.1:`port` (0: any free port); returns the listening port and its number."""
+    listening = reactor.listenTCP(port, Factory.forProtocol(make_protocol), interface=LOOPBACK)
     return listening, listening.getHost().port
 
 
-def vanish(listening: Any, links: Any) -> Any:
-    """Gone as a dead process is: the listener closed and every connection cut at once (RST). What comes back
-    is done once the listener is."""
-    gone = listening.stopListening()
-    for link in list(links):
-        link.transport.abortConnection()
-    return gone
+def vanish(listening: IListeningPort, connections: Iterable[Abortable]) -> Deferred[None] | None:
+    """Disappear as a dead process does: the listener is closed and every connection reset at once. What it
+    returns fires when the listener is closed."""
+    closed = listening.stopListening()
+    for connection in list(connections):
+        connection.transport.abortConnection()
+    return closed
--- a/granitedock/lab/gateway_settings.py
+++ b/granitedock/lab/gateway_settings.py
@@ -1,45 +1,91 @@
-"""The settings a laboratory gateway is born with: those of the scenario, in the platform's own form."""
+"""The settings of a laboratory gateway: those of the scenario, in the form of the platform's file."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import Any
 
-from granitedock.lab.scenario import Scenario
-
-REMEMBERED_MS = 3000.0  # so long hosts drop a repeat of a keyed task
-COLD = {"share": 0.2, "warm_s": 1.0, "factor": 2.0, "tip_s": 1.0}  # what pushes over a host that starts
-PRODUCTS = (("read", "safe"), ("mark", "keyed"), ("once", "unsafe"))
-
-
-def born(scenario: Scenario, me: int) -> dict[str, Any]:
-    """What gateway number `me` of the scenario is told under `settings`."""
-    lanes = [
-        {"Name": name, "Repeat": repeat, "TargetMs": 1000, "GiveUpMs": 4000, "Worth": 1}
-        | ({"WindowMs": REMEMBERED_MS} if repeat == "keyed" else {})
-        for name, repeat in PRODUCTS
-    ]
-    plans = [
-        {
-            "Name": plan.name,
-            "Refill": plan.rate,
-            "MostAtOnce": plan.burst,
-            "CeilingRate": plan.ceiling_rate,
-            "CeilingBurst": plan.ceiling_burst,
-            "Tolerance": plan.ceiling_slack,
-        }
-        for plan in scenario.plans
-    ]
+from granitedock.lab.load.observations import SlowStartTerms
+from granitedock.lab.scenario import Plan, Scenario
+from granitedock.policy.types import Idempotency
+
+IDEMPOTENCY_WINDOW_MS = 3000.0  # for so long hosts drop a repeat of a request with an idempotency key
+LATENCY_OBJECTIVE_MS = 1000
+DEADLINE_MS = 4000
+SLOW_START = SlowStartTerms()
+GOSSIP_DATAGRAMS_A_SECOND = 100
+ALLOWED = {"MaxAttempts": 3, "Cancel": True, "ConnIdleMs": 10000, "MostHeld": 2000}
+MAX_UNITS = 4
+REPEAT_WORDS = {  # of the platform's file
+    Idempotency.IDEMPOTENT: "safe",
+    Idempotency.KEYED: "keyed",
+    Idempotency.NON_IDEMPOTENT: "unsafe",
+}
+
+
+@dataclass(frozen=True, slots=True)
+class LabRequestClass:
+    """A request class that every scenario has."""
+
+    name: str
+    idempotency: Idempotency
+
+
+REQUEST_CLASSES = (
+    LabRequestClass("read", Idempotency.IDEMPOTENT),
+    LabRequestClass("mark", Idempotency.KEYED),
+    LabRequestClass("once", Idempotency.NON_IDEMPOTENT),
+)
+
+
+def gateway_settings(scenario: Scenario, number: int) -> dict[str, Any]:
+    """What the platform's file of gateway `number` of the scenario holds under `settings`."""
     return {
-        "Me": me,
+        "Me": number,
         "Balancers": scenario.fleet.gateways,
-        "Lanes": lanes,
-        "Tariffs": plans,
-        "Allowed": {"MaxAttempts": 3, "Cancel": True, "ConnIdleMs": 10000, "MostHeld": 2000},
-        "Safety": {
-            "ColdFrom": COLD["share"],
-            "ColdMs": 1000 * COLD["warm_s"],
-            "OverloadFactor": COLD["factor"],
-            "TipAfterMs": 1000 * COLD["tip_s"],
+        "Lanes": [request_class_record(one) for one in REQUEST_CLASSES],
+        "Tariffs": [plan_record(plan) for plan in scenario.plans],
+        "Allowed": dict(ALLOWED),
+        "Safety": slow_start_record(SLOW_START),
+        "Specifics": {
+            "Counter": True,
+            "MaxUnits": MAX_UNITS,
+            "MailPerS": GOSSIP_DATAGRAMS_A_SECOND if scenario.fleet.gossip_permitted else 0,
         },
-        "Specifics": {"Counter": True, "MaxUnits": 4, "MailPerS": 100 if scenario.fleet.talk else 0},
+    }
+
+
+def request_class_record(request_class: LabRequestClass) -> dict[str, Any]:
+    """A request class in the platform's words."""
+    record: dict[str, Any] = {
+        "Name": request_class.name,
+        "Repeat": REPEAT_WORDS[request_class.idempotency],
+        "TargetMs": LATENCY_OBJECTIVE_MS,
+        "GiveUpMs": DEADLINE_MS,
+        "Worth": 1,
+    }
+    if request_class.idempotency == Idempotency.KEYED:
+        record["WindowMs"] = IDEMPOTENCY_WINDOW_MS
+    return record
+
+
+def plan_record(plan: Plan) -> dict[str, Any]:
+    """A plan in the platform's words."""
+    return {
+        "Name": plan.name,
+        "Refill": plan.rate,
+        "MostAtOnce": plan.burst,
+        "CeilingRate": plan.ceiling_rate,
+        "CeilingBurst": plan.ceiling_burst,
+        "Tolerance": plan.ceiling_slack,
+    }
+
+
+def slow_start_record(terms: SlowStartTerms) -> dict[str, Any]:
+    """How hosts warm up, in the platform's words."""
+    return {
+        "ColdFrom": terms.initial_share,
+        "ColdMs": 1000 * terms.warm_up_s,
+        "OverloadFactor": terms.overload_factor,
+        "TipAfterMs": 1000 * terms.overload_after_s,
     }
--- a/granitedock/lab/hollow.py
+++ b/granitedock/lab/hollow.py
@@ -19,7 +19,7 @@
 
 from twisted.internet import reactor as default_reactor
 
-from granitedock.lab.emulators.process import serve
+from granitedock.lab.emulators.process import run_until_sigterm
 from granitedock.lab.scale.platform import platform_file
 from granitedock.lab.scale.roster import commanded
 from granitedock.service.connector import Dialler
@@ -28,7 +28,7 @@
 from granitedock.service.reducer import Reducer
 
 SPREAD_S = 0.5  # the gateways of one process start within so long
-FLEET_PORT = 7946
+MEMBERSHIP_PORT = 7946
 VERSIONS_KEPT = 512
 
 
@@ -216,7 +216,7 @@
 
 def fleet_address(net: int, number: int) -> str:
     """The view's address of gateway `number`, on the loopback net 127.`net`."""
-    return f"127.{net}.{number // 250 + 1}.{number % 250 + 1}:{FLEET_PORT}"
+    return f"127.{net}.{number // 250 + 1}.{number % 250 + 1}:{MEMBERSHIP_PORT}"
 
 
 class Hollow:
@@ -248,7 +248,7 @@
 def main() -> int:
     gc.disable()  # a collection would look through all the gateways of this process; a real one has one
     commanded(default_reactor, Hollow().command)
-    return serve("ready")
+    return run_until_sigterm("ready")
 
 
 if __name__ == "__main__":
--- a/granitedock/lab/load/rule_checks.py
+++ b/granitedock/lab/load/rule_checks.py
@@ -1,212 +1,175 @@
-"""The five rules, checked from the outside: by what clients were answered, hosts received and lists told.
+"""The five rules, checked from the outside: by what clients were answered, hosts received and lists said.
 
-Nothing here asks a gateway: a rule holds or not by the records of both sides. Pure functions over records on
-one clock, in seconds since the load began; `check` gives a line for each break, beginning with its rule. The
-slack is the platform's on sockets: every time is 50 ms longer, a ceiling wider by what its rate gives in 150.
+Nothing here asks a gateway: a rule holds or not by the observations of both sides. Pure functions over
+observations; `rule_violations` gives a line for each violation, beginning with its rule. The slack is the
+platform's on sockets: every time is 50 ms longer, a ceiling wider by what its rate gives in 150.
 """
 
 from __future__ import annotations
 
 from collections import defaultdict
-from collections.abc import Iterable
-from dataclasses import dataclass, field
+from collections.abc import Iterable, Sequence
 from math import inf, sqrt
+from typing import NamedTuple
 
-SLACK_S, CEILING_SLACK_S, GRACE_S = 0.05, 0.15, 1.0
-NEVER_RAN = "busy"
+from granitedock.lab.faults.host_faults import ReplyKind
+from granitedock.lab.load.observations import (
+    Ceiling,
+    ClientRequest,
+    HostAttempt,
+    HostStart,
+    IdempotencyTerms,
+    Observations,
+    RequestOutcome,
+    WrittenList,
+)
+from granitedock.policy.types import Idempotency
 
+SLACK_S = 0.05
+CEILING_SLACK_S = 0.15
+GRACE_S = 1.0  # for which a gateway may still send to a host that was listed as draining
+CLOCK_ERROR_S = 0.001
+CHANCE_ROOTS = 3  # a slow start's limit is widened by so many roots of itself, and by so many requests
+ROUNDING_UNITS = 1e-9
 
-@dataclass(slots=True)
-class Seen:
-    """One forward as a host received it: out until it was answered or its connection ended. `kind` as in
-    `life.Reply`; `busy` has proved that it never ran."""
+Attempts = Sequence[HostAttempt]  # of one request, in the order in which hosts received them
 
-    task: int
-    host: str
-    at_s: float
-    until_s: float = inf
-    kind: str = "out"
-    port: int = 0  # of the other end of the connection it came on
-
-
-@dataclass(slots=True)
-class Answer:
-    """What a client had for its task: `gateway` is the one it asked, `paused_s` how much of the time that one
-    was stopped, `ended` whether it ended or was cut off under the task, so that nothing is owed."""
-
-    task: int
-    gateway: int
-    customer: int
-    product: str
-    units: float
-    sent_s: float
-    left_ms: float
-    kind: str
-    took_ms: float = 0.0
-    paused_s: float = 0.0
-    ended: bool = False
 
-    def at_s(self) -> float:
-        """When its answer came; never, if none did."""
-        return self.sent_s + self.took_ms / 1000.0 if self.kind in ("done", "deferred", "errored") else inf
+class Span(NamedTuple):
+    """From when to when, in seconds."""
 
+    from_s: float
+    to_s: float
 
-@dataclass(frozen=True, slots=True)
-class Ceiling:
-    """Of one customer: units a second, at once, and beyond."""
 
-    rate: float
-    burst: float
-    slack: float
+class Arrival(NamedTuple):
+    """When a request first came to a host, and its units."""
 
+    at_s: float
+    units: float
 
-@dataclass(frozen=True, slots=True)
-class Start:
-    """A host that starts at `at_s`: tasks it can do a second when warm, and what pushes it over."""
 
-    host: str
-    at_s: float
-    warm_rate: float
-    share: float = 0.2
-    warm_s: float = 1.0
-    factor: float = 2.0
-    tip_s: float = 1.0
-
-    def can(self, from_s: float, to_s: float) -> float:
-        """Tasks it can do in this time; its part grows evenly until it is warm."""
-
-        def upto(s: float) -> float:
-            age = max(0.0, s - self.at_s)
-            warm = min(age, self.warm_s)
-            part = self.share * warm + (1.0 - self.share) * warm * warm / (2.0 * self.warm_s)
-            return part + max(0.0, age - self.warm_s)
-
-        return self.warm_rate * (upto(to_s) - upto(from_s))
-
-
-@dataclass(slots=True)
-class Records:
-    """All that was seen of a run from the outside."""
-
-    answers: list[Answer]
-    seen: list[Seen]
-    unasked: int = 0  # answers to no task
-    # By gateway: when a list was written to it, and the hosts that it says drain or are gone.
-    told: dict[int, list[tuple[float, frozenset[str]]]] = field(default_factory=dict)
-    ceilings: dict[int, Ceiling] = field(default_factory=dict)  # by customer
-    starts: list[Start] = field(default_factory=list)
-    repeats: dict[str, tuple[str, float]] = field(default_factory=dict)  # product: safe, keyed, unsafe; ms
-
-
-def check(records: Records) -> list[str]:
-    """Every break of a rule, a line each; empty if all were kept."""
-    forwards: dict[int, list[Seen]] = defaultdict(list)
-    for seen in sorted(records.seen, key=lambda seen: seen.at_s):
-        forwards[seen.task].append(seen)
-    found = [f"rule 1: {records.unasked} answers to no task"] * bool(records.unasked)
-    for answer in records.answers:
-        found += one_answer(answer, forwards.get(answer.task, []))
-        repeats = records.repeats.get(answer.product, ("safe", 0.0))
-        found += no_effect_twice(answer, forwards.get(answer.task, []), *repeats)
-    found += drains(records, forwards)
-    for start in records.starts:
-        found += cold(start, (seen.at_s for seen in records.seen if seen.host == start.host))
-    for customer, ceiling in records.ceilings.items():
+def rule_violations(observed: Observations) -> list[str]:
+    """Every violation of a rule, a line each; empty if all rules were kept."""
+    attempts: dict[int, list[HostAttempt]] = defaultdict(list)
+    for attempt in sorted(observed.attempts, key=lambda attempt: attempt.received_at_s):
+        attempts[attempt.request_id].append(attempt)
+    count = observed.unexpected_answers
+    found = [f"rule 1: {count} answers to no task"] if count else []
+    for request in observed.requests:
+        own = attempts.get(request.request_id, [])
+        terms = observed.request_classes.get(request.request_class, IdempotencyTerms())
+        found += check_answer(request, own)
+        found += check_duplicate_effects(request, own, terms)
+    found += check_draining_hosts(observed, attempts)
+    for start in observed.starts:
+        arrivals = (one.received_at_s for one in observed.attempts if one.host == start.host)
+        found += check_slow_start(start, arrivals)
+    for customer, ceiling in observed.ceilings.items():
         firsts = [
-            (forwards[answer.task][0].at_s, answer.units)
-            for answer in records.answers
-            if answer.customer == customer and answer.task in forwards
+            Arrival(attempts[request.request_id][0].received_at_s, request.units)
+            for request in observed.requests
+            if request.customer == customer and request.request_id in attempts
         ]
-        found += under(customer, ceiling, sorted(firsts))
+        found += check_ceiling(customer, ceiling, sorted(firsts))
     return found
 
 
-def one_answer(answer: Answer, forwards: list[Seen]) -> list[str]:
-    """Rule 1: an answer before the client's time is up, and nothing sent on after it."""
-    who = f"task {answer.task} at gateway/{answer.gateway}"
-    late_ms = answer.took_ms - answer.left_ms - 1000.0 * (answer.paused_s + SLACK_S)
+def check_answer(request: ClientRequest, attempts: Attempts) -> list[str]:
+    """Rule 1: an answer before the client's deadline, and nothing sent to a host after it."""
+    who = f"task {request.request_id} at gateway/{request.gateway}"
+    answered_at_s = request.answered_at_s()
+    late_ms = request.latency_ms - request.deadline_ms - 1000.0 * (request.paused_s + SLACK_S)
     found = []
-    if answer.at_s() < inf and late_ms > 0:
+    if answered_at_s < inf and late_ms > 0:
         found.append(f"rule 1: {who} was answered {late_ms + 1000 * SLACK_S:.0f} ms late")
-    elif answer.at_s() == inf and not answer.ended:
-        found.append(f"rule 1: {who} was never answered ({answer.kind})")
-    for seen in forwards:
-        if seen.at_s > answer.at_s() + SLACK_S:
-            after_ms = 1000 * (seen.at_s - answer.at_s())
-            found.append(f"rule 1: {who} was sent to {seen.host} {after_ms:.0f} ms after its answer")
+    elif answered_at_s == inf and not request.gateway_ended:
+        found.append(f"rule 1: {who} was never answered ({request.outcome})")
+    for attempt in attempts:
+        if attempt.received_at_s > answered_at_s + SLACK_S:
+            after_ms = 1000 * (attempt.received_at_s - answered_at_s)
+            found.append(f"rule 1: {who} was sent to {attempt.host} {after_ms:.0f} ms after its answer")
     return found
 
 
-def no_effect_twice(answer: Answer, forwards: list[Seen], repeat: str, group_ms: float) -> list[str]:
-    """Rule 2: never two copies out; nothing again, nor a deferral, where an earlier one may have run and the
-    product forbids it, or the hosts no longer know the stamp."""
-    found, who = [], f"task {answer.task} ({answer.product})"
-    for before, after in zip(forwards, forwards[1:]):
-        if after.at_s < before.until_s - 0.001:
+def check_duplicate_effects(request: ClientRequest, attempts: Attempts, terms: IdempotencyTerms) -> list[str]:
+    """Rule 2: never two attempts in flight; no further attempt, nor a rejection, where an earlier one may
+    have run and the request class forbids it, or the hosts no longer know the idempotency key."""
+    found = []
+    who = f"task {request.request_id} ({request.request_class})"
+    for before, after in zip(attempts, attempts[1:]):
+        if after.received_at_s < before.ended_at_s - CLOCK_ERROR_S:
             found.append(f"rule 2: {who} was out at {before.host} and {after.host} at once")
-    ran = next((seen for seen in forwards if seen.kind != NEVER_RAN), None)
-    if ran is None or repeat == "safe":
+    ran = next((attempt for attempt in attempts if attempt.reply != ReplyKind.BUSY), None)
+    if ran is None or terms.kind == Idempotency.IDEMPOTENT:
         return found
-    good_s = ran.at_s + group_ms / 1000.0 + SLACK_S if repeat == "keyed" else -inf
-    for seen in forwards:
-        if seen is not ran and seen.at_s > max(ran.at_s, good_s):
-            found.append(f"rule 2: {who} may have run at {ran.host} and was sent to {seen.host}")
-    if answer.kind == "deferred" and answer.at_s() > good_s:
+    keyed = terms.kind == Idempotency.KEYED
+    known_until_s = ran.received_at_s + terms.window_ms / 1000.0 + SLACK_S if keyed else -inf
+    for attempt in attempts:
+        if attempt is not ran and attempt.received_at_s > max(ran.received_at_s, known_until_s):
+            found.append(f"rule 2: {who} may have run at {ran.host} and was sent to {attempt.host}")
+    if request.outcome == RequestOutcome.REJECTED and request.answered_at_s() > known_until_s:
         found.append(f"rule 2: {who} may have run at {ran.host} and was deferred")
     return found
 
 
-def drains(records: Records, forwards: dict[int, list[Seen]]) -> list[str]:
-    """Rule 3: nothing new to a host later than the grace after its gateway was told that it drains."""
-    found, owner = [], {answer.task: answer.gateway for answer in records.answers}
-    since = {n: held(lists) for n, lists in records.told.items()}
-    for task, sent in forwards.items():
-        for seen in sent:
-            for from_s, to_s in since.get(owner.get(task, -1), {}).get(seen.host, ()):
-                if from_s + GRACE_S + SLACK_S < seen.at_s < to_s:
-                    late_ms = 1000 * (seen.at_s - from_s)
-                    who = f"task {task} of gateway/{owner[task]}"
-                    found.append(f"rule 3: {who} came to {seen.host} {late_ms:.0f} ms after its drain")
+def check_draining_hosts(observed: Observations, attempts: dict[int, list[HostAttempt]]) -> list[str]:
+    """Rule 3: nothing new to a host later than the grace after its gateway was notified that it drains."""
+    found = []
+    gateways = {request.request_id: request.gateway for request in observed.requests}
+    spans = {gateway: unavailable_spans(lists) for gateway, lists in observed.lists.items()}
+    for request_id, own in attempts.items():
+        gateway = gateways.get(request_id, -1)
+        for attempt in own:
+            for span in spans.get(gateway, {}).get(attempt.host, ()):
+                if span.from_s + GRACE_S + SLACK_S < attempt.received_at_s < span.to_s:
+                    late_ms = 1000 * (attempt.received_at_s - span.from_s)
+                    who = f"task {request_id} of gateway/{gateway}"
+                    found.append(f"rule 3: {who} came to {attempt.host} {late_ms:.0f} ms after its drain")
     return found
 
 
-def held(lists: list[tuple[float, frozenset[str]]]) -> dict[str, list[tuple[float, float]]]:
+def unavailable_spans(lists: Iterable[WrittenList]) -> dict[str, list[Span]]:
     """For each host, from when to when the lists said that it drains or is gone."""
-    spans: dict[str, list[tuple[float, float]]] = {}
-    open_s: dict[str, float] = {}
-    for at_s, names in lists:
-        for name in [name for name in open_s if name not in names]:
-            spans.setdefault(name, []).append((open_s.pop(name), at_s))
-        for name in names:
-            open_s.setdefault(name, at_s)
-    for name, from_s in open_s.items():
-        spans.setdefault(name, []).append((from_s, inf))
+    spans: dict[str, list[Span]] = {}
+    begun: dict[str, float] = {}
+    for written in lists:
+        for name in [name for name in begun if name not in written.unavailable]:
+            spans.setdefault(name, []).append(Span(begun.pop(name), written.written_at_s))
+        for name in written.unavailable:
+            begun.setdefault(name, written.written_at_s)
+    for name, from_s in begun.items():
+        spans.setdefault(name, []).append(Span(from_s, inf))
     return spans
 
 
-def cold(start: Start, arrivals: Iterable[float]) -> list[str]:
-    """Rule 4: in no time of the stated length, while it is cold, does it get more than the stated multiple of
-    what it can do, N, with three roots of N and three for chance."""
+def check_slow_start(start: HostStart, arrivals: Iterable[float]) -> list[str]:
+    """Rule 4: while a host warms up, it gets in no time of the stated length more than the stated multiple of
+    its capacity, N, with three roots of N and three for chance."""
     times = sorted(at_s for at_s in arrivals if at_s >= start.at_s)
+    terms = start.terms
     first = 0
     for last, at_s in enumerate(times):
-        while times[first] < at_s - start.tip_s:
+        while times[first] < at_s - terms.overload_after_s:
             first += 1
-        if times[first] > start.at_s + start.warm_s:
+        if times[first] > start.at_s + terms.warm_up_s:
             return []
-        most = start.factor * start.can(times[first], times[first] + start.tip_s)
-        if last - first + 1 > most + 3 * sqrt(most) + 3:
-            return [f"rule 4: {start.host} got {last - first + 1} tasks cold, of {most:.1f} that it bears"]
+        most = terms.overload_factor * start.capacity(times[first], times[first] + terms.overload_after_s)
+        count = last - first + 1
+        if count > most + CHANCE_ROOTS * sqrt(most) + CHANCE_ROOTS:
+            return [f"rule 4: {start.host} got {count} tasks cold, of {most:.1f} that it bears"]
     return []
 
 
-def under(customer: int, ceiling: Ceiling, firsts: list[tuple[float, float]]) -> list[str]:
-    """Rule 5: what all gateways send on for a customer stays under its ceiling and the slack."""
+def check_ceiling(customer: int, ceiling: Ceiling, arrivals: Iterable[Arrival]) -> list[str]:
+    """Rule 5: what all gateways forward for a customer stays under its ceiling and the slack. `arrivals` are
+    the first attempts of the customer's requests, in order."""
     full = ceiling.burst + ceiling.slack + ceiling.rate * CEILING_SLACK_S
-    level, before = full, 0.0
-    for at_s, units in firsts:
-        level = min(full, level + ceiling.rate * (at_s - before)) - units
-        before = at_s
-        if level < -1e-9:
+    level = full
+    before_s = 0.0
+    for at_s, units in arrivals:
+        level = min(full, level + ceiling.rate * (at_s - before_s)) - units
+        before_s = at_s
+        if level < -ROUNDING_UNITS:
             return [f"rule 5: customer {customer} is {-level:.1f} units over its ceiling at {at_s:.2f} s"]
     return []
--- a/granitedock/lab/scale/requests.py
+++ b/granitedock/lab/scale/requests.py
@@ -19,7 +19,8 @@
 import orjson
 
 from granitedock.commands.asking import asked
-from granitedock.lab.load.generator import Load, Row
+from granitedock.lab.load.generator import LoadGenerator
+from granitedock.lab.load.request_record import RequestRecord
 from granitedock.lab.scale.platform import settings
 from granitedock.lab.scale.probe import ScaleError, memory_mb, process_cpu_s, quantile
 from granitedock.lab.scenario import Scenario, parse
@@ -133,17 +134,17 @@
         return server.getsockname()[1]
 
 
-def played(world: Scenario, addresses: list[str], seconds: float) -> tuple[list[Row], float]:
+def played(world: Scenario, addresses: list[str], seconds: float) -> tuple[list[RequestRecord], float]:
     """The load of a scenario on these addresses: its rows after it has settled, and their sum of seconds."""
-    load = Load(world, addresses)
+    load = LoadGenerator(world, addresses)
     load.start()
     time.sleep(seconds)
     return load.stop(), seconds
 
 
-def times(rows: list[Row], from_s: float) -> list[float]:
+def times(rows: list[RequestRecord], from_s: float) -> list[float]:
     """The answers' times in ms, of the requests sent from then on and served."""
-    return [row.took_ms for row in rows if row.kind == "done" and row.sent_s >= from_s]
+    return [row.latency_ms for row in rows if row.outcome == "done" and row.sent_at_s >= from_s]
 
 
 def measure(hosts: int, counting: bool, rate: float, seconds: float) -> RequestCost:
@@ -186,7 +187,7 @@
     seconds: float,
 ) -> RequestCost:
     """The load through the gateway, then on some of the hosts directly."""
-    load = Load(world, [address])
+    load = LoadGenerator(world, [address])
     load.start()
     time.sleep(SETTLE_S)
     cpu_before = process_cpu_s(running.pid)
@@ -194,7 +195,7 @@
     cpu_s = process_cpu_s(running.pid) - cpu_before
     held = figures(address)
     memory = memory_mb(running.pid)
-    rows = [row for row in load.stop() if row.sent_s >= SETTLE_S]
+    rows = [row for row in load.stop() if row.sent_at_s >= SETTLE_S]
     through = times(rows, SETTLE_S)
     few = hosts[: min(len(hosts), 20)]
     rate = sum(clients.rate for clients in world.clients)
--- a/granitedock/lab/scale/roster.py
+++ b/granitedock/lab/scale/roster.py
@@ -1,7 +1,8 @@
 """A discovery stand-in at fleet size: thousands of hosts, hundreds of watches, whole lists and changes.
 
 The wire is that of `lab/emulators/discovery.py`. A new watch gets the whole list; later changes go out as
-lists that name only what changed (`"reset": false`). A silent stand-in leaves its watches open and writes nothing.
+lists that name only what changed (`"reset": false`). A silent stand-in leaves its watches open and writes
+nothing.
 
 Run as `python -m granitedock.lab.scale.roster HOSTS`: prints its address as one JSON line, takes one JSON
 command a line on standard input (`{"change": N}`, `{"silent": true}`) and answers each with one JSON line:
@@ -17,8 +18,8 @@
 import orjson
 from twisted.internet import reactor as default_reactor
 
-from granitedock.lab.emulators.discovery import Watch
-from granitedock.lab.emulators.process import listen, serve
+from granitedock.lab.emulators.discovery import WatchConnection
+from granitedock.lab.emulators.process import listen_on_loopback, run_until_sigterm
 from granitedock.lab.scale.platform import host_list, instance
 
 HEARTBEAT_S = 1.0
@@ -31,16 +32,16 @@
         self.reactor, self.hosts = reactor, hosts
         self.generation, self.silent = 1, False
         self.draining: set[int] = set()
-        self.watches: set[Watch] = set()
-        self.last = orjson.dumps(host_list(hosts))
+        self.watches: set[WatchConnection] = set()
+        self.last_list = orjson.dumps(host_list(hosts))
         self.port: Any = None
 
     def listen(self) -> str:
-        self.port, number = listen(self.reactor, 0, lambda: Watch(self))
+        self.port, number = listen_on_loopback(self.reactor, 0, lambda: WatchConnection(self))
         self.reactor.callLater(HEARTBEAT_S, self.heartbeat)
         return f"127.0.0.1:{number}"
 
-    def wrote(self, line: bytes) -> None:
+    def record_written(self, line: bytes) -> None:
         """A whole list goes to a new watch."""
 
     def heartbeat(self) -> None:
@@ -58,7 +59,7 @@
         self.draining.symmetric_difference_update(numbers)
         changed = [instance(number, lifecycle=self.lifecycle(number)) for number in numbers]
         whole = [instance(number, lifecycle=self.lifecycle(number)) for number in range(self.hosts)]
-        self.last = orjson.dumps({"generation": self.generation, "reset": True, "instances": whole})
+        self.last_list = orjson.dumps({"generation": self.generation, "reset": True, "instances": whole})
         told = {"generation": self.generation, "reset": False, "instances": changed}
         self.write(orjson.dumps(told) + b"\n")
 
@@ -94,7 +95,7 @@
     roster = Roster(int(argv[1]))
     address = roster.listen()
     commanded(default_reactor, roster.command)
-    return serve(address)
+    return run_until_sigterm(address)
 
 
 if __name__ == "__main__":
--- a/granitedock/lab/sharesim.py
+++ b/granitedock/lab/sharesim.py
@@ -15,7 +15,7 @@
 
 from granitedock import platform_settings
 from granitedock.lab.fleetsim import EPOCH, Node, World
-from granitedock.lab.gateway_settings import born
+from granitedock.lab.gateway_settings import gateway_settings
 from granitedock.lab.scenario import parse
 from granitedock.membership.pace import Pace
 from granitedock.membership.wire import Kind, Message
@@ -68,7 +68,7 @@
 
     def __init__(self, fleet: ShareFleet, node: Node, shared: bool, viewed: bool) -> None:
         self.fleet, self.node, self.part = fleet, node, node.part
-        settings = born(fleet.scenario, node.number) | {"Balancers": len(fleet.nodes)}
+        settings = gateway_settings(fleet.scenario, node.number) | {"Balancers": len(fleet.nodes)}
         goods = platform_settings.request_classes(settings)
         self.read = goods[0]
         self.gateway = platform_settings.gateway(self, fleet.unix(), node.number, settings, goods)
--- a/tests/configuration/test_configuration_processes.py
+++ b/tests/configuration/test_configuration_processes.py
@@ -15,8 +15,9 @@
 from granitedock.__main__ import main
 from granitedock.configuration import client, follower, lines
 from granitedock.configuration.settings import GatewayFile
-from granitedock.lab.cluster.cluster import on_loop
-from granitedock.lab.faults.proxies import FINE, Fate, TcpWire, Weather
+from granitedock.lab.faults.link_faults import CUT, NO_FAULT, LinkFaults
+from granitedock.lab.faults.tcp_proxy import TcpProxy
+from granitedock.lab.reactor import on_reactor
 from granitedock.lab.scale.configuration import CLUSTER, controls, started, wait_version
 from granitedock.lab.scale.fleet import commanded, hollow_fleet
 
@@ -177,16 +178,16 @@
 def test_changes_made_while_the_regions_are_cut_are_in_force_everywhere_within_10_s_of_the_heal(tmp_path):
     """The writer stands in the other region, a replica in the gateway's own; the wire between them is cut for
     as long as the story likes: all that grows with the time is the back-off, which is at its longest."""
-    weather = Weather(1)
+    link_faults = LinkFaults(1)
     ways = [("replica", "writer"), ("writer", "replica")]
     with controls(3, 1) as (writer,):
-        wire = on_loop(TcpWire, reactor, weather, "replica", "writer", "127.0.0.1:0", writer.address)
+        wire = on_reactor(TcpProxy, reactor, link_faults, "replica", "writer", "127.0.0.1:0", writer.address)
         replica = started(tmp_path, "replica", [wire.address], None)
         try:
             wait_version([replica], 1)
             with gateway(tmp_path, [replica.address]) as live:
                 has(live, 1)
-                on_loop(weather.set, Fate(cut=True), ways)
+                on_reactor(link_faults.set, CUT, ways)
                 for base in (1, 2, 3):
                     plan = PLAN | {"Refill": 1000 + base}
                     client.apply(writer.address, change(base, [plan]), 5.0)
@@ -201,7 +202,7 @@
                     fresh.process.wait()
                 assert served(live, live.client()) == VALUE
                 healed = time.monotonic()
-                on_loop(weather.set, FINE, ways)
+                on_reactor(link_faults.set, NO_FAULT, ways)
                 has(live, 4)
                 assert time.monotonic() - healed < 10.0
                 assert live.reducer.plans["p"].rate == pytest.approx(1.003)
@@ -209,7 +210,7 @@
             replica.process.kill()
             replica.process.wait()
             replica.process.stdout.close()
-            on_loop(wire.end)
+            on_reactor(wire.stop)
 
 
 def test_followers_of_a_control_process_that_is_killed_go_on_with_the_rest(tmp_path):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,7 +14,7 @@
     "test_quota_sharing.py": ("fleets-1", "fleets-2"),
     "test_outlier_detection.py": ("fleets-3",),
     "test_membership_processes.py": ("fleets-4",),
-    "test_rules.py": ("fleets-4",),
+    "test_rule_checks.py": ("fleets-4",),
     "test_configuration_processes.py": ("fleets-4",),
 }
 
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -88,17 +88,17 @@
 
 def read_run(folder):
     """(name, length in s, faults, rows as tuples) of a kept laboratory run."""
-    from granitedock.lab.report import read
+    from granitedock.lab.run_storage import read
 
     run = read(folder)
-    return run.name, run.length_s, run.faults, [astuple(row) for row in run.rows]
+    return run.name, run.length_s, run.faults, [astuple(row) for row in run.records]
 
 
 def write_run(folder, name, length_s, faults, rows):
-    from granitedock.lab.load.generator import Row
-    from granitedock.lab.report import keep
+    from granitedock.lab.load.request_record import RequestRecord
+    from granitedock.lab.run_storage import Run, keep
 
-    keep(folder, name, length_s, faults, [Row(*row) for row in rows])
+    keep(Run(name, length_s, faults, [RequestRecord(*row) for row in rows]), folder)
 
 
 def read_capacity(path):
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -12,7 +12,7 @@
 def test_the_example_loads_as_written():
     scenario = load(EXAMPLE)
     assert [zone.hosts for zone in scenario.fleet.zones] == [10, 10]
-    assert [(fault.what, fault.target) for fault in scenario.timeline] == [
+    assert [(fault.kind, fault.target) for fault in scenario.timeline] == [
         ("slow", "east"),
         ("kill", "counter"),
     ]
--- a/tests/outlier_detection/test_outlier_detection.py
+++ b/tests/outlier_detection/test_outlier_detection.py
@@ -9,8 +9,9 @@
 from process_fleet import WITHIN_S
 from pytest import mark, raises
 
-from granitedock.lab.cluster.cluster import FLEET_PORT, Rig
-from granitedock.lab.load.generator import broken, load_on
+from granitedock.lab.cluster.cluster import GatewayCluster
+from granitedock.lab.cluster.network import MEMBERSHIP_PORT
+from granitedock.lab.load.verification import cluster_load, violations
 from granitedock.lab.scenario import parse
 from granitedock.membership.member import Member, State
 from granitedock.membership.wire import MOST_BYTES, Kind, Message, decode, encode
@@ -51,13 +52,13 @@
 class Day:
     def __init__(self, tmp_path, count=6, hosts=True, spread=None, first=0, rate=120):
         text = WORLD % (count, "true" if hosts else "false", rate, spread or count, first)
-        self.rig, self.count = Rig(parse(text), tmp_path), count
+        self.rig, self.count = GatewayCluster(parse(text), tmp_path), count
 
     def __enter__(self):
         rig = self.rig.__enter__()
-        rig.ready()
-        rig.agreed(range(self.count), WITHIN_S)
-        self.load = load_on(rig)
+        rig.wait_until_ready()
+        rig.wait_for_agreement(range(self.count), WITHIN_S)
+        self.load = cluster_load(rig)
         self.load.start()
         time.sleep(2)
         return self
@@ -66,7 +67,8 @@
         self.rig.__exit__(*what)
 
     def out(self, *which):
-        return {n: {name for name, host in self.rig.judged(n)["hosts"].items() if host["out"]} for n in which}
+        hosts = {n: self.rig.host_verdicts(n)["hosts"] for n in which}
+        return {n: {name for name, host in hosts[n].items() if host["out"]} for n in which}
 
     def until(self, true, within_s=6.0):
         began = time.monotonic()
@@ -78,7 +80,7 @@
 
     def ends(self):
         rows = self.load.stop()
-        assert not broken(self.load, self.rig)
+        assert not violations(self.load, self.rig)
         gateways = self.rig.gateways
         assert not [event for gateway in gateways for event in gateway.events() if event["event"] == "fault"]
         return rows
@@ -86,14 +88,14 @@
 
 def lost_to_a_bad_host(tmp_path, hosts):
     with Day(tmp_path, hosts=hosts, rate=160) as day:
-        day.rig.host_fault("east/0", "errors")
+        day.rig.add_host_fault("east/0", "errors")
         if hosts:
             day.until(lambda: all(out == {"east/0"} for out in day.out(*range(6)).values()))
-            assert all(not apart for apart in (day.rig.judged(n)["set_apart"] for n in range(6)))
+            assert all(not apart for apart in (day.rig.host_verdicts(n)["set_apart"] for n in range(6)))
         time.sleep(14)  # a gateway alone asks it again each three seconds; told, they take turns
         failed = day.rig.host("east/0").failed
         if hosts:
-            day.rig.host_well("east/0")
+            day.rig.clear_host_faults("east/0")
             day.until(lambda: not any(day.out(*range(6)).values()), 12)
         day.ends()
         return failed
@@ -108,20 +110,20 @@
 def test_what_only_one_cannot_reach_and_what_a_cut_gateway_says_of_all_is_kept_by_the_others(tmp_path):
     with Day(tmp_path) as day:
         rig = day.rig
-        wires = [wire for wire in rig.tcp if wire.gateway == "gateway/5" and wire.party == "hosts"]
+        wires = [wire for wire in rig.tcp_proxies if wire.gateway == "gateway/5" and wire.party == "hosts"]
         wires[0].party = "hosts/0"  # the wire to one host, by a name of its own
         rig.cut([5], "hosts/0")
         time.sleep(4)
         assert not any(day.out(*range(5)).values())
-        seen = rig.host("east/0").seen
+        seen = rig.host("east/0").received
         time.sleep(1)
-        assert rig.host("east/0").seen > seen
+        assert rig.host("east/0").received > seen
         rig.cut([5], "hosts")
         time.sleep(5)
         assert not any(day.out(*range(5)).values())
         rig.pause(4)
         time.sleep(7)
-        rig.wake(4)  # with old news
+        rig.resume(4)  # with old news
         time.sleep(2)
         assert not any(day.out(*range(4)).values())
         day.ends()
@@ -132,14 +134,15 @@
         rig = day.rig
         rig.cut([1], "discovery")
         time.sleep(0.5)
-        rig.host_fault("east/1", "drain")
+        rig.add_host_fault("east/1", "drain")
         began = time.monotonic()
         time.sleep(1.5)
-        seen = rig.host("east/1").seen
+        seen = rig.host("east/1").received
         time.sleep(3)
-        assert rig.host("east/1").seen == seen, time.monotonic() - began
+        assert rig.host("east/1").received == seen, time.monotonic() - began
         assert day.out(1)[1] == {"east/1"}
-        assert day.rig.judged(1)["hosts"]["east/1"]["status"] == "ready"  # its own list knows nothing of it
+        # Its own list knows nothing of it.
+        assert day.rig.host_verdicts(1)["hosts"]["east/1"]["status"] == "ready"
         day.ends()
 
 
@@ -154,15 +157,15 @@
             if apart:
                 rig.cut(range(4), range(4, 8))
             for name in east:
-                rig.host_fault(name, "kill", for_s=3)
+                rig.add_host_fault(name, "kill", for_s=3)
             time.sleep(3.3)  # discovery tells their return within 0.1 s, the stand-ins listen within 0.5 s
-            before = {name: rig.host(name).seen for name in east}
+            before = {name: rig.host(name).received for name in east}
             time.sleep(1)
-            came = sum(rig.host(name).seen - before[name] for name in east)
+            came = sum(rig.host(name).received - before[name] for name in east)
             # Each is asked again, and together they get a tenth of the tasks; how they part them is by their
             # gateways' taste: of eight equal hosts one may see thirty times as many tasks as another.
-            day.until(lambda: all(rig.host(name).seen > before[name] for name in east), 8)
-            day.until(lambda: sum(rig.host(name).seen - before[name] for name in east) > 100, 8)
+            day.until(lambda: all(rig.host(name).received > before[name] for name in east), 8)
+            day.until(lambda: sum(rig.host(name).received - before[name] for name in east) > 100, 8)
             day.ends()
             return came
 
@@ -175,7 +178,7 @@
 def test_false_news_at_the_greatest_rate_takes_no_good_host_out(tmp_path):
     with Day(tmp_path, count=3) as day:
         rig = day.rig
-        names = sorted(rig.judged(0)["hosts"])
+        names = sorted(rig.host_verdicts(0)["hosts"])
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             ends, number = time.monotonic() + 6, 0
             while time.monotonic() < ends:
@@ -184,11 +187,11 @@
                     sender = Member(teller, "127.0.0.1:9", 5, number, State.ALIVE)
                     rows = tuple(Row(teller, 5, number, name, 2**40, 9, 0, -1) for name in hosts)
                     message = Message(Kind.EVIDENCE, sender, 0, evidence=rows)
-                    stranger.sendto(encode("lab", message), (rig.own(0), FLEET_PORT))
+                    stranger.sendto(encode("lab", message), (rig.gateway_host(0), MEMBERSHIP_PORT))
                 time.sleep(0.002)
         assert len(day.out(0)[0]) <= 2  # a quarter of eight, whatever is said
         rows = day.ends()
-        assert sum(row.kind == "done" for row in rows) >= 0.98 * len(rows)
+        assert sum(row.outcome == "done" for row in rows) >= 0.98 * len(rows)
 
 
 # The weighing, on its own.
--- a/tests/quota_sharing/test_quota_sharing.py
+++ b/tests/quota_sharing/test_quota_sharing.py
@@ -9,9 +9,11 @@
 from process_fleet import WITHIN_S, world
 from pytest import mark, raises
 
-from granitedock.lab.cluster.cluster import Rig, on_loop
-from granitedock.lab.emulators.counter import Counts as CounterCounts
-from granitedock.lab.load.generator import broken, done_units, load_on
+from granitedock.lab.cluster.cluster import GatewayCluster
+from granitedock.lab.emulators.counter import ExpiringCounts
+from granitedock.lab.load.request_record import served_units
+from granitedock.lab.load.verification import cluster_load, violations
+from granitedock.lab.reactor import on_reactor
 from granitedock.lab.sharesim import Offer, ShareFleet, admitted
 from granitedock.membership.machine import Change
 from granitedock.membership.member import Member, State
@@ -33,13 +35,13 @@
     """A rig with load, whose admitted units are compared with the allowance, from mark to mark."""
 
     def __init__(self, tmp_path):
-        self.rig = Rig(world(4, *SHARED), tmp_path)
+        self.rig = GatewayCluster(world(4, *SHARED), tmp_path)
 
     def __enter__(self):
         rig = self.rig.__enter__()
-        rig.ready()
-        rig.agreed(range(4), WITHIN_S)
-        self.load = load_on(rig)
+        rig.wait_until_ready()
+        rig.wait_for_agreement(range(4), WITHIN_S)
+        self.load = cluster_load(rig)
         self.load.start()
         time.sleep(3)
         return self
@@ -49,14 +51,14 @@
 
     def part(self, seconds):
         """The part of the allowance that is done in the next seconds."""
-        began = self.load.now()
+        began = self.load.now_s()
         time.sleep(seconds)
-        return done_units(self.load.rows, 161, began, began + seconds) / (RATE * seconds)
+        return served_units(self.load.records, 161, began, began + seconds) / (RATE * seconds)
 
     def ends(self):
         """One answer to each task, and no more than the stated bound over the whole day."""
         rows = self.load.stop()
-        assert not broken(self.load, self.rig)
+        assert not violations(self.load, self.rig)
         assert not [
             event for gateway in self.rig.gateways for event in gateway.events() if event["event"] == "fault"
         ]
@@ -90,23 +92,23 @@
         rig = day.rig
         rig.cut([2, 3], "counter")
         rig.cut([2, 3], [0, 1])
-        began = day.load.now()
+        began = day.load.now_s()
         time.sleep(DETECTION_S)
-        over = done_units(day.load.rows, 161, began, began + DETECTION_S) - RATE * DETECTION_S
+        over = served_units(day.load.records, 161, began, began + DETECTION_S) - RATE * DETECTION_S
         assert (
             over <= 2 * (BURST + RATE * DETECTION_S) / SET
         )  # the stated transient: the unheard ones' shares
         assert LEAST <= day.part(5) <= 1.05
         # A gateway that returns into the split, and one that wakes into it, change nothing of the sum.
         rig.restart(3)
-        rig.ready(3)
+        rig.wait_until_ready(3)
         rig.pause(2)
         time.sleep(3)
-        rig.wake(2)
+        rig.resume(2)
         time.sleep(1)
         assert day.part(5) <= 1.05
         rig.heal()
-        rig.agreed(range(4), 2 * WITHIN_S)
+        rig.wait_for_agreement(range(4), 2 * WITHIN_S)
         time.sleep(5)
         assert LEAST <= day.part(4) <= 1.05
         rig.cut([2, 3], [0, 1])  # from each other only: all of them count
@@ -122,29 +124,29 @@
     with Day(tmp_path) as day:
         rig = day.rig
         assert LEAST <= day.part(3) <= 1.05
-        began = day.load.now()
+        began = day.load.now_s()
         rig.cut(range(4), "counter")  # away, and back with its totals
         time.sleep(2)
         rig.heal()
         time.sleep(1)  # connections come up, and totals of the calls that were held
         assert LEAST <= day.part(5) <= 1.05
-        old = on_loop(rig.counter.counts.copy)
+        old = on_reactor(rig.counter.counts.copy)
         time.sleep(1)
-        rig.counter_back(old)
+        rig.restart_counter(old)
         assert LEAST <= day.part(5) <= 1.1
-        rig.counter_back(CounterCounts())
+        rig.restart_counter(ExpiringCounts())
         assert LEAST <= day.part(5) <= 1.1
-        rig.counter_moves()
+        rig.move_counter()
         assert LEAST <= day.part(5) <= 1.1
-        frozen = on_loop(rig.counter.counts.copy)
-        on_loop(setattr, rig.counter, "stale_at", frozen)
+        frozen = on_reactor(rig.counter.counts.copy)
+        on_reactor(setattr, rig.counter, "frozen_counts", frozen)
         time.sleep(2)
         assert LEAST <= day.part(5) <= 1.15
-        on_loop(setattr, rig.counter, "stale_at", None)
+        on_reactor(setattr, rig.counter, "frozen_counts", None)
         time.sleep(5)
         assert LEAST <= day.part(4) <= 1.05
-        lasted = day.load.now() - began
-        assert done_units(day.load.rows, 161, began, began + lasted) <= 1.05 * (RATE * lasted + BURST)
+        lasted = day.load.now_s() - began
+        assert served_units(day.load.records, 161, began, began + lasted) <= 1.05 * (RATE * lasted + BURST)
         day.ends()
 
 
@@ -157,8 +159,8 @@
         day.rig.cut([2, 3], "counter")  # from now on there is something to write
         time.sleep(3)
         rows = day.ends()  # one answer to each request, in its time
-        late = [row for row in rows if row.sent_s > 4.0]
-        assert {row.gateway for row in late if row.kind in ("done", "deferred")} == {0, 1, 2, 3}
+        late = [row for row in rows if row.sent_at_s > 4.0]
+        assert {row.gateway for row in late if row.outcome in ("done", "deferred")} == {0, 1, 2, 3}
 
 
 def test_what_was_let_in_before_a_restart_is_read_back_and_a_torn_file_is_refused(tmp_path):
@@ -167,7 +169,7 @@
         rig.cut([3], "counter")
         time.sleep(2)
         rig.restart(3)
-        rig.ready(3)
+        rig.wait_until_ready(3)
         read = [event for event in rig.gateways[3].events() if event["event"] == "snapshot read"]
         assert read[-1]["of_use"] >= 1
         rig.heal()
@@ -178,7 +180,7 @@
         rig.kill(3)
         file.write_bytes(file.read_bytes()[:-1] + b"?")
         rig.start(3)
-        rig.ready(3)
+        rig.wait_until_ready(3)
         refused = [event for event in rig.gateways[3].events() if event["event"] == "snapshot refused"]
         assert "torn" in refused[-1]["why"]
         day.ends()
--- a/tests/service/test_operator_settings.py
+++ b/tests/service/test_operator_settings.py
@@ -8,7 +8,7 @@
 
 from process_fleet import world
 
-from granitedock.lab.cluster.cluster import Rig
+from granitedock.lab.cluster.cluster import GatewayCluster
 
 GRANITEDOCK = [sys.executable, "-m", "granitedock"]
 
@@ -27,13 +27,14 @@
 def test_a_good_file_acts_and_a_bad_one_is_refused_by_line_and_changes_nothing(tmp_path):
     file = tmp_path / "gateway.toml"
     file.write_text("[log]\nlines_a_second = 7\n[limits]\nrest_ms = 4000\n")
-    with Rig(world(1, "view = true", "view = false"), tmp_path) as rig:
-        rig.ready()
+    with GatewayCluster(world(1, "view = true", "view = false"), tmp_path) as rig:
+        rig.wait_until_ready()
         rig.kill(0)
-        rig.gateways[0].more += ["--config", str(file)]
+        rig.gateways[0].options += ["--config", str(file)]
         rig.start(0)
-        rig.ready()
-        command = [*GRANITEDOCK, "check", "--told", str(rig.gateways[0].path()), "--config", str(file)]
+        rig.wait_until_ready()
+        platform_file = str(rig.gateways[0].platform_path())
+        command = [*GRANITEDOCK, "check", "--told", platform_file, "--config", str(file)]
         shown = subprocess.run(command, capture_output=True, text=True, timeout=20)
         assert '"log_lines": 7' in shown.stdout and '"rest_ms": 4000.0' in shown.stdout
         faults = (
@@ -62,9 +63,9 @@
 
 
 def test_figures_of_several_gateways_are_served_and_one_that_is_gone_is_told(tmp_path):
-    with Rig(world(2, "view = true", "view = false"), tmp_path) as rig:
-        rig.ready()
-        addresses = [f"{rig.own(n)}:6379" for n in range(2)]
+    with GatewayCluster(world(2, "view = true", "view = false"), tmp_path) as rig:
+        rig.wait_until_ready()
+        addresses = [f"{rig.gateway_host(n)}:6379" for n in range(2)]
         once = subprocess.run(
             [*GRANITEDOCK, "metrics", *addresses], capture_output=True, text=True, timeout=20
         )
--- a/tests/test_small_functions.py
+++ b/tests/test_small_functions.py
@@ -45,57 +45,60 @@
     ]
 
 
-def test_lab_life_condition():
-    from granitedock.lab.faults.host_faults import Fault, condition
+def test_lab_host_faults_host_condition():
+    from granitedock.lab.faults.host_faults import Fault, host_condition
 
     slow = Fault(at_s=20, what="slow", target="east", for_s=15, factor=6)
-    assert [condition([slow], 0, ms).slower for ms in (19999, 20000, 35000)] == [1.0, 6.0, 1.0]
+    assert [host_condition([slow], 0, ms).slowdown for ms in (19999, 20000, 35000)] == [1.0, 6.0, 1.0]
 
 
-def test_lab_life_service_ms():
-    from granitedock.lab.faults.host_faults import Random, Service, service_ms
+def test_lab_host_faults_draw_service_ms():
+    from granitedock.lab.faults.host_faults import Random, Service, draw_service_ms
 
-    assert service_ms(Service(kind="fixed", mean_ms=12), Random(1)) == 12.0
+    assert draw_service_ms(Service(kind="fixed", mean_ms=12), Random(1)) == 12.0
 
 
-def test_lab_load_frozen_s():
-    from granitedock.lab.load.generator import frozen_s
+def test_lab_load_paused_seconds():
+    from granitedock.lab.load.verification import Pause, paused_seconds
 
-    assert frozen_s([[2.0, 5.0], [9.0, float("inf")]], 4.0, 10.0) == 2.0
+    assert paused_seconds([Pause(2.0, 5.0), Pause(9.0, float("inf"))], 4.0, 10.0) == 2.0
 
 
-def test_lab_rules_held():
-    from granitedock.lab.load.rule_checks import held
+def test_lab_rule_checks_unavailable_spans():
+    from granitedock.lab.load.rule_checks import WrittenList, unavailable_spans
 
-    assert held(
-        [(1.0, frozenset()), (2.0, frozenset({"a"})), (3.0, frozenset({"a"})), (9.0, frozenset())]
-    ) == {"a": [(2.0, 9.0)]}
+    lists = [(1.0, frozenset()), (2.0, frozenset({"a"})), (3.0, frozenset({"a"})), (9.0, frozenset())]
+    assert unavailable_spans(WrittenList(*one) for one in lists) == {"a": [(2.0, 9.0)]}
 
 
-def test_lab_rules_can():
-    from granitedock.lab.load.rule_checks import Start
+def test_lab_observations_capacity():
+    from granitedock.lab.load.observations import HostStart
 
-    start = Start("east/0", 10.0, 100.0)
-    assert (round(start.can(10.0, 11.0)), round(start.can(11.0, 12.0)), round(start.can(10.5, 11.5))) == (
+    start = HostStart("east/0", 10.0, 100.0)
+    assert (
+        round(start.capacity(10.0, 11.0)),
+        round(start.capacity(11.0, 12.0)),
+        round(start.capacity(10.5, 11.5)),
+    ) == (
         60,
         100,
         90,
     )
 
 
-def test_lab_scenario_numbers():
-    from granitedock.lab.scenario import numbers
+def test_lab_fault_targets_gateway_numbers():
+    from granitedock.lab.fault_targets import gateway_numbers
 
     assert (
-        numbers("gateway/0-2,5", 6),
-        numbers("gateway/6", 6),
-        numbers("gateway/", 6),
-        numbers("east", 6),
+        gateway_numbers("gateway/0-2,5", 6),
+        gateway_numbers("gateway/6", 6),
+        gateway_numbers("gateway/", 6),
+        gateway_numbers("east", 6),
     ) == ([0, 1, 2, 5], [], [], [])
 
 
-def test_lab_scenario_target_kinds():
-    from granitedock.lab.scenario import target_kinds
+def test_lab_fault_targets_target_kinds():
+    from granitedock.lab.fault_targets import target_kinds
 
     assert (sorted(target_kinds("east/3", {"east": 4})), sorted(target_kinds("east/4", {"east": 4}))) == (
         ["host"],
@@ -103,14 +106,15 @@
     )
 
 
-def test_lab_wires_arrivals():
-    from granitedock.lab.faults.proxies import FINE, Fate, Random, arrivals
+def test_lab_link_faults_deliveries():
+    from granitedock.lab.faults.link_faults import CUT, NO_FAULT, LinkFault, Random, deliveries
 
-    assert (arrivals(Fate(cut=True), b"abc", Random(1)), arrivals(FINE, b"abc", Random(1))) == (
+    assert (deliveries(CUT, b"abc", Random(1)), deliveries(NO_FAULT, b"abc", Random(1))) == (
         [],
         [(0.0, b"abc")],
     )
-    assert arrivals(Fate(twice=1, late_ms=5, short=1), b"abcd", Random(1)) == [(5.0, b"ab"), (5.0, b"ab")]
+    halved = LinkFault(duplicated=1, delay_ms=5, truncated=1)
+    assert deliveries(halved, b"abcd", Random(1)) == [(5.0, b"ab"), (5.0, b"ab")]
 
 
 def test_metrics_figures():
