--- a/granitedock/lab/cluster/cluster.py
+++ b/granitedock/lab/cluster/cluster.py
@@ -251,7 +251,7 @@
             self.start(*gateways)
         elif fault.kind == FaultKind.PAUSE:
             self.resume(*gateways)
-        elif fault.kind in (FaultKind.CUT, FaultKind.WIRE):
+        elif fault.kind in (FaultKind.CUT, FaultKind.IMPAIR):
             self.set_link_fault(NO_FAULT, gateways, self.other_side(fault), fault.direction)
 
     def other_side(self, fault: Fault) -> list[int] | str:
--- a/granitedock/lab/cluster/links.py
+++ b/granitedock/lab/cluster/links.py
@@ -31,7 +31,7 @@
 
 def link_fault(fault: Fault) -> LinkFault:
     """What a `cut` or `wire` fault of the timeline does to a link."""
-    if fault.kind != FaultKind.WIRE:
+    if fault.kind != FaultKind.IMPAIR:
         return CUT
     return LinkFault(
         lost=fault.rate,
--- a/granitedock/lab/fault_targets.py
+++ b/granitedock/lab/fault_targets.py
@@ -29,7 +29,7 @@
     STOP = "stop"
     RESTART = "restart"
     CUT = "cut"
-    WIRE = "wire"
+    IMPAIR = "wire"  # a link loses, delays or duplicates
     RESTART_EMPTY = "restart_empty"
     PARTITION = "partition"
     STALE = "stale"
@@ -84,7 +84,7 @@
     FaultKind.STOP: ON_GATEWAYS,
     FaultKind.RESTART: ON_GATEWAYS,
     FaultKind.CUT: ON_GATEWAYS,
-    FaultKind.WIRE: ON_GATEWAYS,
+    FaultKind.IMPAIR: ON_GATEWAYS,
     FaultKind.RESTART_EMPTY: ON_COUNTER,
     FaultKind.PARTITION: (TargetKind.COUNTER, TargetKind.DISCOVERY),
     FaultKind.STALE: ON_COUNTER,
@@ -94,7 +94,7 @@
     FaultKind.FLAP: (TargetKind.HOST,),
     FaultKind.DOWN: ON_DISCOVERY,
 }
-LINK_FAULTS = (FaultKind.CUT, FaultKind.WIRE)  # these have another side
+LINK_FAULTS = (FaultKind.CUT, FaultKind.IMPAIR)  # these have another side
 
 
 def listed(kinds: Sequence[TargetKind]) -> str:
--- a/granitedock/lab/faults/link_faults.py
+++ b/granitedock/lab/faults/link_faults.py
@@ -3,7 +3,7 @@
 Every gateway has an address of its own and one of its proxy, at which the others know it, so each directed
 pair (from, to) can be given a fault of its own: loss, delay, reordering, duplication, truncation, or a cut in
 one direction only. TCP links lead from one gateway to one party (the counter, discovery, a host) in the same
-way. Chance is seeded; nothing here needs a privilege. Source: docs/lab-design.md ("Wires that fail").
+way. Chance is seeded; nothing here needs a privilege. Source: docs/lab-design.md ("Links that fail").
 """
 
 from __future__ import annotations
--- a/granitedock/lab/faults/tcp_proxy.py
+++ b/granitedock/lab/faults/tcp_proxy.py
@@ -1,7 +1,7 @@
 """A proxy for the TCP connections from one gateway to one party (the counter, discovery, a host).
 
 A link that is cut stays open and silent, and what was written meanwhile arrives when it heals, as
-retransmission would bring it; new connections never come up. Source: docs/lab-design.md ("Wires that fail").
+retransmission would bring it; new connections never come up. Source: docs/lab-design.md ("Links that fail").
 """
 
 from __future__ import annotations
--- a/granitedock/lab/scenario.py
+++ b/granitedock/lab/scenario.py
@@ -112,7 +112,7 @@
     """One fault of the timeline: from `at_s`, for `for_s` (0: for the rest of the run), on `target`.
 
     `factor` slows; `rate` is a share of requests hit. A link fault acts between the target and `other_side`:
-    other gateways, `counter`, `discovery` or `hosts`; empty for all other gateways. A `wire` fault loses
+    other gateways, `counter`, `discovery` or `hosts`; empty for all other gateways. An impaired link loses
     `rate` of the datagrams, delays them by `late_ms` and up to `jitter_ms` more, and duplicates a share.
     """
 
