--- a/tests/helpers/emulators.py
+++ b/tests/helpers/emulators.py
@@ -1,14 +1,14 @@
-"""The laboratory's stand-ins as processes for the stories: started on loopback, ended by their id."""
+"""The laboratory's emulators as processes for the tests: started on loopback, ended by their id."""
 
 import json
 import subprocess
 import sys
 from contextlib import contextmanager
 
-# One zone of one host, for the stories that need no more.
+# One zone of one host, for tests that need no more.
 ONE_HOST = 'length_s = 30\n[fleet]\n[[fleet.zones]]\nname = "east"\nhosts = 1\n'
 
-# A scenario must have clients; the stand-ins' stories need no more than this.
+# A scenario must have clients; tests of emulators need no more than this.
 CLIENTS = '[[clients]]\ncustomer = 1\nproduct = "read"\nplan = "p"\nrate = 1\n'
 
 
--- a/tests/lab/test_cluster.py
+++ b/tests/lab/test_cluster.py
@@ -50,7 +50,7 @@
         cluster.start(1)
         cluster.wait_until_ready(1)
         assert request(cluster, 1, 2) == b"*3" and cluster.gateways[1].starts == 2
-        # Cut off from every host, a task taken gets its one answer in time, and none of it came through.
+        # Cut off from every host, a request taken gets its one answer in time, and none of it came through.
         seen = sum(host.received for host in cluster.hosts)
         cluster.cut([0], "hosts")
         assert request(cluster, 0, 3)[:1] == b"-" and sum(host.received for host in cluster.hosts) == seen
--- a/tests/lab/test_counter_emulator.py
+++ b/tests/lab/test_counter_emulator.py
@@ -1,4 +1,4 @@
-"""The counter stand-in on loopback: totals over their lives, answers held in a partition, a kill forgets."""
+"""The counter emulator on loopback: totals over their lives, answers held in a partition, a kill forgets."""
 
 import socket
 import time
--- a/tests/lab/test_discovery_emulator.py
+++ b/tests/lab/test_discovery_emulator.py
@@ -1,4 +1,4 @@
-"""The discovery stand-in on loopback: the list, a drain told on the watch, and a discovery that goes down."""
+"""The discovery emulator on loopback: the list, a drain written to the watch, and an outage."""
 
 import json
 import socket
@@ -31,7 +31,7 @@
 
 
 def heard(line, until):
-    """The lifecycles told on the watch until `until` (monotonic seconds); None if it was cut."""
+    """The lifecycles written to the watch until `until` (monotonic seconds); None if it was cut."""
     data = b""
     while time.monotonic() < until:
         try:
@@ -46,7 +46,7 @@
     return [json.loads(row)["instances"][0]["lifecycle"] for row in data.split(b"\n") if row.startswith(b"{")]
 
 
-def test_discovery_tells_the_list_and_a_drain_and_goes_down_and_back(tmp_path):
+def test_discovery_writes_the_list_and_a_drain_and_goes_down_and_back(tmp_path):
     hosts = tmp_path / "hosts.json"
     hosts.write_text(json.dumps({"east/0": "127.0.0.1:5000"}))
     with spawned("discovery", tmp_path, SCENARIO, str(hosts)) as said:
--- a/tests/lab/test_host_emulators.py
+++ b/tests/lab/test_host_emulators.py
@@ -31,7 +31,7 @@
 
 
 def ask(address, wait_s=1.0):
-    """One task on a new connection: the answer, b"" if none came in time, None if nobody listens."""
+    """One request on a new connection: the answer, b"" if none came in time, None if nobody listens."""
     host, _, port = address.rpartition(":")
     try:
         with socket.create_connection((host, int(port)), timeout=wait_s) as line:
@@ -46,7 +46,7 @@
         return None
 
 
-def test_hosts_live_as_the_scenario_says(tmp_path):
+def test_hosts_do_as_the_scenario_says(tmp_path):
     with spawned("hosts", tmp_path, SCENARIO) as said:
         addresses = said
         began = time.monotonic()  # its clock began a little before it spoke: ours is no sooner
--- a/tests/lab/test_host_faults.py
+++ b/tests/lab/test_host_faults.py
@@ -26,7 +26,7 @@
     assert host_condition([], 5, 30_000, up_since_ms=26_000).slowdown > 1.0  # it came up again
 
 
-def test_faults_hit_their_share_of_tasks_and_the_same_seed_gives_the_same_replies():
+def test_faults_hit_their_share_of_requests_and_the_same_seed_gives_the_same_replies():
     busy = Fault(at_s=0, what="busy", target="east", rate=0.25)
     state = host_condition([busy], 0, 1_000)
     service = Service(kind="lognormal", mean_ms=15, sigma=0.8)
--- a/tests/lab/test_rule_checks.py
+++ b/tests/lab/test_rule_checks.py
@@ -137,7 +137,7 @@
 
         def serve():
             line, _ = server.accept()
-            with line, line.makefile("rb") as said, suppress(OSError):  # until the load tool ends it
+            with line, line.makefile("rb") as said, suppress(OSError):  # until the load generator ends it
                 count = 0
                 while said.readline():  # an array's head; its items follow
                     for _ in range(4):
@@ -153,7 +153,7 @@
 
 
 @mark.parametrize(
-    ("answers", "told"),
+    ("answers", "expected"),
     [
         (lambda n: (b"$2\r\nok\r\n", 0), ""),
         (lambda n: (b"$2\r\nok\r\n" * (2 if n == 3 else 1), 0), "answers to no task"),
@@ -162,13 +162,13 @@
     ],
     ids=["sound", "answers twice", "answers late", "forgets one"],
 )
-def test_a_gateway_that_answers_twice_late_or_not_is_caught_by_the_load_tool(answers, told):
+def test_a_gateway_that_answers_twice_late_or_not_is_caught_by_the_load_generator(answers, expected):
     with double(answers) as address:
         load = LoadGenerator(parse(DOUBLE), [address])
         load.run(1.0)
         found = violations(load)
         assert len(load.records) > 20
-        assert (found == []) if not told else any(told in line for line in found), found
+        assert (found == []) if not expected else any(expected in line for line in found), found
 
 
 HARD = """
