--- a/granitedock/commands/laboratory.py
+++ b/granitedock/commands/laboratory.py
@@ -23,11 +23,11 @@
 def lab_run(scenario: str | None, output: str | None) -> None:
     """Play SCENARIO with real gateways (without one: a minute of two gateways and a zone that slows); exits
     with 1 if it does not show what it expects."""
-    from granitedock.lab.play import DEFAULT, play
     from granitedock.lab.scenario import ScenarioError
+    from granitedock.lab.scenario_runner import DEFAULT_SCENARIO, run_scenario
 
     try:
-        raise SystemExit(play(scenario or DEFAULT, output, click.echo))
+        raise SystemExit(run_scenario(scenario or DEFAULT_SCENARIO, output, click.echo))
     except ScenarioError as error:
         raise click.ClickException(str(error)) from None
 
@@ -44,11 +44,11 @@
 ) -> None:
     """Put the load of SCENARIO's clients on gateways that run already; exits with 1 if an answer broke the
     first rule. Its faults are not played: those are for `lab run`."""
-    from granitedock.lab.play import loaded
     from granitedock.lab.scenario import ScenarioError
+    from granitedock.lab.scenario_runner import run_load
 
     try:
-        raise SystemExit(loaded(scenario, list(addresses), length_s, output, click.echo))
+        raise SystemExit(run_load(scenario, list(addresses), length_s, output, click.echo))
     except (ScenarioError, TimeoutError, ValueError) as error:
         raise click.ClickException(str(error)) from None
 
@@ -58,14 +58,14 @@
 @click.option("--out", "output", default="report.png", show_default=True, type=click.Path(dir_okay=False))
 def report_runs(runs: tuple[str, ...], output: str) -> None:
     """Report on RUNS, folders that `lab run` left: one, or several side by side."""
-    from granitedock.lab import report
+    from granitedock.lab import report, run_storage
 
     try:
-        loaded = [report.read(folder) for folder in runs]
-    except report.ReportError as error:
+        loaded = [run_storage.read(run) for run in runs]
+    except run_storage.RunError as error:
         raise click.ClickException(str(error)) from None
     for run in loaded:
-        for line in report.lines(run):
+        for line in report.report_lines(run):
             click.echo(line)
     report.plot(loaded, Path(output))
     click.echo(f"plots in {output}")
--- a/granitedock/model_checking/gateways.py
+++ b/granitedock/model_checking/gateways.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from granitedock.lab.rules import CEILING_SLACK_S, GRACE_S, SLACK_S
+from granitedock.lab.load.rule_checks import CEILING_SLACK_S, GRACE_S, SLACK_S
 from granitedock.model_checking.explore import Move
 from granitedock.model_checking.shared_objects import pickle_by_name, register, register_factory
 from granitedock.model_checking.state_digest import state_digest
--- a/tests/helpers/emulators.py
+++ b/tests/helpers/emulators.py
@@ -16,14 +16,14 @@
 
 @contextmanager
 def spawned(module, tmp_path, scenario, *arguments):
-    """Run `python -m granitedock.lab.MODULE` on a scenario's text until the context ends.
+    """Run `python -m granitedock.lab.emulators.MODULE` on a scenario's text until the context ends.
 
     Gives the first line that it prints, decoded from JSON: where it can be reached.
     """
     path = tmp_path / "s.toml"
     path.write_text(scenario)
     process = subprocess.Popen(
-        [sys.executable, "-m", f"granitedock.lab.{module}", str(path), *arguments],
+        [sys.executable, "-m", f"granitedock.lab.emulators.{module}", str(path), *arguments],
         stdout=subprocess.PIPE,
         text=True,
     )
