--- a/benchmarks/shared_counts.py
+++ b/benchmarks/shared_counts.py
@@ -23,7 +23,7 @@
 
 from granitedock.lab.sharesim import Offer, ShareFleet, admitted, worst_over  # noqa: E402
 from granitedock.policy.types import Plan  # noqa: E402
-from granitedock.quota_sharing.counts import Counts  # noqa: E402
+from granitedock.quota_sharing.uncounted_usage import UncountedUsage  # noqa: E402
 
 PLOTS = Path(__file__).parent.parent / "docs" / "plots"
 RATE, BURST = 40.0, 40.0
@@ -179,10 +179,10 @@
 def bytes_a_row() -> float:
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    counts = Counts("g", 1, 100_000)
+    usage = UncountedUsage("g", 1, 100_000)
     for customer in range(10_000):
-        counts.record_uncounted(customer, 1, 2000, 1)
-    counts.to_tell.clear()
+        usage.record_uncounted(customer, 1, 2000, 1)
+    usage.queue.clear()
     size = (tracemalloc.get_traced_memory()[0] - before) / 10_000
     tracemalloc.stop()
     return size
@@ -212,13 +212,15 @@
         world.run(5000)
         for node in world.nodes:
             node.sent_bytes = 0
-        made = sum(desk.shared.counts.made for desk in world.desks.values())
+        made = sum(desk.shared.usage.change_count for desk in world.desks.values())
         began, cpu = world.now, time.process_time()
         world.run(10_000)
         seconds = (world.now - began) / 1000
-        held = max(desk.shared.counts.held for desk in world.desks.values())
+        held = max(desk.shared.usage.row_count for desk in world.desks.values())
         volume = sum(node.sent_bytes for node in world.nodes) / count / seconds
-        merges = (sum(desk.shared.counts.made for desk in world.desks.values()) - made) / count / seconds
+        merges = (
+            (sum(desk.shared.usage.change_count for desk in world.desks.values()) - made) / count / seconds
+        )
         done = sum(admitted(offer, began, world.now) for offer in offers)
         uncounted = sum(
             sum(1 for at, by, _ in offer.done if at >= began and by in world.counter_cuts) for offer in offers
--- a/granitedock/commands/gateway.py
+++ b/granitedock/commands/gateway.py
@@ -44,15 +44,16 @@
     """What `check` says of the operators' file: whether it acts here, its times, and the bound on quotas."""
     from granitedock import platform_settings
     from granitedock.membership.settings import may_talk
-    from granitedock.quota_sharing.bound import told
-    from granitedock.quota_sharing.state import Bounds
+    from granitedock.quota_sharing.bound import bound_report
+    from granitedock.quota_sharing.settings import QuotaSharingSettings
 
     gateways = max(1, int(born.get("Balancers") or 1))
+    interval_ms = QuotaSharingSettings().broadcast_interval_ms
     return {
         "on": file.enabled and may_talk(born),
         "shared": file.enabled and may_talk(born) and file.shared.enabled,
         "pace": file.pace(),
-        "bound": told(platform_settings.plans(born), gateways, file.pace(), Bounds().tell_ms),
+        "bound": bound_report(platform_settings.plans(born), gateways, file.pace(), interval_ms),
     }
 
 
--- a/granitedock/lab/sharesim.py
+++ b/granitedock/lab/sharesim.py
@@ -31,7 +31,8 @@
     Plan,
     Request,
 )
-from granitedock.quota_sharing.state import Bounds, Shared
+from granitedock.quota_sharing.settings import QuotaSharingSettings
+from granitedock.quota_sharing.sharing import QuotaSharing
 
 SERVED_MS, COUNTER_MS = 5.0, (1.0, 3.0)
 DEAF_MS, DIAL_MS = 1000.0, 250.0  # calls are lost until a cut connection is noticed; then none comes up
@@ -86,7 +87,7 @@
             self.judge.listed(self.hosts, fleet.unix())
             self.gateway.fleet.judged = self.judge
         self.customers: dict[int, Customer] = {}
-        self.shared = Shared(node.part, fleet.bounds) if shared else None
+        self.shared = QuotaSharing(node.part, fleet.bounds) if shared else None
         self.gateway.shared = self.shared
         self.gateway.peers = self if viewed else None
 
@@ -197,14 +198,14 @@
         if not self.up():
             return
         fleet = self.fleet
-        fleet.later(self.shared.bounds.tell_ms, self.tell)
+        fleet.later(self.shared.settings.broadcast_interval_ms, self.tell)
         if fleet.now < self.node.paused_until:
             return
-        sends, calls = self.shared.tick(fleet.unix(), fleet.now)
-        for address, rows in sends:
-            message = Message(Kind.ROWS, self.part.view.me, rows=rows)
-            fleet.post(self.node, address, message)
-        for call in calls:
+        due = self.shared.run_maintenance(fleet.unix(), fleet.now)
+        for broadcast in due.broadcasts:
+            message = Message(Kind.ROWS, self.part.view.me, rows=broadcast.rows)
+            fleet.post(self.node, broadcast.address, message)
+        for call in due.counter_calls:
             self.call_counter(call)
 
 
@@ -219,7 +220,7 @@
         seed: int = 1,
         shared: bool = True,
         viewed: bool = True,
-        bounds: Bounds | None = None,
+        bounds: QuotaSharingSettings | None = None,
         hosts: int = 4,
         judged: bool = False,
         **more: Any,
@@ -231,7 +232,7 @@
         self.lost: Counter[str] = Counter()  # forwards that a bad host failed
         self.scenario = parse(SCENARIO)
         self.offers = {offer.key: offer for offer in offers}
-        self.shared, self.viewed, self.bounds = shared, viewed, bounds or Bounds()
+        self.shared, self.viewed, self.bounds = shared, viewed, bounds or QuotaSharingSettings()
         self.desks: dict[int, Desk] = {}
         self.counter_cuts: dict[int, float] = {}  # gateways cut off from the counter, and since when
         self.names: dict[int, list[float]] = {}  # the counter: total and when the name ends
@@ -255,7 +256,7 @@
         super().start(n, seeds)
         desk = self.desks[n] = Desk(self, self.nodes[n], self.shared, self.viewed)
         if desk.shared is not None:
-            self.later(self.chance.random() * desk.shared.bounds.tell_ms, desk.tell)
+            self.later(self.chance.random() * desk.shared.settings.broadcast_interval_ms, desk.tell)
         if desk.judge is not None:
             self.later(self.chance.random() * desk.judge.weights.tell_ms, desk.tell_evidence)
 
@@ -263,7 +264,7 @@
         super().hear(node, message)
         desk = self.desks[node.number]
         if message.rows and desk.shared is not None:
-            desk.shared.heard(message.rows, self.unix())
+            desk.shared.receive(message.rows, self.unix())
         if message.evidence and desk.judge is not None:
             desk.judge.heard(message.evidence, self.unix())
 
--- a/granitedock/membership/carrier.py
+++ b/granitedock/membership/carrier.py
@@ -21,8 +21,10 @@
 from granitedock.membership.settings import FleetFile, settings_number
 from granitedock.membership.wire import MOST_BYTES, Kind, Malformed, Message, decode, encode
 from granitedock.outlier_detection.judge import Judge, Weights
-from granitedock.quota_sharing.snapshot import Refused, pack, unpack
-from granitedock.quota_sharing.state import Bounds, Shared
+from granitedock.quota_sharing.report import quota_sharing_report
+from granitedock.quota_sharing.settings import QuotaSharingSettings
+from granitedock.quota_sharing.sharing import QuotaSharing
+from granitedock.quota_sharing.snapshot import SnapshotError, pack, unpack
 
 SENDS_AT_ONCE = 16  # datagrams read in one turn of the loop, so that tasks are served between
 EVIDENCE_A_DATAGRAM = 10
@@ -44,7 +46,7 @@
         chance = Random(f"{name}:{born_ms}")
         gateways = int(born.get("Balancers") or 1)
         self.part = Part(me, self.pace, tuple(told.seeds), gateways, self.now(), chance, told.cluster)
-        self.shared: Shared | None = None
+        self.shared: QuotaSharing | None = None
         self.file: Path | None = None
         self.snapped = 0
         self.judge: Judge | None = None
@@ -59,10 +61,12 @@
         self.strange_at = 0.0
         self.strange = 0
 
-    def share(self, clock: Any, tell: Any) -> Shared:
+    def share(self, clock: Any, tell: Any) -> QuotaSharing:
         """Units let in uncounted are told from now on, on the service's own clock."""
-        bounds = Bounds(reserve_ms=self.told.shared.reserve_ms, most_rows=self.told.shared.most_rows)
-        self.shared, self.clock, self.tell = Shared(self.part, bounds), clock, tell
+        settings = QuotaSharingSettings(
+            max_reserve_ms=self.told.shared.reserve_ms, max_rows=self.told.shared.most_rows
+        )
+        self.shared, self.clock, self.tell = QuotaSharing(self.part, settings), clock, tell
         if self.told.shared.snapshot is not None:
             self.file = Path(self.told.shared.snapshot)
             self.read_snapshot()
@@ -74,20 +78,20 @@
             rows = unpack(self.part.view.me.name, self.file.read_bytes())
         except FileNotFoundError:
             return
-        except (OSError, Refused) as why:
+        except (OSError, SnapshotError) as why:
             self.diary.event("snapshot refused", file=str(self.file), why=str(why))
             return
-        used = self.shared.rescue(rows, self.clock())
+        used = self.shared.restore(rows, self.clock())
         self.diary.event("snapshot read", file=str(self.file), rows=len(rows), of_use=used)
 
     def write_snapshot(self) -> None:
         """In a thread of its own, one at a time. Guards requests against a slow disk: it may take a tenth
         of a second and more, in which calls to the counter and attempts ran out of time."""
-        made = self.shared.counts.made
+        made = self.shared.usage.change_count
         if self.file is None or self.saving or made == self.snapped:
             return
         self.snapped, self.saving = made, True
-        data = pack(self.part.view.me.name, self.shared.counts.mine())
+        data = pack(self.part.view.me.name, self.shared.usage.own_unreconciled_rows())
         Thread(target=self.save, args=(data,), daemon=True).start()
 
     def save(self, data: bytes) -> None:
@@ -156,7 +160,7 @@
         self.diary.counts["fleet_heard"] += 1
         self.part.heard(self.now(), message)
         if message.rows and self.shared is not None:
-            self.shared.heard(message.rows, self.clock())
+            self.shared.receive(message.rows, self.clock())
         if message.kind is Kind.EVIDENCE and self.judge is not None:
             self.judge.heard(message.evidence, self.clock())
             self.newer_list(message.number)
@@ -213,13 +217,13 @@
         """Again and again while the socket is open."""
         if self.port is None:
             return
-        self.reactor.callLater(self.shared.bounds.tell_ms / 1000.0, self.tell_rows)
+        self.reactor.callLater(self.shared.settings.broadcast_interval_ms / 1000.0, self.tell_rows)
         self.write_snapshot()
-        sends, calls = self.shared.tick(self.clock(), self.now())
-        for address, rows in sends:
-            self.write(address, Message(Kind.ROWS, self.part.view.me, rows=rows))
-        if calls:
-            self.tell("calls", calls)
+        due = self.shared.run_maintenance(self.clock(), self.now())
+        for broadcast in due.broadcasts:
+            self.write(broadcast.address, Message(Kind.ROWS, self.part.view.me, rows=broadcast.rows))
+        if due.counter_calls:
+            self.tell("calls", due.counter_calls)
 
     def tell_evidence(self) -> None:
         """Again and again while the socket is open."""
@@ -315,7 +319,7 @@
             "counts": dict(view.counts),
         }
         if self.shared is not None:
-            said["shared"] = self.shared.shown(self.clock())
+            said["shared"] = quota_sharing_report(self.shared, self.clock())
         return orjson.dumps(said)
 
     def shown_hosts(self) -> bytes:
--- a/granitedock/membership/wire.py
+++ b/granitedock/membership/wire.py
@@ -17,7 +17,7 @@
 
 from granitedock.membership.member import Member, News, State
 from granitedock.outlier_detection.evidence import Row as HostRow
-from granitedock.quota_sharing.counts import Row
+from granitedock.quota_sharing.uncounted_usage import UsageRow
 
 VERSION = 1
 MOST_BYTES = 1200
@@ -44,7 +44,7 @@
     number: int = 0
     word: str = ""
     news: tuple[News, ...] = ()
-    rows: tuple[Row, ...] = ()
+    rows: tuple[UsageRow, ...] = ()
     evidence: tuple[HostRow, ...] = ()
 
 
@@ -74,7 +74,15 @@
     if message.kind is Kind.ROWS:
         body.append(
             [
-                [row.teller, row.born, row.customer, row.window, row.window_ms, row.let_in, row.paid]
+                [
+                    row.gateway,
+                    row.started_at,
+                    row.customer,
+                    row.window,
+                    row.window_ms,
+                    row.admitted,
+                    row.reconciled,
+                ]
                 for row in message.rows
             ]
         )
@@ -152,11 +160,11 @@
     )
 
 
-def row_in(row: Any) -> Row:
+def row_in(row: Any) -> UsageRow:
     if type(row) is not list or len(row) != 7 or type(row[0]) is not str or not 0 < len(row[0]) <= MOST_NAME:
         raise Malformed("not a row")
     teller, born, customer, window, window_ms, let_in, paid = row
-    return Row(
+    return UsageRow(
         teller,
         whole(born, 2**53),
         whole(customer, 2**33),
--- a/granitedock/quota_sharing/__init__.py
+++ b/granitedock/quota_sharing/__init__.py
@@ -1,1 +1,4 @@
-"""What gateways let in uncounted, told to each other (docs/shared-design.md). No I/O."""
+"""Usage that gateways admitted without the quota counter, gossiped among them (docs/quota-sharing-design.md).
+
+No I/O.
+"""
--- a/granitedock/quota_sharing/bound.py
+++ b/granitedock/quota_sharing/bound.py
@@ -1,13 +1,13 @@
-"""The bound on what all gateways together let in, stated in advance from the settings and the view's times.
+"""The bound on what all gateways together admit, stated in advance from the settings and the view's times.
 
-Over any time T, a customer of a plan with rate r and burst b, whose set has s gateways, gets at most
+Over any time T, a customer of a plan with rate r and burst b, whose subset has s gateways, gets at most
 
     b + r T + i (b + r D) / s + k (b + r L) / s + c r G / s
 
 where i counts gateways that became cut off from the counter and from the others (each takes its even share
 until the others hold it back, D later at most), k those that came back (a fresh process brings its burst's
-share; what others hold of it ends within a lease, L), and c those cut off from the counter only (what they
-let in is told within G). Derived in docs/shared.md.
+share; what others hold of it ends within a lease, L), and c those cut off from the counter only (the others
+hear of what they admit within G). Derived in docs/quota-sharing.md.
 """
 
 from __future__ import annotations
@@ -18,53 +18,76 @@
 from granitedock.membership.pace import Pace
 from granitedock.policy.types import Plan
 
-TELLINGS = 5  # rounds in which news reaches all, as measured at up to 1,000 members
+BROADCAST_ROUNDS = 5  # in which gossip reaches all, as measured at up to 1,000 members
+MINUTE_MS = 60_000
+MEASURED_GATEWAYS = 40  # the fleet whose detection time was measured, in probe periods
+DETECTION_PERIODS = 10
+PERIODS_PER_DOUBLING = 5
 
 
-def detection_ms(pace: Pace, gateways: int = 40) -> float:
-    """D: until a silence is known to all that can hear each other, also that of half of the fleet at once, as
-    measured (8.7 s at 40, 13.3 s at 200)."""
-    periods = 10 + 5 * max(0.0, math.log2(gateways / 40))
-    return periods * pace.period_ms + pace.suspect_most_ms + TELLINGS * pace.gossip_ms
+def detection_ms(pace: Pace, gateways: int = MEASURED_GATEWAYS) -> float:
+    """D, in ms: until a silence is known to all that can hear each other.
+
+    Holds also for the silence of half of the fleet at once, as measured (8.7 s at 40, 13.3 s at 200).
+    """
+    doublings = max(0.0, math.log2(gateways / MEASURED_GATEWAYS))
+    periods = DETECTION_PERIODS + PERIODS_PER_DOUBLING * doublings
+    return periods * pace.period_ms + pace.suspect_most_ms + BROADCAST_ROUNDS * pace.gossip_ms
 
 
 @dataclass(frozen=True, slots=True)
 class Excess:
-    """Units beyond the plan's own allowance, for each of the bound's terms."""
+    """Units beyond the plan's own allowance, for one gateway in each of the bound's cases."""
 
-    each_isolated: float
-    each_returned: float
-    each_told: float
+    per_isolated: float
+    per_returned: float
+    per_counter_cut: float
 
-    def of(self, isolated: int = 0, returned: int = 0, told: int = 0) -> float:
-        return isolated * self.each_isolated + returned * self.each_returned + told * self.each_told
+    def total(self, isolated: int = 0, returned: int = 0, counter_cut: int = 0) -> float:
+        """The units for so many gateways in each case."""
+        return (
+            isolated * self.per_isolated + returned * self.per_returned + counter_cut * self.per_counter_cut
+        )
 
 
-def excess(plan: Plan, subset_size: int, pace: Pace, tell_ms: float, gateways: int = 40) -> Excess:
-    """The terms for one plan and a set of `spread` in a fleet of `gateways`."""
-    burst, rate = plan.burst / subset_size, plan.rate / subset_size
+def excess(
+    plan: Plan,
+    subset_size: int,
+    pace: Pace,
+    broadcast_interval_ms: float,
+    gateways: int = MEASURED_GATEWAYS,
+) -> Excess:
+    """The terms for one plan and a subset of `subset_size` in a fleet of `gateways`."""
+    burst = plan.burst / subset_size
+    rate = plan.rate / subset_size
     return Excess(
-        burst + rate * detection_ms(pace, gateways), burst + rate * pace.lease_ms, rate * TELLINGS * tell_ms
+        per_isolated=burst + rate * detection_ms(pace, gateways),
+        per_returned=burst + rate * pace.lease_ms,
+        per_counter_cut=rate * BROADCAST_ROUNDS * broadcast_interval_ms,
     )
 
 
-def told(plans: list[Plan], gateways: int, pace: Pace, tell_ms: float) -> list[dict[str, float | str]]:
-    """For each plan with a rate, and the whole fleet as its set: what `granitedock check` prints. The part is
-    of a minute's allowance, for half of the set isolated at once."""
-    rows = []
+def bound_report(
+    plans: list[Plan], gateways: int, pace: Pace, broadcast_interval_ms: float
+) -> list[dict[str, float | str]]:
+    """What `granitedock check --fleet` prints: a row for each plan with a rate, its subset the whole fleet.
+
+    `half_isolated_part` is a part of a minute's allowance, for half of the subset isolated at once.
+    """
+    rows: list[dict[str, float | str]] = []
     for plan in plans:
         if plan.rate <= 0:
             continue
-        terms = excess(plan, gateways, pace, tell_ms, gateways)
-        minute = plan.rate * 60_000 + plan.burst
+        terms = excess(plan, gateways, pace, broadcast_interval_ms, gateways)
+        minute = plan.rate * MINUTE_MS + plan.burst
         rows.append(
             {
                 "plan": plan.name,
                 "minute": minute,
-                "each_isolated": round(terms.each_isolated, 3),
-                "each_returned": round(terms.each_returned, 3),
-                "each_told": round(terms.each_told, 3),
-                "half_isolated_part": round(terms.of(isolated=gateways // 2) / minute, 4),
+                "each_isolated": round(terms.per_isolated, 3),
+                "each_returned": round(terms.per_returned, 3),
+                "each_told": round(terms.per_counter_cut, 3),
+                "half_isolated_part": round(terms.total(isolated=gateways // 2) / minute, 4),
             }
         )
     return rows
--- a/granitedock/quota_sharing/snapshot.py
+++ b/granitedock/quota_sharing/snapshot.py
@@ -1,7 +1,8 @@
-"""What this gateway let in uncounted, as bytes that a file may hold over a restart.
+"""The snapshot of this gateway's unreconciled usage, as bytes that a file may hold over a restart.
 
-MessagePack with a version, the gateway's name and a CRC-32 before it. Nothing is read from bytes that are
-torn, of another gateway or version: `Refused` says why, and the gateway starts as without a file. No I/O.
+MessagePack [version, gateway, rows] behind its CRC-32 (4 bytes, big endian). Nothing is read from bytes that
+are damaged, or of another gateway or version: `SnapshotError` says why, and the gateway starts as without a
+file. No I/O.
 """
 
 from __future__ import annotations
@@ -11,31 +12,63 @@
 
 import msgpack
 
-from granitedock.quota_sharing.counts import Row
+from granitedock.errors import GranitedockError
+from granitedock.quota_sharing.uncounted_usage import UsageRow
 
 VERSION = 1
+CHECKSUM_BYTES = 4
 
 
-class Refused(ValueError):
-    """Bytes that no rows are taken from."""
+class SnapshotError(GranitedockError, ValueError):
+    """A snapshot that no rows are taken from."""
 
 
-def pack(name: str, rows: list[Row]) -> bytes:
-    body = msgpack.packb([VERSION, name, [list(astuple(row)) for row in rows]])
-    return zlib.crc32(body).to_bytes(4, "big") + body
+class DamagedSnapshotError(SnapshotError):
+    """Its bytes do not fit their checksum."""
 
+    def __init__(self) -> None:
+        super().__init__("torn: its checksum is another")
 
-def unpack(name: str, data: bytes) -> list[Row]:
-    """The rows. Raises Refused."""
-    if len(data) < 5 or zlib.crc32(data[4:]) != int.from_bytes(data[:4], "big"):
-        raise Refused("torn: its checksum is another")
+
+class MalformedSnapshotError(SnapshotError):
+    """The checksum fits, and the bytes are no snapshot."""
+
+    def __init__(self, cause: Exception) -> None:
+        super().__init__(f"no snapshot: {type(cause).__name__}")
+
+
+class SnapshotVersionError(SnapshotError):
+    """It is of another version of the format than `VERSION`."""
+
+    def __init__(self, version: object) -> None:
+        super().__init__(f"of version {version}")
+
+
+class ForeignSnapshotError(SnapshotError):
+    """It is another gateway's, or has rows of one."""
+
+    def __init__(self, owner: object) -> None:
+        super().__init__(f"of another gateway: {owner}")
+
+
+def pack(gateway: str, rows: list[UsageRow]) -> bytes:
+    """The snapshot of these rows of `gateway`."""
+    body = msgpack.packb([VERSION, gateway, [list(astuple(row)) for row in rows]])
+    return zlib.crc32(body).to_bytes(CHECKSUM_BYTES, "big") + body
+
+
+def unpack(gateway: str, data: bytes) -> list[UsageRow]:
+    """The rows of a snapshot of `gateway`. Raises SnapshotError."""
+    checksum, body = data[:CHECKSUM_BYTES], data[CHECKSUM_BYTES:]
+    if not body or zlib.crc32(body) != int.from_bytes(checksum, "big"):
+        raise DamagedSnapshotError
     try:
-        version, teller, rows = msgpack.unpackb(data[4:])
-        found = [Row(*row) for row in rows] if version == VERSION else []
-    except Exception as fault:  # a checksum that fits over what is no snapshot
-        raise Refused(f"no snapshot: {type(fault).__name__}") from None
+        version, owner, rows = msgpack.unpackb(body)
+        found = [UsageRow(*row) for row in rows] if version == VERSION else []
+    except Exception as error:  # noqa: BLE001 - a checksum may fit over any bytes, whose faults have no common base
+        raise MalformedSnapshotError(error) from None
     if version != VERSION:
-        raise Refused(f"of version {version}")
-    if teller != name or any(row.teller != name for row in found):
-        raise Refused(f"of another gateway: {teller}")
+        raise SnapshotVersionError(version)
+    if owner != gateway or any(row.gateway != gateway for row in found):
+        raise ForeignSnapshotError(owner)
     return found
--- a/tests/golden/test_golden_wire.py
+++ b/tests/golden/test_golden_wire.py
@@ -53,7 +53,7 @@
     from granitedock.membership.member import News
     from granitedock.membership.wire import Kind, Message, encode
     from granitedock.outlier_detection.evidence import Row as HostRow
-    from granitedock.quota_sharing.counts import Row
+    from granitedock.quota_sharing.uncounted_usage import UsageRow
 
     news = tuple(
         News(member_from(item["member"]), item["suspected_by"], item["ended_ms_ago"])
@@ -65,7 +65,7 @@
         fields["number"],
         fields["word"],
         news,
-        tuple(Row(*row) for row in fields["quota_rows"]),
+        tuple(UsageRow(*row) for row in fields["quota_rows"]),
         tuple(HostRow(*row) for row in fields["host_rows"]),
     )
     return encode(CLUSTER, message)
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -26,16 +26,16 @@
 
 
 def write_quota_snapshot(name, rows):
-    from granitedock.quota_sharing.counts import Row
     from granitedock.quota_sharing.snapshot import pack
+    from granitedock.quota_sharing.uncounted_usage import UsageRow
 
-    return pack(name, [Row(*row) for row in rows])
+    return pack(name, [UsageRow(*row) for row in rows])
 
 
 def quota_snapshot_error():
-    from granitedock.quota_sharing.snapshot import Refused
+    from granitedock.quota_sharing.snapshot import SnapshotError
 
-    return Refused
+    return SnapshotError
 
 
 def open_control(path, cluster):
--- a/tests/quota_sharing/test_quota_sharing.py
+++ b/tests/quota_sharing/test_quota_sharing.py
@@ -19,9 +19,11 @@
 from granitedock.membership.part import Part
 from granitedock.policy.types import Outcome, Plan, SharedQuota
 from granitedock.quota_sharing.bound import excess
-from granitedock.quota_sharing.counts import Counts
-from granitedock.quota_sharing.snapshot import Refused, pack, unpack
-from granitedock.quota_sharing.state import Bounds, Shared
+from granitedock.quota_sharing.reserve import SilentMembers
+from granitedock.quota_sharing.settings import QuotaSharingSettings
+from granitedock.quota_sharing.sharing import QuotaSharing
+from granitedock.quota_sharing.snapshot import SnapshotError, pack, unpack
+from granitedock.quota_sharing.uncounted_usage import UncountedUsage
 
 RATE, BURST, SET = 40.0, 40.0, 4
 LEAST = 0.9  # of the allowance over some seconds, with real processes, which other work may hold up
@@ -201,7 +203,7 @@
     """Play the faults under four times the quota; what was admitted must not pass the stated bound."""
     offer = Offer(161, PLAN, 4 * RATE, SET)
     world = ShareFleet(SET, [offer], seed, loss=loss, twice=loss)
-    terms = excess(PLAN, SET, world.pace, Bounds().tell_ms)
+    terms = excess(PLAN, SET, world.pace, QuotaSharingSettings().broadcast_interval_ms)
     world.run(4000)
     isolated = returned = told = 0
     for what, *how in steps:
@@ -228,7 +230,7 @@
             world.run(how[0])
     world.run(20_000)
     # 2%: a total is known to a gateway some milliseconds after it was so, as without any fault.
-    bound = 1.02 * (BURST + RATE * world.now / 1000) + terms.of(isolated, returned, told)
+    bound = 1.02 * (BURST + RATE * world.now / 1000) + terms.total(isolated, returned, told)
     assert admitted(offer, 0, world.now) <= bound, (admitted(offer, 0, world.now), bound)
 
 
@@ -260,7 +262,7 @@
 def test_a_share_taken_over_before_its_lease_ended_breaks_the_bound_and_is_caught(monkeypatch):
     steps = [("both", 12), ("run", 15_000), ("run", 15_000), ("run", 15_000)]
     held(steps, 1)
-    monkeypatch.setattr(Shared, "look", lambda shared, now, steady: None)  # nothing is held back any more
+    monkeypatch.setattr(SilentMembers, "refresh", lambda *_: None)  # nothing is held back any more
     with raises(AssertionError):
         held(steps, 1)
 
@@ -276,48 +278,53 @@
     st.randoms(),
 )
 def test_any_order_loss_and_doubling_of_what_is_told_ends_in_the_same_counts(steps, chance):
-    tellers = [Counts(f"g{n}", 1, 100) for n in range(3)]
+    tellers = [UncountedUsage(f"g{n}", 1, 100) for n in range(3)]
     truth, told = {}, []
     for n, customer, units, pays in steps:
         if pays:
-            units = min(units, tellers[n].own(customer, 1))
+            units = min(units, tellers[n].own_outstanding(customer, 1))
             tellers[n].reconcile(customer, 1, units)
             truth[n, customer] = truth.get((n, customer), 0) - units
         else:
             tellers[n].record_uncounted(customer, 1, 2000, units)
             truth[n, customer] = truth.get((n, customer), 0) + units
-        told += tellers[n].take(9, 3)
+        told += tellers[n].next_broadcast(9, 3)
     final = [row for teller in tellers for rows in teller.rows.values() for row in rows.values()]
     for _ in range(2):
-        reader = Counts("reader", 1, 100)
+        reader = UncountedUsage("reader", 1, 100)
         heard = [row for row in told if chance.random() < 0.6] * 2 + final
         chance.shuffle(heard)
         for row in heard:
             reader.merge(row, 0.0)
         for customer in range(3):
-            assert reader.outstanding(customer, 1) == sum(truth.get((n, customer), 0) for n in range(3))
+            assert reader.outstanding_elsewhere(customer, 1) == sum(
+                truth.get((n, customer), 0) for n in range(3)
+            )
 
 
 def test_a_restart_takes_nothing_back_and_memory_is_bounded_and_told():
-    reader = Counts("reader", 1, 3)
+    reader = UncountedUsage("reader", 1, 3)
     for born, units in ((5, 4), (9, 1)):
-        teller = Counts("g1", born, 100)
+        teller = UncountedUsage("g1", born, 100)
         teller.record_uncounted(161, 7, 2000, units)
-        for row in teller.take(9, 3):
+        for row in teller.next_broadcast(9, 3):
             reader.merge(row, 13_000.0)
-    assert reader.outstanding(161, 7) == 5  # both incarnations'
-    many = Counts("g2", 1, 100)
+    assert reader.outstanding_elsewhere(161, 7) == 5  # both incarnations'
+    many = UncountedUsage("g2", 1, 100)
     for customer in range(10):
         many.record_uncounted(customer, 7, 2000, 1)
-    for row in many.take(50, 3):
+    for row in many.next_broadcast(50, 3):
         reader.merge(row, 13_000.0)
-    assert reader.held == 3 and reader.counts["rows_not_held"] == 9
+    assert reader.row_count == 3 and reader.counts["rows_not_held"] == 9
     reader.merge(
-        Counts("g3", 1, 9).take(1, 1)[0] if Counts("g3", 1, 9).to_tell else many.take(1, 3)[0], 99_000.0
+        UncountedUsage("g3", 1, 9).next_broadcast(1, 1)[0]
+        if UncountedUsage("g3", 1, 9).queue
+        else many.next_broadcast(1, 3)[0],
+        99_000.0,
     )
     assert reader.counts["rows_out_of_time"] == 1
-    reader.sweep(99_000.0)
-    assert reader.held == 0 and not reader.rows and not reader.to_tell
+    reader.remove_expired(99_000.0)
+    assert reader.row_count == 0 and not reader.rows and not reader.queue
 
 
 def test_an_inheritance_is_paid_once_whatever_the_order_and_old_or_foreign_files_give_nothing():
@@ -325,22 +332,25 @@
     before.record_uncounted(161, 7, QUOTA, 5.0)
     before.record_uncounted(161, 8, QUOTA, 3.0)
     before.reconcile(161, 8, 1.0)
-    rows = unpack("g0", pack("g0", before.counts.mine()))
+    rows = unpack("g0", pack("g0", before.usage.own_unreconciled_rows()))
     me = Member("g0", "10.0.0.0:7946", 9, 0, State.ALIVE, 0, 1)
-    after = Shared(Part(me, Pace(), (), 4, 0.0, Random(1), "c"), Bounds())
-    assert after.rescue(rows, 16_500.0) == 2 and after.rescue(rows, 99_000.0) == 0
+    after = QuotaSharing(Part(me, Pace(), (), 4, 0.0, Random(1), "c"), QuotaSharingSettings())
+    assert after.restore(rows, 16_500.0) == 2 and after.restore(rows, 99_000.0) == 0
     assert after.uncounted_elsewhere(161, 8, QUOTA, 16_500.0) == 2.0  # until it is paid, we count it too
     after.record_uncounted(161, 8, QUOTA, 4.0)
     assert after.carry_over(161, 8) == 2.0 and after.carry_over(161, 8) == 0.0
     after.reconcile(161, 8, 6.0)
-    assert after.uncounted_elsewhere(161, 8, QUOTA, 16_500.0) == 0.0 and after.counts.own(161, 8) == 0.0
+    assert (
+        after.uncounted_elsewhere(161, 8, QUOTA, 16_500.0) == 0.0
+        and after.usage.own_outstanding(161, 8) == 0.0
+    )
     assert after.carry_over(161, 8) == 0.0
-    other = Shared(Part(member(1), Pace(), (), 4, 0.0, Random(1), "c"), Bounds())
-    other.heard(tuple(rows) + tuple(after.counts.take(9, 3)), 16_500.0)
+    other = QuotaSharing(Part(member(1), Pace(), (), 4, 0.0, Random(1), "c"), QuotaSharingSettings())
+    other.receive(tuple(rows) + tuple(after.usage.next_broadcast(9, 3)), 16_500.0)
     assert other.uncounted_elsewhere(161, 8, QUOTA, 16_500.0) == 0.0  # the raised row wins, in any order
-    with raises(Refused, match="another gateway"):
+    with raises(SnapshotError, match="another gateway"):
         unpack("g1", pack("g0", rows))
-    with raises(Refused, match="torn"):
+    with raises(SnapshotError, match="torn"):
         unpack("g0", b"")
 
 
@@ -352,29 +362,29 @@
     part = Part(member(0), Pace(), (), 4, 0.0, Random(1), "c")
     for n in (1, 2, 3):
         part.seats.changed(0.0, Change(member(n), None))
-    return part, Shared(part, Bounds(reserve_ms=60_000))
+    return part, QuotaSharing(part, QuotaSharingSettings(max_reserve_ms=60_000))
 
 
 def test_a_share_is_held_back_for_the_silent_until_proof_word_presence_or_its_time():
     part, shared = shared_of_four()
 
     def held(now):
-        shared.tick(now, now)
+        shared.run_maintenance(now, now)
         return round(shared.uncounted_elsewhere(161, int(now // 2000), QUOTA, now), 6)
 
     assert held(10_000.0) == 0
     part.seats.changed(10_000.0, Change(member(3, State.DEAD), State.SUSPECT))
-    since = 10_000.0 - shared.bounds.silent_ms
+    since = 10_000.0 - shared.settings.detection_delay_ms
     assert held(11_000.0) == round(
         RATE / 1000 * 1000 / SET, 6
     )  # its part of the rate, this far into the window
-    assert shared.silent == {3: since}
+    assert shared.silent_members.since == {3: since}
     part.seats.changed(11_500.0, Change(member(3, State.GONE), State.DEAD))
     assert held(11_600.0) > 0  # others' word for its end is not ours
     part.seats.refused(11_700.0, member(3).address)
     assert held(11_800.0) == 0  # our own proof is
     assert held(11_700.0 + Pace().lease_ms + 100) > 0  # for as long as it is fresh
-    call = next(call for call in shared.tick(16_000.0, 16_000.0)[1] if call.window == 3)
+    call = next(call for call in shared.run_maintenance(16_000.0, 16_000.0).counter_calls if call.window == 3)
     shared.counter_call_finished(call, Outcome.DONE, 1.0)
     assert held(16_500.0) == 0  # it counts where we do
     assert held(31_000.0) > 0
@@ -388,11 +398,11 @@
 def test_no_news_lowers_what_is_taken_as_used():
     """Rules 4 and 5 stand apart from all this; here, that rows only add, whatever they say."""
     _, shared = shared_of_four()
-    for let_in, paid in ((0, 9), (5, 9), (9, 5)):
-        teller = Counts("g2", let_in + paid, 100)
-        teller.record_uncounted(161, 7, 2000, let_in)
-        teller.reconcile(161, 7, paid)
-        shared.heard(tuple(teller.take(9, 3)), 14_000.0)
+    for admitted_units, reconciled in ((0, 9), (5, 9), (9, 5)):
+        teller = UncountedUsage("g2", admitted_units + reconciled, 100)
+        teller.record_uncounted(161, 7, 2000, admitted_units)
+        teller.reconcile(161, 7, reconciled)
+        shared.receive(tuple(teller.next_broadcast(9, 3)), 14_000.0)
         assert shared.uncounted_elsewhere(161, 7, QUOTA, 14_000.0) >= 0
     with raises(StopIteration):  # and nothing is told of what nobody let in
-        next(iter(Counts("g3", 1, 9).take(9, 3)))
+        next(iter(UncountedUsage("g3", 1, 9).next_broadcast(9, 3)))
--- a/tests/test_small_functions.py
+++ b/tests/test_small_functions.py
@@ -210,38 +210,38 @@
     assert whole([b"$2", b"ab"]) == b"$2\r\nab\r\n"
 
 
-def test_shared_bound_detection_ms():
+def test_quota_sharing_bound_detection_ms():
     from granitedock.quota_sharing.bound import Pace, detection_ms
 
     assert (detection_ms(Pace()), detection_ms(Pace(), 200) > 13300) == (9500.0, True)
 
 
-def test_shared_bound_excess():
+def test_quota_sharing_bound_excess():
     from granitedock.quota_sharing.bound import Pace, Plan, excess
 
     plan = Plan("p", 0.04, 40, 0, 1, 0, 0, 0, 0, 0)
-    assert excess(plan, 4, Pace(), 100.0).of(isolated=2) == 210.0
+    assert excess(plan, 4, Pace(), 100.0).total(isolated=2) == 210.0
 
 
-def test_shared_counts_merged():
-    from granitedock.quota_sharing.counts import Row, merged
+def test_quota_sharing_uncounted_usage_merged():
+    from granitedock.quota_sharing.uncounted_usage import UsageRow, merged
 
-    row = Row("g1", 5, 161, 7, 1000, 3000, 1000)
-    assert merged(row, Row("g1", 5, 161, 7, 1000, 2000, 2000)).paid == 2000
+    row = UsageRow("g1", 5, 161, 7, 1000, 3000, 1000)
+    assert merged(row, UsageRow("g1", 5, 161, 7, 1000, 2000, 2000)).reconciled == 2000
 
 
-def test_shared_snapshot_unpack():
-    from granitedock.quota_sharing.snapshot import Refused, Row, pack, unpack
+def test_quota_sharing_snapshot_unpack():
+    from granitedock.quota_sharing.snapshot import SnapshotError, UsageRow, pack, unpack
 
-    row = Row("g1", 5, 161, 7, 1000, 3000)
+    row = UsageRow("g1", 5, 161, 7, 1000, 3000)
     assert unpack("g1", pack("g1", [row])) == [row]
-    with pytest.raises(Refused, match=re.escape("torn: its checksum is another")):
+    with pytest.raises(SnapshotError, match=re.escape("torn: its checksum is another")):
         unpack("g1", pack("g1", [row])[:-1])
 
 
-def test_shared_state_reserve():
+def test_quota_sharing_reserve():
     from granitedock.policy.types import Plan
-    from granitedock.quota_sharing.state import SharedQuota, reserve
+    from granitedock.quota_sharing.reserve import SharedQuota, reserve
 
     quota = SharedQuota(Plan("p", 0.04, 40, 0, 1, 0, 0, 0, 0, 0), 0, 4, 2000.0)
     assert (reserve(quota, 5, 11000.0, 11500.0), reserve(quota, 5, 3000.0, 11500.0)) == (15.0, 15.0)
