--- a/benchmarks/judgement.py
+++ b/benchmarks/judgement.py
@@ -80,7 +80,9 @@
     for _ in range(SECONDS * 4):
         world.run(250)
         if judged:
-            good_out += sum(name not in world.bad for desk in world.desks.values() for name in desk.judge.out)
+            good_out += sum(
+                name not in world.bad for desk in world.desks.values() for name in desk.judge.ejected
+            )
     done, refused = sum(len(offer.done) for offer in offers), sum(offer.refused for offer in offers)
     volume = (sum(node.sent_bytes for node in world.nodes) - sent) / count / SECONDS
     share_out = good_out / (SECONDS * 4) / count / hosts
--- a/granitedock/lab/sharesim.py
+++ b/granitedock/lab/sharesim.py
@@ -19,7 +19,8 @@
 from granitedock.lab.settings import born
 from granitedock.membership.pace import Pace
 from granitedock.membership.wire import Kind, Message
-from granitedock.outlier_detection.judge import Judge, Weights
+from granitedock.outlier_detection.detector import OutlierDetector
+from granitedock.outlier_detection.settings import OutlierDetectionSettings
 from granitedock.policy.types import (
     Attempt,
     CounterCall,
@@ -79,12 +80,12 @@
             for host in self.hosts.values()
         ]
         self.gateway.update_endpoints(seen, True)
-        self.judge: Judge | None = None
+        self.judge: OutlierDetector | None = None
         if fleet.judged:
             me = node.part.view.me
             self.names = [me.name]
-            self.judge = Judge(me.name, me.born, Weights(), lambda: self.names)
-            self.judge.listed(self.hosts, fleet.unix())
+            self.judge = OutlierDetector(me.name, me.born, OutlierDetectionSettings(), lambda: self.names)
+            self.judge.update_hosts(self.hosts, fleet.unix())
             self.gateway.fleet.judged = self.judge
         self.customers: dict[int, Customer] = {}
         self.shared = QuotaSharing(node.part, fleet.bounds) if shared else None
@@ -183,13 +184,13 @@
         if not self.up():
             return
         fleet, view = self.fleet, self.part.view
-        fleet.later(self.judge.weights.tell_ms, self.tell_evidence)
+        fleet.later(self.judge.settings.broadcast_interval_ms, self.tell_evidence)
         if fleet.now < self.node.paused_until:
             return
         others = view.others()
         self.names = sorted([view.me.name, *others])
-        rows = tuple(self.judge.due(fleet.unix(), 10))
-        self.judge.judge(fleet.unix())
+        rows = tuple(self.judge.broadcasts_due(10, fleet.unix()))
+        self.judge.update_verdicts(fleet.unix())
         for name in view.chance.sample(others, min(view.pace.fanout, len(others))) if rows else ():
             message = Message(Kind.EVIDENCE, view.me, evidence=rows)
             fleet.post(self.node, view.entries[name].member.address, message)
@@ -258,7 +259,7 @@
         if desk.shared is not None:
             self.later(self.chance.random() * desk.shared.settings.broadcast_interval_ms, desk.tell)
         if desk.judge is not None:
-            self.later(self.chance.random() * desk.judge.weights.tell_ms, desk.tell_evidence)
+            self.later(self.chance.random() * desk.judge.settings.broadcast_interval_ms, desk.tell_evidence)
 
     def hear(self, node: Node, message: Message) -> None:
         super().hear(node, message)
@@ -266,7 +267,7 @@
         if message.rows and desk.shared is not None:
             desk.shared.receive(message.rows, self.unix())
         if message.evidence and desk.judge is not None:
-            desk.judge.heard(message.evidence, self.unix())
+            desk.judge.receive(message.evidence, self.unix())
 
     def counter_cut(self, *which: int) -> None:
         for n in which:
--- a/granitedock/membership/carrier.py
+++ b/granitedock/membership/carrier.py
@@ -20,7 +20,9 @@
 from granitedock.membership.part import Part
 from granitedock.membership.settings import FleetFile, settings_number
 from granitedock.membership.wire import MOST_BYTES, Kind, Malformed, Message, decode, encode
-from granitedock.outlier_detection.judge import Judge, Weights
+from granitedock.outlier_detection.detector import OutlierDetector
+from granitedock.outlier_detection.report import outlier_report
+from granitedock.outlier_detection.settings import OutlierDetectionSettings
 from granitedock.quota_sharing.report import quota_sharing_report
 from granitedock.quota_sharing.settings import QuotaSharingSettings
 from granitedock.quota_sharing.sharing import QuotaSharing
@@ -49,7 +51,7 @@
         self.shared: QuotaSharing | None = None
         self.file: Path | None = None
         self.snapped = 0
-        self.judge: Judge | None = None
+        self.judge: OutlierDetector | None = None
         self.list_version: Any = None  # asks for the version of our own list of hosts
         self.asked_version = 0
         self.names: list[str] = [name]  # of the live ones, ours among them
@@ -110,11 +112,13 @@
             self.diary.counts["snapshots_unwritten"] += 1
             self.diary.event("snapshot unwritten", file=str(self.file), why=why)
 
-    def judgement(self, clock: Any, tell: Any, list_version: Any) -> Judge:
+    def judgement(self, clock: Any, tell: Any, list_version: Any) -> OutlierDetector:
         """What is known of hosts is told from now on."""
-        weights = Weights(fresh_ms=self.told.hosts.fresh_ms, most_out=self.told.hosts.most_out)
+        settings = OutlierDetectionSettings(
+            observation_ttl_ms=self.told.hosts.fresh_ms, max_ejection_share=self.told.hosts.most_out
+        )
         me = self.part.view.me
-        self.judge = Judge(me.name, me.born, weights, lambda: self.names)
+        self.judge = OutlierDetector(me.name, me.born, settings, lambda: self.names)
         self.clock, self.tell, self.list_version = clock, tell, list_version
         return self.judge
 
@@ -162,7 +166,7 @@
         if message.rows and self.shared is not None:
             self.shared.receive(message.rows, self.clock())
         if message.kind is Kind.EVIDENCE and self.judge is not None:
-            self.judge.heard(message.evidence, self.clock())
+            self.judge.receive(message.evidence, self.clock())
             self.newer_list(message.number)
         self.carry()
 
@@ -229,13 +233,14 @@
         """Again and again while the socket is open."""
         if self.port is None:
             return
-        weights, view, now = self.judge.weights, self.part.view, self.clock()
-        self.reactor.callLater(weights.tell_ms / 1000.0, self.tell_evidence)
-        self.judge.judge(now)
-        for name, why in self.judge.changes:
-            self.diary.event("fleet host", host=name, out=why)
+        settings, view, now = self.judge.settings, self.part.view, self.clock()
+        self.reactor.callLater(settings.broadcast_interval_ms / 1000.0, self.tell_evidence)
+        self.judge.update_verdicts(now)
+        for change in self.judge.changes:
+            out = change.reason.value if change.reason is not None else None
+            self.diary.event("fleet host", host=change.host, out=out)
         self.judge.changes = []
-        rows = tuple(self.judge.due(now, EVIDENCE_A_DATAGRAM))
+        rows = tuple(self.judge.broadcasts_due(EVIDENCE_A_DATAGRAM, now))
         version, others = self.list_version(), view.others()
         if rows and others:
             for name in view.chance.sample(others, min(view.pace.fanout, len(others))):
@@ -324,4 +329,4 @@
 
     def shown_hosts(self) -> bytes:
         """What is known of hosts, from whom and how old, as JSON."""
-        return orjson.dumps(self.judge.shown(self.clock()))
+        return orjson.dumps(outlier_report(self.judge, self.clock()))
--- a/granitedock/membership/wire.py
+++ b/granitedock/membership/wire.py
@@ -16,7 +16,7 @@
 import msgpack
 
 from granitedock.membership.member import Member, News, State
-from granitedock.outlier_detection.evidence import Row as HostRow
+from granitedock.outlier_detection.observations import HostObservation
 from granitedock.quota_sharing.uncounted_usage import UsageRow
 
 VERSION = 1
@@ -45,7 +45,7 @@
     word: str = ""
     news: tuple[News, ...] = ()
     rows: tuple[UsageRow, ...] = ()
-    evidence: tuple[HostRow, ...] = ()
+    evidence: tuple[HostObservation, ...] = ()
 
 
 class Malformed(ValueError):
@@ -132,7 +132,7 @@
     return Message(Kind(kind), heard, whole(number, 2**32), word, news, rows, evidence)
 
 
-def host_row_in(row: Any) -> HostRow:
+def host_row_in(row: Any) -> HostObservation:
     if type(row) is not list or len(row) != 13:
         raise Malformed("not a row on a host")
     teller, born, number, host, *figures, drains = row
@@ -146,7 +146,7 @@
         if type(age) is not int or not -1 <= age < 2**53:
             raise Malformed("not an age")
     rest = [whole(figure, 2**20) for figure in rest]
-    return HostRow(
+    return HostObservation(
         teller,
         whole(born, 2**53),
         whole(number, 2**53),
--- a/granitedock/outlier_detection/__init__.py
+++ b/granitedock/outlier_detection/__init__.py
@@ -1,1 +1,4 @@
-"""What gateways know of hosts, told to each other and weighed (docs/judgement-design.md). No I/O."""
+"""Outlier detection: gateways gossip what they observe of hosts and eject those that fail for several.
+
+See docs/outlier-detection-design.md. No I/O.
+"""
--- a/granitedock/quota_sharing/uncounted_usage.py
+++ b/granitedock/quota_sharing/uncounted_usage.py
@@ -100,13 +100,13 @@
 
     def record_uncounted(self, customer: int, window: int, window_ms: float, units: float) -> None:
         """Add units that this gateway admitted without the counter."""
-        self._grow(customer, window, window_ms, admitted=round(units * PER_UNIT))
+        self._grow(customer, window, window_ms, round(units * PER_UNIT), 0)
 
     def reconcile(self, customer: int, window: int, units: float) -> None:
         """Of this gateway's units, so many are added to the counter now."""
         own = self._own_row(customer, window)
         if own is not None:
-            self._grow(customer, window, own.window_ms, reconciled=round(units * PER_UNIT))
+            self._grow(customer, window, own.window_ms, 0, round(units * PER_UNIT))
 
     def own_outstanding(self, customer: int, window: int) -> float:
         """Units that this process admitted and the counter does not know of."""
@@ -116,9 +116,7 @@
     def _own_row(self, customer: int, window: int) -> UsageRow | None:
         return self.rows.get((customer, window), {}).get((self.gateway, self.started_at))
 
-    def _grow(
-        self, customer: int, window: int, window_ms: float, *, admitted: int = 0, reconciled: int = 0
-    ) -> None:
+    def _grow(self, customer: int, window: int, window_ms: float, admitted: int, reconciled: int) -> None:
         own = self._own_row(customer, window)
         row = UsageRow(
             self.gateway,
@@ -149,21 +147,21 @@
         self._store(row)
 
     def _store(self, row: UsageRow) -> None:
+        key = row.key()
         incarnation = row.incarnation()
-        rows = self.rows.setdefault(row.key(), {})
-        if incarnation not in rows:
+        rows = self.rows.get(key)
+        if rows is None or incarnation not in rows:
             if self.row_count >= self.max_rows:
                 # Guards against floods of customers, whose rows would fill the memory. Hurts the quotas of
                 # customers beyond the limit: their rows are neither held nor sent, so that the others admit
                 # an even share's bucket beyond their totals, as without quota sharing.
                 self.counts["rows_not_held"] += 1
-                if not rows:
-                    del self.rows[row.key()]
                 return
             self.row_count += 1
+            rows = self.rows.setdefault(key, {})
         rows[incarnation] = row
         self.change_count += 1
-        self.queue[(incarnation, row.key())] = QueuedRow(row, self.change_count)
+        self.queue[(incarnation, key)] = QueuedRow(row, self.change_count)
 
     def outstanding_elsewhere(self, customer: int, window: int) -> float:
         """Units that all but this process admitted and the counter does not know of."""
--- a/granitedock/service/reducer.py
+++ b/granitedock/service/reducer.py
@@ -932,7 +932,7 @@
             if place.status is EndpointStatus.GONE and not place.health.outs:
                 del self.places[name]  # guards the memory, as hosts come and go under new names
         if self.judge is not None:
-            self.judge.listed(self.places, self.now)
+            self.judge.update_hosts(self.places, self.now)
 
     def newer_list(self, version: int) -> None:
         """Another gateway has a newer list than ours: the watch opens again, unless it has come meanwhile."""
--- a/tests/golden/test_golden_wire.py
+++ b/tests/golden/test_golden_wire.py
@@ -52,7 +52,7 @@
 def datagram_from(fields):
     from granitedock.membership.member import News
     from granitedock.membership.wire import Kind, Message, encode
-    from granitedock.outlier_detection.evidence import Row as HostRow
+    from granitedock.outlier_detection.observations import HostObservation
     from granitedock.quota_sharing.uncounted_usage import UsageRow
 
     news = tuple(
@@ -66,7 +66,7 @@
         fields["word"],
         news,
         tuple(UsageRow(*row) for row in fields["quota_rows"]),
-        tuple(HostRow(*row) for row in fields["host_rows"]),
+        tuple(HostObservation(*row) for row in fields["host_rows"]),
     )
     return encode(CLUSTER, message)
 
--- a/tests/outlier_detection/test_outlier_detection.py
+++ b/tests/outlier_detection/test_outlier_detection.py
@@ -14,8 +14,9 @@
 from granitedock.lab.scenario import parse
 from granitedock.membership.member import Member, State
 from granitedock.membership.wire import MOST_BYTES, Kind, Message, decode, encode
-from granitedock.outlier_detection.evidence import Evidence, Row
-from granitedock.outlier_detection.judge import Judge, Weights
+from granitedock.outlier_detection.detector import OutlierDetector
+from granitedock.outlier_detection.observations import HostObservation, Observations
+from granitedock.outlier_detection.settings import OutlierDetectionSettings
 from granitedock.policy.types import EndpointStatus, Host, Outcome
 
 WORLD = """
@@ -182,7 +183,7 @@
                 number += 1
                 for teller, hosts in (("evil", names), ("worse", names[:2]), ("worst", names[:2])):
                     sender = Member(teller, "127.0.0.1:9", 5, number, State.ALIVE)
-                    rows = tuple(Row(teller, 5, number, name, 2**40, 9, 0, -1) for name in hosts)
+                    rows = tuple(HostObservation(teller, 5, number, name, 2**40, 9, 0, -1) for name in hosts)
                     message = Message(Kind.EVIDENCE, sender, 0, evidence=rows)
                     stranger.sendto(encode("lab", message), (rig.own(0), FLEET_PORT))
                 time.sleep(0.002)
@@ -191,85 +192,97 @@
         assert sum(row.kind == "done" for row in rows) >= 0.98 * len(rows)
 
 
-# The weighing, on its own.
+# The verdicts, on their own.
 
 
-def judge(name="g0", live=("g0", "g1", "g2", "g3"), hosts=8):
-    one = Judge(name, 1, Weights(), lambda: sorted(live))
+def detector_of(name="g0", live=("g0", "g1", "g2", "g3"), hosts=8):
+    one = OutlierDetector(name, 1, OutlierDetectionSettings(), lambda: sorted(live))
     places = {f"h{n}": Host(zone="ab"[n % 2], name=f"h{n}", started_at=5.0) for n in range(hosts)}
-    one.listed(places, 0.0)
+    one.update_hosts(places, 0.0)
     return one, places
 
 
-def row(teller, host="h0", number=1, failures=2, failed=100, answered=-1, started=5, **more):
-    return Row(teller, 1, number, host, started, failures, failed, answered, **more)
+def observation(gateway, host="h0", number=1, failures=2, failed=100, answered=-1, started=5, **more):
+    return HostObservation(gateway, 1, number, host, started, failures, failed, answered, **more)
 
 
-def out(one, now, *rows):
-    one.heard(rows, now)
-    one.judged_at = float("-inf")
-    one.judge(now)
-    return one.out
+def ejected(one, now, *observations):
+    """The ejected hosts and why, in the words of the report, once `one` heard these."""
+    one.receive(observations, now)
+    one.evaluated_at = float("-inf")
+    one.update_verdicts(now)
+    return {name: reason.value for name, reason in one.ejected.items()}
 
 
 def test_several_fresh_voices_take_a_host_out_and_one_or_old_ones_or_fewer_than_speak_for_it_do_not():
-    one, places = judge()
-    assert not out(one, 1000.0, row("g1", failures=9))  # one cannot reach it: its own trouble
-    assert out(one, 1000.0, row("g2", failures=1)) == {"h0": "failing"}
-    assert not out(one, 8000.0)  # it fades
-    one, places = judge()
-    for_it = row("g3", failures=0, failed=-1, answered=50)
-    assert out(one, 1000.0, row("g1"), row("g2"), for_it) == {"h0": "failing"}
-    one, places = judge(live=("g0", "g1", "g2", "g3", "g4"))
-    assert not out(one, 1000.0, row("g1"), row("g2"), for_it, row("g4", failures=0, failed=-1, answered=50))
-    one, places = judge()
+    one, places = detector_of()
+    assert not ejected(one, 1000.0, observation("g1", failures=9))  # one cannot reach it: its own trouble
+    assert ejected(one, 1000.0, observation("g2", failures=1)) == {"h0": "failing"}
+    assert not ejected(one, 8000.0)  # it fades
+    one, places = detector_of()
+    for_it = observation("g3", failures=0, failed=-1, answered=50)
+    assert ejected(one, 1000.0, observation("g1"), observation("g2"), for_it) == {"h0": "failing"}
+    one, places = detector_of(live=("g0", "g1", "g2", "g3", "g4"))
+    assert not ejected(
+        one,
+        1000.0,
+        observation("g1"),
+        observation("g2"),
+        for_it,
+        observation("g4", failures=0, failed=-1, answered=50),
+    )
+    one, places = detector_of()
     one.attempt_finished(places["h0"], Outcome.DONE, 10.0, 1000.0, 900.0)
-    assert not out(one, 1000.0, row("g1"), row("g2"))  # our own fresh answer outweighs them
-    assert out(one, 3000.0) == {"h0": "failing"}
-    one, places = judge()
-    assert not out(one, 1000.0, row("g1", started=4), row("g2", started=4))  # of the process before this one
-    assert not out(one, 1000.0, row("x1"), row("x2"))  # not members
+    assert not ejected(
+        one, 1000.0, observation("g1"), observation("g2")
+    )  # our own fresh answer outweighs them
+    assert ejected(one, 3000.0) == {"h0": "failing"}
+    one, places = detector_of()
+    assert not ejected(
+        one, 1000.0, observation("g1", started=4), observation("g2", started=4)
+    )  # of the process before this one
+    assert not ejected(one, 1000.0, observation("x1"), observation("x2"))  # not members
 
 
 def test_the_bounds_hold_whatever_is_said():
-    one, places = judge(live=[f"g{n}" for n in range(9)])
-    told = [row(f"g{n}", host) for n in range(1, 9) for host in ("h0", "h1", "h2")]
-    assert len(out(one, 1000.0, *told)) <= 2 and len(one.apart) == 0
-    told = [row(f"g{n}", f"h{m}", number=2) for n in range(1, 9) for m in range(8)]
-    assert not out(one, 1000.0, *told) and len(one.apart) == 8  # who calls all bad is set apart
-    two, places = judge(hosts=4)
+    one, places = detector_of(live=[f"g{n}" for n in range(9)])
+    told = [observation(f"g{n}", host) for n in range(1, 9) for host in ("h0", "h1", "h2")]
+    assert len(ejected(one, 1000.0, *told)) <= 2 and len(one.distrusted) == 0
+    told = [observation(f"g{n}", f"h{m}", number=2) for n in range(1, 9) for m in range(8)]
+    assert not ejected(one, 1000.0, *told) and len(one.distrusted) == 8  # who calls all bad is set apart
+    two, places = detector_of(hosts=4)
     for name in ("h1", "h2", "h3"):
         places[name].zone = "b"
-    assert "h0" not in out(two, 1000.0, row("g1"), row("g2"))  # the last of its zone
+    assert "h0" not in ejected(two, 1000.0, observation("g1"), observation("g2"))  # the last of its zone
 
 
 def test_live_members_take_turns_to_ask_a_host_that_is_out_and_never_with_a_one_shot():
     live = [f"g{n}" for n in range(4)]
-    judges = [judge(name, live) for name in live]
+    detectors = [detector_of(name, live) for name in live]
     asked = []
     for second in range(8):
         now = 100_000.0 + 1000 * second
         may = []
-        for one, places in judges:
-            told = [row(f"g{n}", number=second + 1) for n in range(4) if f"g{n}" != one.me]
-            assert out(one, now, *told) == {"h0": "failing"}
+        for one, places in detectors:
+            told = [observation(f"g{n}", number=second + 1) for n in range(4) if f"g{n}" != one.gateway]
+            assert ejected(one, now, *told) == {"h0": "failing"}
             assert one.is_ejected(places["h0"], True, now)
-            may += [one.me] * (not one.is_ejected(places["h0"], False, now))
+            may += [one.gateway] * (not one.is_ejected(places["h0"], False, now))
         assert len(may) == 1
         asked += may
     assert sorted(asked) == sorted(live * 2)
 
 
 def test_a_drain_is_told_at_once_and_ends_with_the_word_that_it_is_over():
-    one, places = judge()
-    other, others = judge("g1")
+    one, places = detector_of()
+    other, others = detector_of("g1")
     others["h0"].status = EndpointStatus.DRAINING
-    other.listed(others, 1000.0)
-    assert out(one, 1200.0, *other.due(1100.0, 9)) == {"h0": "draining"}
+    other.update_hosts(others, 1000.0)
+    assert ejected(one, 1200.0, *other.broadcasts_due(9, 1100.0)) == {"h0": "draining"}
     assert one.is_ejected(places["h0"], False, 1200.0)
     others["h0"].status = EndpointStatus.READY
-    other.listed(others, 3000.0)
-    assert not out(one, 3300.0, *other.due(3200.0, 9))
+    other.update_hosts(others, 3000.0)
+    assert not ejected(one, 3300.0, *other.broadcasts_due(9, 3200.0))
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -285,18 +298,24 @@
     said, numbers = [], [0, 0, 0]
     for teller, host, failures in steps:
         numbers[teller] += 1
-        said.append(row(f"g{teller}", f"h{host}", numbers[teller], failures))
+        said.append(observation(f"g{teller}", f"h{host}", numbers[teller], failures))
     newest = {}
     for one in said:
         newest[one.key()] = one
     chance, states = Random(seed), []
     for _ in range(2):
-        reader = Evidence("reader", 1, 100, 1e9)
+        reader = Observations("reader", 1, 100, 1e9)
         heard = [one for one in said if chance.random() < 0.6] * 2 + list(newest.values())
         chance.shuffle(heard)
         for one in heard:
             reader.merge(one, 0.0)
-        states.append({held.row for tellers in reader.rows.values() for held in tellers.values()})
+        states.append(
+            {
+                received.observation
+                for by_gateway in reader.by_host.values()
+                for received in by_gateway.values()
+            }
+        )
     assert states[0] == states[1] == set(newest.values())
 
 
@@ -304,19 +323,23 @@
     steps = [(0, 0, 1), (0, 0, 2), (0, 0, 3)]
     for seed in range(20):
         same_state(steps, seed)
-    monkeypatch.setattr(Row, "rank", lambda row: (0, time.perf_counter_ns()))
+    monkeypatch.setattr(HostObservation, "rank", lambda _: (0, time.perf_counter_ns()))
     with raises(AssertionError):
         for seed in range(20):
             same_state(steps, seed)
 
 
 def test_the_older_row_never_wins_and_rows_go_through_the_wire_whole():
-    new, old = row("g1", number=2, failures=0), row("g1", number=1)
-    reader = Evidence("reader", 1, 100, 1e9)
-    assert reader.merge(new, 0.0) and not reader.merge(old, 0.0) and reader.rows["h0"]["g1"].row == new
+    new, old = observation("g1", number=2, failures=0), observation("g1", number=1)
+    reader = Observations("reader", 1, 100, 1e9)
+    assert (
+        reader.merge(new, 0.0)
+        and not reader.merge(old, 0.0)
+        and reader.by_host["h0"]["g1"].observation == new
+    )
     me = Member("n" * 64, "100.100.100.100:65535", 2**52, 2**31, State.ALIVE, 7, 2**31)
     rows = tuple(
-        Row("n" * 20, 2**42, 2**31, "h" * 24, 2**42, 999, 2**31, 2**31, 999, 999, 9999, 999, True)
+        HostObservation("n" * 20, 2**42, 2**31, "h" * 24, 2**42, 999, 2**31, 2**31, 999, 999, 9999, 999, True)
         for _ in range(10)
     )
     data = encode("c" * 32, Message(Kind.EVIDENCE, me, 2**31, evidence=rows))
