--- /dev/null
+++ b/benchmarks/outlier_detection.py
@@ -0,0 +1,238 @@
+"""What gateways lose to an outlier, with outlier detection by gossip and without, in one run.
+
+    .venv/bin/python benchmarks/outlier_detection.py faults   # an outlier, and faults that eject no good host
+
+The decisions are the module's own; hosts, network and clients are simulated (lab/sharesim.py). The table goes
+to standard output as Markdown, the plot to docs/plots/.
+"""
+
+from __future__ import annotations
+
+import os
+import statistics
+import sys
+import time
+from collections import defaultdict
+from collections.abc import Callable
+from concurrent.futures import ProcessPoolExecutor
+from dataclasses import astuple, dataclass
+from pathlib import Path
+from typing import NamedTuple
+
+import click
+
+sys.path.insert(0, str(Path(__file__).parent.parent))
+
+from granitedock.lab.sharesim import Offer, ShareFleet  # noqa: E402
+from granitedock.policy.types import Plan  # noqa: E402
+
+PLOTS = Path(__file__).parent.parent / "docs" / "plots"
+PLAN = Plan("p", 100, 100_000, 0, 1, 0, 0.5, 0, 0, 0)
+CUSTOMERS = 20
+SEEDS = {4: 10, 16: 10, 40: 10, 200: 3}  # runs by number of gateways
+SETTLE_MS = 6000
+SECONDS = 30
+SAMPLE_MS = 250  # ejected hosts are looked at so often
+
+
+@dataclass(frozen=True, slots=True)
+class FleetSize:
+    """Hosts, and requests a second for each gateway."""
+
+    hosts: int
+    rate: float
+
+
+SIZES = {4: FleetSize(8, 30.0), 16: FleetSize(20, 5.0), 40: FleetSize(40, 5.0), 200: FleetSize(50, 2.0)}
+
+
+class Case(NamedTuple):
+    """One run: the fault by name, gateways, whether they detect outliers together, and the seed."""
+
+    fault: str
+    gateways: int
+    detection: bool
+    seed: int
+
+
+@dataclass(frozen=True, slots=True)
+class Result:
+    """What one run gave, or the mean of several."""
+
+    lost: float  # attempts that the outlier failed
+    served: float  # part of the requests
+    good_ejected: float  # part of the hosts' time that good hosts were ejected
+    bytes_per_s: float  # sent by each gateway
+    cpu: float  # part of a core for each gateway, simulation included
+
+
+def host_fails(world: ShareFleet) -> None:
+    """One host answers with errors."""
+    world.bad["h0"] = "error"
+
+
+def host_is_silent(world: ShareFleet) -> None:
+    """One host does not answer."""
+    world.bad["h0"] = "silent"
+
+
+def one_connection(world: ShareFleet) -> None:
+    """One gateway cannot reach one host."""
+    world.unreached.add((0, "h1"))
+
+
+def own_network(world: ShareFleet) -> None:
+    """One gateway cannot reach any host."""
+    world.unreached |= {(0, f"h{n}") for n in range(world.hosts)}
+
+
+def partitioned(world: ShareFleet) -> None:
+    """One host fails, and half of the gateways do not hear the other half."""
+    half = len(world.nodes) // 2
+    world.bad["h0"] = "error"
+    world.cut(range(half), range(half, len(world.nodes)))
+
+
+def paused(world: ShareFleet) -> None:
+    """One host fails for 10 s, and one gateway stands still over its recovery."""
+    world.bad["h0"] = "error"
+    world.pause(0, 15_000)
+    world.later(10_000, world.bad.clear)
+
+
+FAULTS: dict[str, Callable[[ShareFleet], None]] = {
+    "a host errs": host_fails,
+    "a host is silent": host_is_silent,
+    "one gateway has no connection to a host": one_connection,
+    "one gateway has none to any host": own_network,
+    "a host errs, and the gateways are cut in halves": partitioned,
+    "a host errs for 10 s, one gateway paused over it": paused,
+}
+
+
+def play(case: Case) -> tuple[Case, Result]:
+    """Run one case."""
+    count, size = case.gateways, SIZES[case.gateways]
+    offers = [Offer(key, PLAN, size.rate * count / CUSTOMERS, count) for key in range(CUSTOMERS)]
+    world = ShareFleet(
+        count,
+        offers,
+        case.seed,
+        shared=False,
+        viewed=False,
+        hosts=size.hosts,
+        judged=case.detection,
+        measured=True,
+    )
+    world.run(SETTLE_MS)
+    sent_before = sum(node.sent_bytes for node in world.nodes)
+    FAULTS[case.fault](world)
+    cpu_before = time.process_time()
+    good_ejected = 0
+    samples = SECONDS * 1000 // SAMPLE_MS
+    for _ in range(samples):
+        world.run(SAMPLE_MS)
+        if case.detection:
+            good_ejected += good_hosts_ejected(world)
+    done = sum(len(offer.done) for offer in offers)
+    refused = sum(offer.refused for offer in offers)
+    sent = sum(node.sent_bytes for node in world.nodes) - sent_before
+    return case, Result(
+        lost=sum(world.lost.values()),
+        served=done / (done + refused),
+        good_ejected=good_ejected / samples / count / size.hosts,
+        bytes_per_s=sent / count / SECONDS,
+        cpu=(time.process_time() - cpu_before) / count / SECONDS,
+    )
+
+
+def good_hosts_ejected(world: ShareFleet) -> int:
+    """Over all gateways, the ejected hosts that have no fault now."""
+    detectors = [desk.judge for desk in world.desks.values() if desk.judge is not None]
+    return sum(name not in world.bad for detector in detectors for name in detector.ejected)
+
+
+def mean(results: list[Result]) -> Result:
+    """The mean of each figure."""
+    return Result(*(statistics.mean(column) for column in zip(*map(astuple, results))))
+
+
+@click.group()
+def main() -> None:
+    """Measurements of outlier detection."""
+
+
+@main.command()
+@click.option("--most", default=200, show_default=True, help="The largest fleet.")
+def faults(most: int) -> None:
+    """30 s of each fault: attempts lost to the outlier, good hosts ejected, what is served, and the cost."""
+    cases = [
+        Case(fault, count, detection, seed)
+        for count in sorted(SIZES, reverse=True)
+        if count <= most
+        for fault in FAULTS
+        for detection in (False, True)
+        for seed in range(1, SEEDS[count] + 1)
+    ]
+    results: dict[tuple[str, int, bool], list[Result]] = defaultdict(list)
+    with ProcessPoolExecutor(os.cpu_count()) as pool:
+        for case, result in pool.map(play, cases):
+            results[case.fault, case.gateways, case.detection].append(result)
+    click.echo(
+        "| fault | gateways | lost without | with | part | served without | with | good hosts out "
+        "| bytes a second | CPU a gateway |"
+    )
+    click.echo("| --- " * 10 + "|")
+    lost_by_size = {}
+    for fault in FAULTS:
+        for count in SIZES:
+            if count > most:
+                continue
+            without = mean(results[fault, count, False])
+            with_detection = mean(results[fault, count, True])
+            click.echo(table_row(fault, count, without, with_detection))
+            if fault == "a host errs":
+                lost_by_size[count] = without.lost, with_detection.lost
+    plot(lost_by_size)
+
+
+def table_row(fault: str, gateways: int, without: Result, with_detection: Result) -> str:
+    """One row of the table."""
+    part = f"{with_detection.lost / without.lost:.2f}" if without.lost else "-"
+    cells = [
+        fault,
+        f"{gateways}",
+        f"{without.lost:.0f}",
+        f"{with_detection.lost:.0f}",
+        part,
+        f"{without.served:.4f}",
+        f"{with_detection.served:.4f}",
+        f"{with_detection.good_ejected:.2%}",
+        f"{with_detection.bytes_per_s:,.0f}",
+        f"{with_detection.cpu:.2%}",
+    ]
+    return "| " + " | ".join(cells) + " |"
+
+
+def plot(lost_by_size: dict[int, tuple[float, float]]) -> None:
+    """Attempts lost without and with detection, as bars by number of gateways."""
+    import matplotlib as mpl
+
+    mpl.use("Agg")
+    from matplotlib import pyplot
+
+    figure, axes = pyplot.subplots(figsize=(6, 3.6))
+    for at, (without, with_detection) in enumerate(lost_by_size.values()):
+        axes.bar(at - 0.2, without, 0.38, color="tab:red", label="each alone" if at == 0 else None)
+        axes.bar(at + 0.2, with_detection, 0.38, color="tab:blue", label="by gossip" if at == 0 else None)
+    axes.set_xticks(range(len(lost_by_size)), [f"{count} gateways" for count in lost_by_size])
+    axes.set_ylabel("attempts lost to a host that errs, 30 s")
+    axes.legend()
+    figure.tight_layout()
+    PLOTS.mkdir(exist_ok=True)
+    figure.savefig(PLOTS / "outlier-detection-lost.png", dpi=110)
+    click.echo("plot: docs/plots/outlier-detection-lost.png")
+
+
+if __name__ == "__main__":
+    main()
--- a/granitedock/membership/machine.py
+++ b/granitedock/membership/machine.py
@@ -586,6 +586,6 @@
     Kind.NEWS: View.on_news,
     Kind.PULL: View.on_pull,
     Kind.PAGE: View.on_page,
-    Kind.ROWS: View.on_news,  # its rows are for granitedock/shared
-    Kind.EVIDENCE: View.on_news,  # and these for granitedock/judgement
+    Kind.ROWS: View.on_news,  # its rows are for granitedock/quota_sharing
+    Kind.EVIDENCE: View.on_news,  # and these for granitedock/outlier_detection
 }
--- a/granitedock/membership/settings.py
+++ b/granitedock/membership/settings.py
@@ -44,7 +44,7 @@
 
 
 class SharedFile(Strict):
-    """Units let in uncounted, told to the others (docs/shared.md)."""
+    """Usage without the counter, gossiped among gateways (docs/quota-sharing.md)."""
 
     enabled: bool = False
     reserve_ms: Ms = 600_000.0
@@ -53,7 +53,7 @@
 
 
 class HostsFile(Strict):
-    """What is known of hosts, told to the others (docs/judgement.md)."""
+    """Outlier detection by what gateways gossip of hosts (docs/outlier-detection.md)."""
 
     enabled: bool = False
     fresh_ms: Ms = 6000.0
--- a/granitedock/membership/wire.py
+++ b/granitedock/membership/wire.py
@@ -32,8 +32,8 @@
     NACK = 3  # number: it has not answered me either
     NEWS = 4
     PULL = 5  # the members after this name
-    ROWS = 7  # units let in uncounted (granitedock/shared), in an eighth item
-    EVIDENCE = 8  # what the sender knows of hosts (granitedock/judgement); number: its list's version
+    ROWS = 7  # units let in uncounted (granitedock/quota_sharing), in an eighth item
+    EVIDENCE = 8  # what the sender knows of hosts (granitedock/outlier_detection); number: its list's version
     PAGE = 6  # some members; the word is the name to ask on from, empty if these were the last
 
 
