--- a/granitedock/commands/gateway.py
+++ b/granitedock/commands/gateway.py
@@ -60,15 +60,16 @@
     """What the membership file turns on for this gateway, its timing, and the bound on quota overshoot."""
     from granitedock import platform_settings
     from granitedock.membership.settings import may_talk
-    from granitedock.quota_sharing.bound import told
-    from granitedock.quota_sharing.state import Bounds
+    from granitedock.quota_sharing.bound import bound_report
+    from granitedock.quota_sharing.settings import QuotaSharingSettings
 
     gateways = max(1, int(settings.get("Balancers") or 1))
+    interval_ms = QuotaSharingSettings().broadcast_interval_ms
     return {
         "on": file.enabled and may_talk(settings),
         "shared": file.enabled and may_talk(settings) and file.shared.enabled,
         "pace": file.pace(),
-        "bound": told(platform_settings.plans(settings), gateways, file.pace(), Bounds().tell_ms),
+        "bound": bound_report(platform_settings.plans(settings), gateways, file.pace(), interval_ms),
     }
 
 
--- a/granitedock/lab/sharesim.py
+++ b/granitedock/lab/sharesim.py
@@ -19,7 +19,8 @@
 from granitedock.lab.scenario import parse
 from granitedock.membership.pace import Pace
 from granitedock.membership.wire import Kind, Message
-from granitedock.outlier_detection.judge import Judge, Weights
+from granitedock.outlier_detection.detector import OutlierDetector
+from granitedock.outlier_detection.settings import OutlierDetectionSettings
 from granitedock.policy.types import (
     Attempt,
     CounterCall,
@@ -31,7 +32,8 @@
     Plan,
     Request,
 )
-from granitedock.quota_sharing.state import Bounds, Shared
+from granitedock.quota_sharing.settings import QuotaSharingSettings
+from granitedock.quota_sharing.sharing import QuotaSharing
 
 SERVED_MS, COUNTER_MS = 5.0, (1.0, 3.0)
 DEAF_MS, DIAL_MS = 1000.0, 250.0  # calls are lost until a cut connection is noticed; then none comes up
@@ -78,15 +80,15 @@
             for host in self.hosts.values()
         ]
         self.gateway.update_endpoints(seen, True)
-        self.judge: Judge | None = None
+        self.judge: OutlierDetector | None = None
         if fleet.judged:
             me = node.part.view.me
             self.names = [me.name]
-            self.judge = Judge(me.name, me.born, Weights(), lambda: self.names)
-            self.judge.listed(self.hosts, fleet.unix())
+            self.judge = OutlierDetector(me.name, me.born, OutlierDetectionSettings(), lambda: self.names)
+            self.judge.update_hosts(self.hosts, fleet.unix())
             self.gateway.load_balancer.ejection.detector = self.judge
         self.customers: dict[int, Customer] = {}
-        self.shared = Shared(node.part, fleet.bounds) if shared else None
+        self.shared = QuotaSharing(node.part, fleet.bounds) if shared else None
         self.gateway.rate_limiter.quota_sharing = self.shared
         self.gateway.rate_limiter.membership = self if viewed else None
 
@@ -182,13 +184,13 @@
         if not self.up():
             return
         fleet, view = self.fleet, self.part.view
-        fleet.later(self.judge.weights.tell_ms, self.tell_evidence)
+        fleet.later(self.judge.settings.broadcast_interval_ms, self.tell_evidence)
         if fleet.now < self.node.paused_until:
             return
         others = view.others()
         self.names = sorted([view.me.name, *others])
-        rows = tuple(self.judge.due(fleet.unix(), 10))
-        self.judge.judge(fleet.unix())
+        rows = tuple(self.judge.broadcasts_due(10, fleet.unix()))
+        self.judge.update_verdicts(fleet.unix())
         for name in view.chance.sample(others, min(view.pace.fanout, len(others))) if rows else ():
             message = Message(Kind.EVIDENCE, view.me, evidence=rows)
             fleet.post(self.node, view.entries[name].member.address, message)
@@ -197,14 +199,14 @@
         if not self.up():
             return
         fleet = self.fleet
-        fleet.later(self.shared.bounds.tell_ms, self.tell)
+        fleet.later(self.shared.settings.broadcast_interval_ms, self.tell)
         if fleet.now < self.node.paused_until:
             return
-        sends, calls = self.shared.tick(fleet.unix(), fleet.now)
-        for address, rows in sends:
-            message = Message(Kind.ROWS, self.part.view.me, rows=rows)
-            fleet.post(self.node, address, message)
-        for call in calls:
+        due = self.shared.run_maintenance(fleet.unix(), fleet.now)
+        for broadcast in due.broadcasts:
+            message = Message(Kind.ROWS, self.part.view.me, rows=broadcast.rows)
+            fleet.post(self.node, broadcast.address, message)
+        for call in due.counter_calls:
             self.call_counter(call)
 
 
@@ -219,7 +221,7 @@
         seed: int = 1,
         shared: bool = True,
         viewed: bool = True,
-        bounds: Bounds | None = None,
+        bounds: QuotaSharingSettings | None = None,
         hosts: int = 4,
         judged: bool = False,
         **more: Any,
@@ -231,7 +233,7 @@
         self.lost: Counter[str] = Counter()  # forwards that a bad host failed
         self.scenario = parse(SCENARIO)
         self.offers = {offer.key: offer for offer in offers}
-        self.shared, self.viewed, self.bounds = shared, viewed, bounds or Bounds()
+        self.shared, self.viewed, self.bounds = shared, viewed, bounds or QuotaSharingSettings()
         self.desks: dict[int, Desk] = {}
         self.counter_cuts: dict[int, float] = {}  # gateways cut off from the counter, and since when
         self.names: dict[int, list[float]] = {}  # the counter: total and when the name ends
@@ -255,17 +257,17 @@
         super().start(n, seeds)
         desk = self.desks[n] = Desk(self, self.nodes[n], self.shared, self.viewed)
         if desk.shared is not None:
-            self.later(self.chance.random() * desk.shared.bounds.tell_ms, desk.tell)
+            self.later(self.chance.random() * desk.shared.settings.broadcast_interval_ms, desk.tell)
         if desk.judge is not None:
-            self.later(self.chance.random() * desk.judge.weights.tell_ms, desk.tell_evidence)
+            self.later(self.chance.random() * desk.judge.settings.broadcast_interval_ms, desk.tell_evidence)
 
     def hear(self, node: Node, message: Message) -> None:
         super().hear(node, message)
         desk = self.desks[node.number]
         if message.rows and desk.shared is not None:
-            desk.shared.heard(message.rows, self.unix())
+            desk.shared.receive(message.rows, self.unix())
         if message.evidence and desk.judge is not None:
-            desk.judge.heard(message.evidence, self.unix())
+            desk.judge.receive(message.evidence, self.unix())
 
     def counter_cut(self, *which: int) -> None:
         for n in which:
--- a/granitedock/membership/wire.py
+++ b/granitedock/membership/wire.py
@@ -16,8 +16,8 @@
 import msgpack
 
 from granitedock.membership.member import Member, News, State
-from granitedock.outlier_detection.evidence import Row as HostRow
-from granitedock.quota_sharing.counts import Row
+from granitedock.outlier_detection.observations import HostObservation
+from granitedock.quota_sharing.uncounted_usage import UsageRow
 
 VERSION = 1
 MOST_BYTES = 1200
@@ -32,8 +32,8 @@
     NACK = 3  # number: it has not answered me either
     NEWS = 4
     PULL = 5  # the members after this name
-    ROWS = 7  # units let in uncounted (granitedock/shared), in an eighth item
-    EVIDENCE = 8  # what the sender knows of hosts (granitedock/judgement); number: its list's version
+    ROWS = 7  # units let in uncounted (granitedock/quota_sharing), in an eighth item
+    EVIDENCE = 8  # what the sender knows of hosts (granitedock/outlier_detection); number: its list's version
     PAGE = 6  # some members; the word is the name to ask on from, empty if these were the last
 
 
@@ -44,8 +44,8 @@
     number: int = 0
     word: str = ""
     news: tuple[News, ...] = ()
-    rows: tuple[Row, ...] = ()
-    evidence: tuple[HostRow, ...] = ()
+    rows: tuple[UsageRow, ...] = ()
+    evidence: tuple[HostObservation, ...] = ()
 
 
 class Malformed(ValueError):
@@ -74,7 +74,15 @@
     if message.kind is Kind.ROWS:
         body.append(
             [
-                [row.teller, row.born, row.customer, row.window, row.window_ms, row.let_in, row.paid]
+                [
+                    row.gateway,
+                    row.started_at,
+                    row.customer,
+                    row.window,
+                    row.window_ms,
+                    row.admitted,
+                    row.reconciled,
+                ]
                 for row in message.rows
             ]
         )
@@ -124,7 +132,7 @@
     return Message(Kind(kind), heard, whole(number, 2**32), word, news, rows, evidence)
 
 
-def host_row_in(row: Any) -> HostRow:
+def host_row_in(row: Any) -> HostObservation:
     if type(row) is not list or len(row) != 13:
         raise Malformed("not a row on a host")
     teller, born, number, host, *figures, drains = row
@@ -138,7 +146,7 @@
         if type(age) is not int or not -1 <= age < 2**53:
             raise Malformed("not an age")
     rest = [whole(figure, 2**20) for figure in rest]
-    return HostRow(
+    return HostObservation(
         teller,
         whole(born, 2**53),
         whole(number, 2**53),
@@ -152,11 +160,11 @@
     )
 
 
-def row_in(row: Any) -> Row:
+def row_in(row: Any) -> UsageRow:
     if type(row) is not list or len(row) != 7 or type(row[0]) is not str or not 0 < len(row[0]) <= MOST_NAME:
         raise Malformed("not a row")
     teller, born, customer, window, window_ms, let_in, paid = row
-    return Row(
+    return UsageRow(
         teller,
         whole(born, 2**53),
         whole(customer, 2**33),
--- a/granitedock/service/endpoints.py
+++ b/granitedock/service/endpoints.py
@@ -25,7 +25,7 @@
 class EndpointListener(Protocol):
     """Who else wants the endpoints: the outlier detector, where gateways tell each other what they know."""
 
-    def listed(self, hosts: dict[str, Any], now: float) -> None:  # Any: it takes a dict of `Host`
+    def update_hosts(self, hosts: dict[str, Any], now: float) -> None:  # Any: it takes a dict of `Host`
         """The list has changed: the endpoints by name, and Unix ms."""
         ...
 
@@ -92,4 +92,4 @@
             if endpoint.status is EndpointStatus.GONE and not endpoint.health.in_flight:
                 del self.by_name[name]  # guards the memory, as hosts come and go under new names
         if self.outlier_detector is not None:
-            self.outlier_detector.listed(self.by_name, self.context.now)
+            self.outlier_detector.update_hosts(self.by_name, self.context.now)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,8 +15,8 @@
 # processes each group is run by one of them, one test after another, so that at most as many fleets as there
 # are groups run at once. These tests begin first, as they take the longest.
 FLEET_GROUPS = {
-    "test_quota_sharing.py": ("fleets-1", "fleets-2"),
-    "test_outlier_detection.py": ("fleets-3",),
+    "test_quota_sharing_processes.py": ("fleets-1", "fleets-2"),
+    "test_outlier_detection_processes.py": ("fleets-3",),
     "test_membership_processes.py": ("fleets-4",),
     "test_rule_checks.py": ("fleets-4",),
     "test_configuration_processes.py": ("fleets-4",),
--- a/tests/golden/test_golden_wire.py
+++ b/tests/golden/test_golden_wire.py
@@ -52,8 +52,8 @@
 def datagram_from(fields):
     from granitedock.membership.member import News
     from granitedock.membership.wire import Kind, Message, encode
-    from granitedock.outlier_detection.evidence import Row as HostRow
-    from granitedock.quota_sharing.counts import Row
+    from granitedock.outlier_detection.observations import HostObservation
+    from granitedock.quota_sharing.uncounted_usage import UsageRow
 
     news = tuple(
         News(member_from(item["member"]), item["suspected_by"], item["ended_ms_ago"])
@@ -65,8 +65,8 @@
         fields["number"],
         fields["word"],
         news,
-        tuple(Row(*row) for row in fields["quota_rows"]),
-        tuple(HostRow(*row) for row in fields["host_rows"]),
+        tuple(UsageRow(*row) for row in fields["quota_rows"]),
+        tuple(HostObservation(*row) for row in fields["host_rows"]),
     )
     return encode(CLUSTER, message)
 
