--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -25,11 +25,11 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from granitedock.lab.fleetsim import World, plain  # noqa: E402
-from granitedock.membership.member import LIVE  # noqa: E402
-from granitedock.membership.pace import Pace  # noqa: E402
+from granitedock.membership.member import LIVE_STATES  # noqa: E402
+from granitedock.membership.timing import Timing  # noqa: E402
 
 SIZES = (10, 40, 200, 1000)
-PACES = {"view": Pace(), "view without Lifeguard's parts": plain(Pace())}
+PACES = {"view": Timing(), "view without Lifeguard's parts": plain(Timing())}
 MESH_MS, MESH_DEAD_MS, MESH_BYTES = 500.0, 4000.0, 90
 PLOTS = Path(__file__).parent.parent / "docs" / "plots"
 
@@ -50,7 +50,7 @@
         began = world.now
 
         def see(now, node, change, name=f"g{number:04d}", knows=knows, began=began):
-            if change.member.name == name and change.member.state not in LIVE:
+            if change.member.name == name and change.member.state not in LIVE_STATES:
                 knows.setdefault(node.number, now - began)
 
         world.watch = see
@@ -99,8 +99,8 @@
     called: dict[tuple[str, int], None] = {}
 
     def see(now, node, change):
-        if change.member.state not in LIVE:
-            called[(change.member.name, change.member.bump)] = None
+        if change.member.state not in LIVE_STATES:
+            called[(change.member.name, change.member.refutations)] = None
 
     world.watch = see
     slow = set(range(0, count, 10)) if starved else set()
--- a/granitedock/commands/gateway.py
+++ b/granitedock/commands/gateway.py
@@ -51,8 +51,8 @@
     return {
         "on": file.enabled and may_talk(born),
         "shared": file.enabled and may_talk(born) and file.shared.enabled,
-        "pace": file.pace(),
-        "bound": told(platform_settings.plans(born), gateways, file.pace(), Bounds().tell_ms),
+        "pace": file.protocol_timing(),
+        "bound": told(platform_settings.plans(born), gateways, file.protocol_timing(), Bounds().tell_ms),
     }
 
 
--- a/granitedock/lab/fleetsim.py
+++ b/granitedock/lab/fleetsim.py
@@ -1,6 +1,6 @@
 """Many views of a fleet on a simulated wire, in one process and on a simulated clock.
 
-The machine under test is `granitedock.membership.machine.View` itself; what is simulated is the network
+The machine under test is `granitedock.membership.membership.Membership` itself; simulated are the network
 (latency, loss, doubles, cuts), processes that crash, vanish, are paused or starved and restart, and the
 kernel that refuses a knock where no process listens. The same seed gives the same run. Times are in ms.
 """
@@ -13,12 +13,12 @@
 from random import Random
 from typing import Any
 
-from granitedock.membership.machine import Change
-from granitedock.membership.member import LIVE, Member, News, State
-from granitedock.membership.news import NewsQueue
-from granitedock.membership.pace import Pace
-from granitedock.membership.part import Part
-from granitedock.membership.wire import Message, encode
+from granitedock.membership.broadcast_queue import BroadcastQueue
+from granitedock.membership.codec import encode
+from granitedock.membership.local_member import LocalMember
+from granitedock.membership.member import LIVE_STATES, Member, MemberChange, MemberState, MemberUpdate
+from granitedock.membership.messages import Message
+from granitedock.membership.timing import Timing
 
 EPOCH = 1_700_000_000_000  # when the simulated run begins, in Unix ms
 
@@ -29,7 +29,7 @@
 
     number: int
     address: str
-    part: Part | None = None
+    part: LocalMember | None = None
     paused_until: float = 0.0
     waiting: list[tuple] = field(default_factory=list)
     wakes: int = 0  # numbers its wakes, so that only the newest counts
@@ -45,7 +45,7 @@
         self,
         count: int,
         seed: int = 1,
-        pace: Pace | None = None,
+        pace: Timing | None = None,
         loss: float = 0.0,
         latency_ms: tuple[float, float] = (0.2, 2.0),
         twice: float = 0.0,
@@ -54,24 +54,24 @@
         known: bool = False,
     ) -> None:
         """`known`: all know each other from the start, instead of joining one by one."""
-        self.pace, self.loss, self.latency, self.twice = pace or Pace(), loss, latency_ms, twice
+        self.pace, self.loss, self.latency, self.twice = pace or Timing(), loss, latency_ms, twice
         self.chance, self.now, self.made, self.measured = Random(seed), 0.0, 0, measured
         self.events: list[tuple] = []
         self.nodes = [Node(n, f"10.{n >> 16 & 255}.{n >> 8 & 255}.{n & 255}:7946") for n in range(count)]
         self.at = {node.address: node for node in self.nodes}
         self.cuts: set[tuple[int, int]] = set()  # directed pairs that nothing gets through
-        self.watch: Callable[[float, Node, Change], None] = lambda *_: None
+        self.watch: Callable[[float, Node, MemberChange], None] = lambda *_: None
         self.passes: Callable[[Node, Node, Message], bool] = lambda *_: True
         if start:
             for node in self.nodes:
                 self.start(node.number)
         if known:
-            everybody = [News(node.part.view.me) for node in self.nodes]
+            everybody = [MemberUpdate(node.part.membership.local) for node in self.nodes]
             for node in self.nodes:
                 for news in everybody:
-                    if news.member.name != node.part.view.me.name:
-                        node.part.view.meet(news, "")
-                node.part.view.queue = NewsQueue()
+                    if news.member.name != node.part.membership.local.name:
+                        node.part.membership.updater.add(news, "")
+                node.part.membership.state.queue = BroadcastQueue()
                 self.carry(node)
 
     # What happens to processes and wires.
@@ -79,10 +79,10 @@
     def start(self, n: int, seeds: tuple[str, ...] | None = None) -> None:
         node = self.nodes[n]
         born = EPOCH + int(self.now) + n % 7
-        me = Member(f"g{n:04d}", node.address, born, 0, State.ALIVE, n, 1)
+        me = Member(f"g{n:04d}", node.address, born, 0, MemberState.ALIVE, n, 1)
         seeds = (self.nodes[0].address,) if seeds is None else seeds
         chance = Random(self.chance.random())
-        node.part = Part(me, self.pace, seeds, len(self.nodes), self.now, chance, "sim")
+        node.part = LocalMember(me, self.pace, seeds, len(self.nodes), self.now, chance, "sim")
         node.paused_until, node.waiting, node.vanished = self.now, [], False
         self.carry(node)
 
@@ -101,7 +101,7 @@
             node.paused_until = max(node.paused_until, self.now + for_ms)
             self.later(for_ms, self.woken, node, node.part)
 
-    def woken(self, node: Node, part: Part) -> None:
+    def woken(self, node: Node, part: LocalMember) -> None:
         if node.part is not part or self.now < node.paused_until:
             return
         waiting, node.waiting = node.waiting, []
@@ -152,12 +152,12 @@
 
     def carry(self, node: Node) -> None:
         part = node.part
-        sends, knocks, changes = part.taken(self.now)
-        for change in changes:
+        effects = part.take_effects(self.now)
+        for change in effects.changes:
             self.watch(self.now, node, change)
-        for address, message in sends:
+        for address, message in effects.sends:
             self.post(node, address, message)
-        for address in knocks:
+        for address in effects.connection_probes:
             self.later(1.0, self.knocked, node, part, address)
         node.wakes += 1
         self.later(max(0.1, part.due(self.now) - self.now), self.wake, node, node.wakes)
@@ -183,10 +183,10 @@
             self.hear(target, message)
 
     def hear(self, node: Node, message: Message) -> None:
-        node.part.heard(self.now, message)
+        node.part.receive(self.now, message)
         self.carry(node)
 
-    def knocked(self, node: Node, part: Part, address: str) -> None:
+    def knocked(self, node: Node, part: LocalMember, address: str) -> None:
         target = self.at.get(address)
         pair = (node.number, target.number) if target else None
         back = (target.number, node.number) if target else None
@@ -194,7 +194,7 @@
             return
         if pair in self.cuts or back in self.cuts or self.now < node.paused_until:
             return
-        part.refused(self.now, address)
+        part.connection_refused(self.now, address)
         self.carry(node)
 
     # What it looks like.
@@ -204,20 +204,20 @@
 
     def live_of(self, node: Node) -> dict[str, int]:
         """Who this one holds for live, itself too, by the time their processes began."""
-        view = node.part.view
-        held = {view.me.name: view.me.born}
-        for name, entry in view.entries.items():
-            if entry.member.state in LIVE:
-                held[name] = entry.member.born
+        table = node.part.membership.state.table
+        held = {table.local.name: table.local.started_at}
+        for name, record in table.records.items():
+            if record.member.state in LIVE_STATES:
+                held[name] = record.member.started_at
         return held
 
     def agree(self, among: Iterable[int] | None = None) -> bool:
         """Whether these (all that run) hold exactly each other for live."""
         nodes = self.running() if among is None else [self.nodes[n] for n in among]
-        truth = {node.part.view.me.name: node.part.view.me.born for node in nodes}
+        truth = {node.part.membership.local.name: node.part.membership.local.started_at for node in nodes}
         return all(self.live_of(node) == truth for node in nodes)
 
 
-def plain(pace: Pace) -> Pace:
+def plain(pace: Timing) -> Timing:
     """The same machine without its Lifeguard-like parts."""
     return replace(pace, careful=False)
--- a/granitedock/lab/hollow.py
+++ b/granitedock/lab/hollow.py
@@ -194,8 +194,8 @@
 
     def view(self) -> Any:
         """This gateway's part in the view, at an address of loopback of its own."""
-        from granitedock.membership.carrier import FleetLink
         from granitedock.membership.settings import FleetFile
+        from granitedock.membership.udp_transport import FleetLink
 
         order = self.order
         listen, seed = fleet_address(order.fleet_net, self.number), fleet_address(order.fleet_net, 0)
--- a/granitedock/lab/sharesim.py
+++ b/granitedock/lab/sharesim.py
@@ -17,8 +17,8 @@
 from granitedock.lab.fleetsim import EPOCH, Node, World
 from granitedock.lab.scenario import parse
 from granitedock.lab.settings import born
-from granitedock.membership.pace import Pace
-from granitedock.membership.wire import Kind, Message
+from granitedock.membership.messages import Message, MessageKind
+from granitedock.membership.timing import Timing
 from granitedock.outlier_detection.judge import Judge, Weights
 from granitedock.policy.types import (
     Attempt,
@@ -80,9 +80,9 @@
         self.gateway.update_endpoints(seen, True)
         self.judge: Judge | None = None
         if fleet.judged:
-            me = node.part.view.me
+            me = node.part.membership.local
             self.names = [me.name]
-            self.judge = Judge(me.name, me.born, Weights(), lambda: self.names)
+            self.judge = Judge(me.name, me.started_at, Weights(), lambda: self.names)
             self.judge.listed(self.hosts, fleet.unix())
             self.gateway.fleet.judged = self.judge
         self.customers: dict[int, Customer] = {}
@@ -181,17 +181,16 @@
     def tell_evidence(self) -> None:
         if not self.up():
             return
-        fleet, view = self.fleet, self.part.view
+        fleet, membership = self.fleet, self.part.membership
         fleet.later(self.judge.weights.tell_ms, self.tell_evidence)
         if fleet.now < self.node.paused_until:
             return
-        others = view.others()
-        self.names = sorted([view.me.name, *others])
+        self.names = sorted([membership.local.name, *membership.live_others()])
         rows = tuple(self.judge.due(fleet.unix(), 10))
         self.judge.judge(fleet.unix())
-        for name in view.chance.sample(others, min(view.pace.fanout, len(others))) if rows else ():
-            message = Message(Kind.EVIDENCE, view.me, evidence=rows)
-            fleet.post(self.node, view.entries[name].member.address, message)
+        for address in membership.gossip_addresses() if rows else ():
+            message = Message(MessageKind.EVIDENCE, membership.local, evidence=rows)
+            fleet.post(self.node, address, message)
 
     def tell(self) -> None:
         if not self.up():
@@ -202,7 +201,7 @@
             return
         sends, calls = self.shared.tick(fleet.unix(), fleet.now)
         for address, rows in sends:
-            message = Message(Kind.ROWS, self.part.view.me, rows=rows)
+            message = Message(MessageKind.ROWS, self.part.membership.local, rows=rows)
             fleet.post(self.node, address, message)
         for call in calls:
             self.call_counter(call)
@@ -236,7 +235,7 @@
         self.counter_cuts: dict[int, float] = {}  # gateways cut off from the counter, and since when
         self.names: dict[int, list[float]] = {}  # the counter: total and when the name ends
         self.calls = 0
-        super().__init__(count, seed, Pace(), known=True, **more)
+        super().__init__(count, seed, Timing(), known=True, **more)
         self.arrivals = Random(seed)
         for offer in offers:
             self.arrive(offer)
--- a/granitedock/membership/__init__.py
+++ b/granitedock/membership/__init__.py
@@ -1,1 +1,1 @@
-"""A view of the fleet kept by the gateways themselves (docs/fleet-design.md). Only `carrier` does I/O."""
+"""Gateway membership: SWIM with Lifeguard (docs/membership-design.md). Only the transport does I/O."""
--- /dev/null
+++ b/granitedock/membership/connection_probe.py
@@ -0,0 +1,47 @@
+"""Connection probes: two refusals in a row prove that no process listens at a member's address."""
+
+from __future__ import annotations
+
+from granitedock.membership.member import ENDED_STATES, MemberState
+from granitedock.membership.member_updater import MemberUpdater
+from granitedock.membership.protocol_state import ProtocolState
+from granitedock.membership.timers import NEVER, Timer
+
+
+class ConnectionProbes:
+    """Counts refusals. The first is followed by a second probe; two, some time apart, are proof."""
+
+    def __init__(self, state: ProtocolState, updater: MemberUpdater) -> None:
+        self.state = state
+        self.updater = updater
+        self.retries: list[str] = []  # addresses to probe a second time
+
+    def reset(self) -> None:
+        """After a pause of this process earlier refusals count for nothing."""
+        self.retries = []
+
+    def refused(self, address: str) -> None:
+        """A probe of this address was refused: nobody listens there now.
+
+        Twice, some time apart and with nothing heard between, proves that the process is gone; once may be a
+        process that is just starting.
+        """
+        state = self.state
+        record = state.table.records.get(state.table.by_address.get(address, ""))
+        if record is None or record.member.state in ENDED_STATES:
+            return
+        if record.refusals and state.now - record.refused_at >= state.timing.knock_ms / 2:
+            self.updater.apply(record, record.member.with_state(MemberState.GONE))
+            state.queue.add(state.update_of(record))
+        elif not record.refusals:
+            record.refusals = 1
+            record.refused_at = state.now
+            self.retries.append(address)
+            due = state.now + state.timing.knock_ms
+            state.timers[Timer.CONNECTION_RETRY] = min(state.timers[Timer.CONNECTION_RETRY], due)
+
+    def retry(self) -> None:
+        """Probe a second time."""
+        self.state.timers[Timer.CONNECTION_RETRY] = NEVER
+        self.state.connection_probes += self.retries
+        self.retries = []
--- /dev/null
+++ b/granitedock/membership/probe.py
@@ -0,0 +1,162 @@
+"""SWIM's failure detection: direct probes, indirect probes through others, and this member's own relaying."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from granitedock.membership.member import LIVE_STATES, Member, MemberState, MemberUpdate
+from granitedock.membership.member_table import MemberRecord
+from granitedock.membership.messages import Message, MessageKind
+from granitedock.membership.probe_order import ProbeOrder
+from granitedock.membership.protocol_state import ProtocolState
+from granitedock.membership.suspicion import Suspicion
+from granitedock.membership.timers import NEVER, Timer
+
+RELAY_TIMEOUTS = 1.5  # probe timeouts that an indirect probe waits for its target
+
+
+@dataclass(slots=True)
+class Probe:
+    """The probe of this period."""
+
+    target: str
+    number: int
+    asked: int = 0  # members asked to probe indirectly
+    nacks: int = 0
+    acked: bool = False
+
+
+@dataclass(frozen=True, slots=True)
+class Relay:
+    """An indirect probe made for another member; `requester_number` is the number of its own probe."""
+
+    requester_address: str
+    requester_number: int
+    target: str
+    expires_at: float
+
+
+class FailureDetector:
+    """Probes one member in each period, and answers the probes of others."""
+
+    def __init__(self, state: ProtocolState, order: ProbeOrder, suspicion: Suspicion) -> None:
+        self.state = state
+        self.order = order
+        self.suspicion = suspicion
+        self.current: Probe | None = None
+        self.relays: dict[int, Relay] = {}  # by the number of our ping
+
+    def reset(self) -> None:
+        """After a pause of this process nothing outstanding is held against anybody."""
+        self.current = None
+        self.relays.clear()
+
+    # Probing.
+
+    def probe(self) -> None:
+        """A period ends and the next begins."""
+        state = self.state
+        state.timers[Timer.PROBE] = state.now + state.awareness.scaled(state.timing.period_ms)
+        self.conclude()
+        others = state.table.live_others()
+        if not others:
+            return
+        target = self.order.next_target(others)
+        record = state.table.records.get(target)
+        if record is None or record.member.state not in LIVE_STATES:
+            return
+        self.current = Probe(target, state.next_sequence_number())
+        state.ping(record, self.current.number)
+        state.timers[Timer.PROBE_TIMEOUT] = state.now + state.awareness.scaled(state.timing.timeout_ms)
+
+    def probe_timed_out(self) -> None:
+        """No answer in time: others probe for us, and a connection probe tells whether anybody listens."""
+        state, probe = self.state, self.current
+        state.timers[Timer.PROBE_TIMEOUT] = NEVER
+        record = state.table.records.get(probe.target) if probe else None
+        if probe is None or probe.acked or record is None:
+            return
+        self.probe_indirectly(probe, record)
+        state.ping(record, probe.number)
+        state.connection_probes.append(record.member.address)
+
+    def probe_indirectly(self, probe: Probe, record: MemberRecord) -> None:
+        """Ask a few random members to ping the target."""
+        state = self.state
+        candidates = [name for name in state.table.live_others() if name != probe.target]
+        helpers = state.random.sample(candidates, min(state.timing.helpers, len(candidates)))
+        probe.asked = len(helpers)
+        for name in helpers:
+            target = [MemberUpdate(record.member.with_state(MemberState.ALIVE))]
+            address = state.table.records[name].member.address
+            state.send(address, MessageKind.PING_REQ, probe.number, probe.target, target)
+
+    def conclude(self) -> None:
+        """The end of the period: the target is suspected if no answer came, by any way."""
+        state, probe = self.state, self.current
+        self.current = None
+        if probe is None or probe.acked:
+            return
+        record = state.table.records.get(probe.target)
+        if not probe.nacks:
+            # If all helpers are silent too, this member is perhaps the slow one. One that does answer says
+            # that our network is well, also where a partition has taken the others.
+            state.awareness.degrade()
+        if record is not None and record.member.state in LIVE_STATES and state.now >= state.suspend_until:
+            self.suspicion.accuse(record, state.table.local.name)
+
+    # Relaying for others.
+
+    def expire_relays(self) -> None:
+        """Indirect probes without an answer in time are reported as such."""
+        for number, relay in list(self.relays.items()):
+            if relay.expires_at <= self.state.now:
+                del self.relays[number]
+                self.state.send(relay.requester_address, MessageKind.NACK, relay.requester_number)
+
+    # Messages.
+
+    def on_ping(self, message: Message, sender: Member) -> None:
+        """Answer a ping."""
+        state = self.state
+        if message.word != state.table.local.name:
+            # Meant for one that had this address before; our own record, in the answer, says who has it now.
+            state.send(sender.address, MessageKind.GOSSIP)
+            return
+        claims = state.claims_against(state.table.records[sender.name])
+        state.send(sender.address, MessageKind.ACK, message.number, state.table.local.name, claims)
+
+    def on_ack(self, message: Message, sender: Member) -> None:
+        """The answer to this period's probe, or to a ping that was made for another."""
+        state, probe = self.state, self.current
+        if probe and probe.number == message.number and probe.target == message.word:
+            if not probe.acked:
+                state.awareness.recover()
+            probe.acked = True
+            state.timers[Timer.PROBE_TIMEOUT] = NEVER
+        relay = self.relays.get(message.number)
+        if relay is not None and relay.target == message.word == sender.name:
+            del self.relays[message.number]
+            target = [MemberUpdate(sender)] if sender.state in LIVE_STATES else []
+            state.send(relay.requester_address, MessageKind.ACK, relay.requester_number, message.word, target)
+
+    def on_ping_req(self, message: Message, sender: Member) -> None:
+        """Ping a member for another."""
+        state = self.state
+        target = next(
+            (update.member for update in message.updates if update.member.name == message.word), None
+        )
+        if target is None or target.name == state.table.local.name:
+            return
+        number = state.next_sequence_number()
+        expires_at = state.now + state.timing.timeout_ms * RELAY_TIMEOUTS
+        self.relays[number] = Relay(sender.address, message.number, target.name, expires_at)
+        record = state.table.records.get(target.name)
+        claims = state.claims_against(record) if record is not None else []
+        state.send(target.address, MessageKind.PING, number, target.name, claims)
+
+    def on_nack(self, message: Message, _sender: Member) -> None:
+        """A helper had no answer either."""
+        probe = self.current
+        if probe and probe.number == message.number:
+            probe.nacks += 1
--- a/granitedock/membership/settings.py
+++ b/granitedock/membership/settings.py
@@ -1,4 +1,4 @@
-"""The operators' file of the fleet view: TOML, checked by pydantic. For operators: docs/fleet.md."""
+"""The operators' file of membership: TOML, checked by pydantic. For operators: docs/membership.md."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 import orjson
 from pydantic import AfterValidator, Field
 
-from granitedock.membership.pace import Pace
-from granitedock.membership.wire import is_address
+from granitedock.membership.codec import is_address
+from granitedock.membership.timing import Timing
 from granitedock.toml_file import Found, Strict, checked, read
 
 
 def address(text: str) -> str:
+    """Check an address. Raises ValueError, as pydantic expects."""
     if not is_address(text):
         raise ValueError(f"not an address as 10.0.0.4:7946: {text!r}")
     return text
@@ -22,11 +23,11 @@
 
 Address = Annotated[str, AfterValidator(address)]
 Ms = Annotated[float, Field(ge=10, le=3_600_000)]
-DEFAULT = Pace()
+DEFAULT = Timing()
 
 
-class Timing(Strict):
-    """Times in ms, as `Pace` names them; those left out stand as there."""
+class TimingTable(Strict):
+    """The table `[timing]`: times in ms, as `timing.Timing` names them; those left out stand as there."""
 
     period_ms: Ms = DEFAULT.period_ms
     timeout_ms: Ms = DEFAULT.timeout_ms
@@ -43,17 +44,17 @@
     lease_ms: Ms = DEFAULT.lease_ms
 
 
-class SharedFile(Strict):
-    """Units let in uncounted, told to the others (docs/shared.md)."""
+class SharedTable(Strict):
+    """The table `[shared]`: units admitted uncounted are sent to the others (docs/shared.md)."""
 
     enabled: bool = False
     reserve_ms: Ms = 600_000.0
     most_rows: Annotated[int, Field(ge=100, le=1_000_000)] = 20_000
-    snapshot: str | None = None  # a file that holds over a restart what was let in uncounted
+    snapshot: str | None = None  # a file that keeps what was admitted uncounted over a restart
 
 
-class HostsFile(Strict):
-    """What is known of hosts, told to the others (docs/judgement.md)."""
+class HostsTable(Strict):
+    """The table `[hosts]`: observations of hosts are sent to the others (docs/judgement.md)."""
 
     enabled: bool = False
     fresh_ms: Ms = 6000.0
@@ -61,50 +62,56 @@
 
 
 class FleetFile(Strict):
+    """The whole file, which operators know as fleet.toml."""
+
     enabled: bool
     cluster: Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]{0,31}$")] = "granitedock"
     listen: Address
     advertise: Address | None = None  # as the others reach it; without it, as `listen`
     seeds: Annotated[list[Address], Field(max_length=16)] = []
-    timing: Timing = Timing()
-    shared: SharedFile = SharedFile()
-    hosts: HostsFile = HostsFile()
+    timing: TimingTable = TimingTable()
+    shared: SharedTable = SharedTable()
+    hosts: HostsTable = HostsTable()
 
-    def pace(self) -> Pace:
-        return Pace(**self.timing.model_dump())
+    def protocol_timing(self) -> Timing:
+        """The protocol's parameters, with what the file leaves as it is."""
+        return Timing(**self.timing.model_dump())
 
 
-def crossed(told: FleetFile) -> Found:
-    timing, found = told.timing, []
+def cross_checked(file: FleetFile) -> Found:
+    """What each field allows alone but not with the others: (path of keys, what is wrong) for each fault."""
+    timing = file.timing
+    found: Found = []
 
-    def below(less: str, more: str) -> None:
+    def require_order(less: str, more: str) -> None:
         if getattr(timing, less) > getattr(timing, more):
             found.append((("timing", less), f"must not be more than {more} ({getattr(timing, more):g})"))
 
-    below("timeout_ms", "period_ms")
-    below("suspect_ms", "suspect_most_ms")
-    below("suspect_most_ms", "forget_ms")
-    below("gap_ms", "suspect_ms")
-    if told.listen.startswith("0.0.0.0:") and told.advertise is None:
+    require_order("timeout_ms", "period_ms")
+    require_order("suspect_ms", "suspect_most_ms")
+    require_order("suspect_most_ms", "forget_ms")
+    require_order("gap_ms", "suspect_ms")
+    if file.listen.startswith("0.0.0.0:") and file.advertise is None:
         found.append((("advertise",), "must be named where listen is every address"))
     return found
 
 
 def load(path: str | Path) -> FleetFile:
-    """Read and check the operators' file. Raises tomlfile.FileError."""
+    """Read and check the operators' file. Raises toml_file.FileError."""
     return parse(read(path), str(path))
 
 
 def parse(text: str, name: str = "<fleet>") -> FleetFile:
-    return checked(text, name, FleetFile, crossed)
+    """Check the text of such a file; `name` stands in errors. Raises toml_file.FileError."""
+    return checked(text, name, FleetFile, cross_checked)
 
 
-def may_talk(born: dict[str, Any]) -> bool:
+def may_talk(settings: dict[str, Any]) -> bool:
     """Whether the deployment's settings let gateways talk to each other."""
-    return bool((born.get("Specifics") or {}).get("MailPerS"))
+    return bool((settings.get("Specifics") or {}).get("MailPerS"))
 
 
-def settings_number(born: dict[str, Any]) -> int:
-    """A number made of the settings, the same for all gateways that were told the same."""
-    shared = {key: value for key, value in born.items() if key != "Me"}
-    return zlib.crc32(orjson.dumps(shared, option=orjson.OPT_SORT_KEYS))
+def settings_checksum(settings: dict[str, Any]) -> int:
+    """The same for all gateways with the same settings but for their own number."""
+    common = {key: value for key, value in settings.items() if key != "Me"}
+    return zlib.crc32(orjson.dumps(common, option=orjson.OPT_SORT_KEYS))
--- a/granitedock/membership/carrier.py
+++ b/granitedock/membership/udp_transport.py
@@ -16,10 +16,12 @@
 import orjson
 from twisted.internet.protocol import DatagramProtocol
 
-from granitedock.membership.member import LIVE, Member, State
-from granitedock.membership.part import Part
-from granitedock.membership.settings import FleetFile, settings_number
-from granitedock.membership.wire import MOST_BYTES, Kind, Malformed, Message, decode, encode
+from granitedock.membership.codec import MAX_BYTES, decode, encode
+from granitedock.membership.errors import MalformedMessageError
+from granitedock.membership.local_member import LocalMember
+from granitedock.membership.member import LIVE_STATES, Member, MemberState
+from granitedock.membership.messages import Message, MessageKind
+from granitedock.membership.settings import FleetFile, settings_checksum
 from granitedock.outlier_detection.judge import Judge, Weights
 from granitedock.quota_sharing.snapshot import Refused, pack, unpack
 from granitedock.quota_sharing.state import Bounds, Shared
@@ -37,13 +39,13 @@
         self, told: FleetFile, name: str, born: dict[str, Any], born_ms: int, reactor: Any, diary: Any
     ) -> None:
         self.told, self.reactor, self.diary = told, reactor, diary
-        number = settings_number(born)
+        number = settings_checksum(born)
         at = told.advertise or told.listen
-        me = Member(name, at, born_ms, 0, State.ALIVE, int(born.get("Me") or 0), number)
-        self.pace = told.pace()
+        me = Member(name, at, born_ms, 0, MemberState.ALIVE, int(born.get("Me") or 0), number)
+        self.pace = told.protocol_timing()
         chance = Random(f"{name}:{born_ms}")
         gateways = int(born.get("Balancers") or 1)
-        self.part = Part(me, self.pace, tuple(told.seeds), gateways, self.now(), chance, told.cluster)
+        self.part = LocalMember(me, self.pace, tuple(told.seeds), gateways, self.now(), chance, told.cluster)
         self.shared: Shared | None = None
         self.file: Path | None = None
         self.snapped = 0
@@ -71,7 +73,7 @@
     def read_snapshot(self) -> None:
         """Guards against a file that is torn, another's or unreadable: a line, and a start without it."""
         try:
-            rows = unpack(self.part.view.me.name, self.file.read_bytes())
+            rows = unpack(self.part.membership.local.name, self.file.read_bytes())
         except FileNotFoundError:
             return
         except (OSError, Refused) as why:
@@ -87,7 +89,7 @@
         if self.file is None or self.saving or made == self.snapped:
             return
         self.snapped, self.saving = made, True
-        data = pack(self.part.view.me.name, self.shared.counts.mine())
+        data = pack(self.part.membership.local.name, self.shared.counts.mine())
         Thread(target=self.save, args=(data,), daemon=True).start()
 
     def save(self, data: bytes) -> None:
@@ -109,8 +111,8 @@
     def judgement(self, clock: Any, tell: Any, list_version: Any) -> Judge:
         """What is known of hosts is told from now on."""
         weights = Weights(fresh_ms=self.told.hosts.fresh_ms, most_out=self.told.hosts.most_out)
-        me = self.part.view.me
-        self.judge = Judge(me.name, me.born, weights, lambda: self.names)
+        me = self.part.membership.local
+        self.judge = Judge(me.name, me.started_at, weights, lambda: self.names)
         self.clock, self.tell, self.list_version = clock, tell, list_version
         return self.judge
 
@@ -121,9 +123,11 @@
 
     def start(self) -> None:
         host, _, port = self.told.listen.rpartition(":")
-        self.port = self.reactor.listenUDP(int(port), self, interface=host, maxPacketSize=MOST_BYTES + 1)
-        self.port.maxThroughput = SENDS_AT_ONCE * MOST_BYTES
-        self.diary.event("fleet listening", address=self.told.listen, known_as=self.part.view.me.address)
+        self.port = self.reactor.listenUDP(int(port), self, interface=host, maxPacketSize=MAX_BYTES + 1)
+        self.port.maxThroughput = SENDS_AT_ONCE * MAX_BYTES
+        self.diary.event(
+            "fleet listening", address=self.told.listen, known_as=self.part.membership.local.address
+        )
         self.wake()
         if self.shared is not None:
             self.tell_rows()
@@ -150,14 +154,14 @@
             return
         try:
             message = decode(self.told.cluster, data)
-        except Malformed as why:
+        except MalformedMessageError as why:
             self.counted_strange(str(why), addr[0])
             return
         self.diary.counts["fleet_heard"] += 1
-        self.part.heard(self.now(), message)
+        self.part.receive(self.now(), message)
         if message.rows and self.shared is not None:
             self.shared.heard(message.rows, self.clock())
-        if message.kind is Kind.EVIDENCE and self.judge is not None:
+        if message.kind is MessageKind.EVIDENCE and self.judge is not None:
             self.judge.heard(message.evidence, self.clock())
             self.newer_list(message.number)
         self.carry()
@@ -174,25 +178,30 @@
 
     def carry(self) -> None:
         now = self.now()
-        sends, knocks, changes = self.part.taken(now)
-        if self.part.view.counts["refutations"]:
-            self.diary.counts["fleet_refutations"] = self.part.view.counts["refutations"]
+        effects = self.part.take_effects(now)
+        sends, knocks, changes = effects.sends, effects.connection_probes, effects.changes
+        if self.part.membership.counts["refutations"]:
+            self.diary.counts["fleet_refutations"] = self.part.membership.counts["refutations"]
         for address, message in sends:
             self.write(address, message)
         if changes:
-            live = [row for row, entry in self.part.view.entries.items() if entry.member.state in LIVE]
-            self.names = sorted([self.part.view.me.name, *live])
+            live = [
+                row
+                for row, entry in self.part.membership.state.table.records.items()
+                if entry.member.state in LIVE_STATES
+            ]
+            self.names = sorted([self.part.membership.local.name, *live])
             for name in ("suspicions", "false_suspicions", "false_deaths"):
-                self.diary.counts["fleet_" + name] = self.part.view.counts[name]
+                self.diary.counts["fleet_" + name] = self.part.membership.counts[name]
         for change in changes:
             member = change.member
             self.diary.event(
                 "fleet member",
                 member=member.name,
                 address=member.address,
-                was=change.was.name.lower() if change.was is not None else None,
+                was=change.previous.name.lower() if change.previous is not None else None,
                 now=member.state.name.lower(),
-                false=change.false,
+                false=change.false_death,
             )
         for address in knocks:
             self.knock(address)
@@ -217,7 +226,7 @@
         self.write_snapshot()
         sends, calls = self.shared.tick(self.clock(), self.now())
         for address, rows in sends:
-            self.write(address, Message(Kind.ROWS, self.part.view.me, rows=rows))
+            self.write(address, Message(MessageKind.ROWS, self.part.membership.local, rows=rows))
         if calls:
             self.tell("calls", calls)
 
@@ -225,25 +234,23 @@
         """Again and again while the socket is open."""
         if self.port is None:
             return
-        weights, view, now = self.judge.weights, self.part.view, self.clock()
+        weights, view, now = self.judge.weights, self.part.membership, self.clock()
         self.reactor.callLater(weights.tell_ms / 1000.0, self.tell_evidence)
         self.judge.judge(now)
         for name, why in self.judge.changes:
             self.diary.event("fleet host", host=name, out=why)
         self.judge.changes = []
         rows = tuple(self.judge.due(now, EVIDENCE_A_DATAGRAM))
-        version, others = self.list_version(), view.others()
-        if rows and others:
-            for name in view.chance.sample(others, min(view.pace.fanout, len(others))):
-                message = Message(Kind.EVIDENCE, view.me, version, evidence=rows)
-                self.write(view.entries[name].member.address, message)
+        version = self.list_version()
+        for address in view.gossip_addresses() if rows else ():
+            self.write(address, Message(MessageKind.EVIDENCE, view.local, version, evidence=rows))
 
     def newer_list(self, version: int) -> None:
         """Another's list is newer: ours is asked for again, once for each version, at a random time, so that
         the fleet does not ask discovery at one moment."""
         if version > max(self.asked_version, self.list_version()):
             self.asked_version = version
-            wait = self.part.view.chance.random() * ASK_AGAIN_S
+            wait = self.part.membership.state.random.random() * ASK_AGAIN_S
             self.reactor.callLater(wait, self.tell, "newer list", version)
 
     def knock(self, address: str) -> None:
@@ -276,7 +283,7 @@
 
     def refused(self, address: str) -> None:
         if self.port is not None:
-            self.part.refused(self.now(), address)
+            self.part.connection_refused(self.now(), address)
             self.carry()
 
     # What it is asked for.
@@ -286,31 +293,31 @@
 
     def shown(self) -> bytes:
         """The view as JSON: this gateway, the members it knows of, and its counters."""
-        now, view = self.now(), self.part.view
+        now, view = self.now(), self.part.membership
         rows = [
             {
                 "name": entry.member.name,
                 "address": entry.member.address,
                 "state": entry.member.state.name.lower(),
-                "born_ms": entry.member.born,
-                "bump": entry.member.bump,
-                "seat": entry.member.seat,
-                "settings": entry.member.settings,
+                "born_ms": entry.member.started_at,
+                "bump": entry.member.refutations,
+                "seat": entry.member.slot,
+                "settings": entry.member.settings_checksum,
                 "since_ms": round(now - entry.since),
-                "share_taken_over": self.part.seats.vacant(now, entry.member.seat),
+                "share_taken_over": self.part.slots.is_vacant(now, entry.member.slot),
             }
-            for _, entry in sorted(view.entries.items())
+            for _, entry in sorted(view.state.table.records.items())
         ]
-        me = view.me
+        me = view.local
         said = {
             "name": me.name,
             "address": me.address,
-            "born_ms": me.born,
-            "bump": me.bump,
-            "seat": me.seat,
-            "settings": me.settings,
-            "live": 1 + sum(entry.member.state in LIVE for entry in view.entries.values()),
-            "unwell": view.slow,
+            "born_ms": me.started_at,
+            "bump": me.refutations,
+            "seat": me.slot,
+            "settings": me.settings_checksum,
+            "live": 1 + sum(entry.member.state in LIVE_STATES for entry in view.state.table.records.values()),
+            "unwell": view.state.awareness.score,
             "members": rows,
             "counts": dict(view.counts),
         }
--- a/granitedock/model_checking/canon.py
+++ b/granitedock/model_checking/canon.py
@@ -21,7 +21,8 @@
 PLAIN = frozenset({int, float, str, bytes, bool, type(None)})
 LISTS = frozenset({list, tuple, deque})
 LEFT_OUT = frozenset(
-    "counts diary doors limits leave cold seat effects log world gate wakes made products plans known".split()
+    "counts diary doors limits leave cold seat effects log world gate wakes made products plans known "
+    "sequence".split()
 )
 _fields: dict[type, tuple[str, ...]] = {}
 
--- a/granitedock/model_checking/views.py
+++ b/granitedock/model_checking/views.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from granitedock.lab.fleetsim import Node, World
-from granitedock.membership.member import State
-from granitedock.membership.pace import Pace
+from granitedock.membership.member import MemberState
+from granitedock.membership.timing import Timing
 from granitedock.model_checking.canon import digest
 from granitedock.model_checking.explore import Move
 
@@ -42,7 +42,7 @@
         self.wrong: list[str] = []
         self.settled = False
         self.since: dict[int, float] = {}  # when each that runs was started
-        super().__init__(fleet.gateways, 3, Pace(), latency_ms=(1.0, 1.0), known=True)
+        super().__init__(fleet.gateways, 3, Timing(), latency_ms=(1.0, 1.0), known=True)
         self.watch, self.passes = self.changed, self.always
         self.leaving.clear()
         self.ends = self.now + fleet.window_ms
@@ -59,8 +59,8 @@
     def changed(self, now: float, node: Node, change: Any) -> None:
         """Property 1: `gone` is proof, and a proof is never of one that runs, under its own incarnation."""
         at = self.at.get(change.member.address)
-        if change.member.state is State.GONE and at is not None and at.part is not None:
-            if at.part.view.me.born == change.member.born:
+        if change.member.state is MemberState.GONE and at is not None and at.part is not None:
+            if at.part.membership.local.started_at == change.member.started_at:
                 self.wrong.append(f"g{node.number} holds g{at.number} for gone, which runs")
 
     def post(self, node: Node, address: str, message: Any) -> None:
--- a/granitedock/outlier_detection/evidence.py
+++ b/granitedock/outlier_detection/evidence.py
@@ -12,7 +12,7 @@
 from collections import Counter
 from dataclasses import dataclass, replace
 
-from granitedock.membership.news import most_told
+from granitedock.membership.broadcast_queue import transmit_limit
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,7 +108,7 @@
 
     def take(self, most: int, members: int, now: float) -> list[Row]:
         """Rows to tell next, the least told first, as old as they are now."""
-        limit, chosen = most_told(members), []
+        limit, chosen = transmit_limit(members), []
         for item in heapq.nsmallest(most, self.to_tell.values(), key=lambda item: item[:2]):
             held = self.rows.get(item[2], {}).get(item[3])
             item[0] += 1
--- a/granitedock/quota_sharing/bound.py
+++ b/granitedock/quota_sharing/bound.py
@@ -15,13 +15,13 @@
 import math
 from dataclasses import dataclass
 
-from granitedock.membership.pace import Pace
+from granitedock.membership.timing import Timing
 from granitedock.policy.types import Plan
 
 TELLINGS = 5  # rounds in which news reaches all, as measured at up to 1,000 members
 
 
-def detection_ms(pace: Pace, gateways: int = 40) -> float:
+def detection_ms(pace: Timing, gateways: int = 40) -> float:
     """D: until a silence is known to all that can hear each other, also that of half of the fleet at once, as
     measured (8.7 s at 40, 13.3 s at 200)."""
     periods = 10 + 5 * max(0.0, math.log2(gateways / 40))
@@ -40,7 +40,7 @@
         return isolated * self.each_isolated + returned * self.each_returned + told * self.each_told
 
 
-def excess(plan: Plan, subset_size: int, pace: Pace, tell_ms: float, gateways: int = 40) -> Excess:
+def excess(plan: Plan, subset_size: int, pace: Timing, tell_ms: float, gateways: int = 40) -> Excess:
     """The terms for one plan and a set of `spread` in a fleet of `gateways`."""
     burst, rate = plan.burst / subset_size, plan.rate / subset_size
     return Excess(
@@ -48,7 +48,7 @@
     )
 
 
-def told(plans: list[Plan], gateways: int, pace: Pace, tell_ms: float) -> list[dict[str, float | str]]:
+def told(plans: list[Plan], gateways: int, pace: Timing, tell_ms: float) -> list[dict[str, float | str]]:
     """For each plan with a rate, and the whole fleet as its set: what `granitedock check` prints. The part is
     of a minute's allowance, for half of the set isolated at once."""
     rows = []
--- a/granitedock/quota_sharing/counts.py
+++ b/granitedock/quota_sharing/counts.py
@@ -12,7 +12,7 @@
 from collections import Counter
 from dataclasses import dataclass, replace
 
-from granitedock.membership.news import most_told
+from granitedock.membership.broadcast_queue import transmit_limit
 
 PER_UNIT = 1000
 WINDOWS_KEPT = 2  # a row is of use in its own window and the next one
@@ -152,7 +152,7 @@
 
     def take(self, most: int, members: int) -> list[Row]:
         """Rows to tell next, the least told first; each is told as often as other news, and then rests."""
-        limit, chosen = most_told(members), []
+        limit, chosen = transmit_limit(members), []
         for item in heapq.nsmallest(most, self.to_tell.values(), key=lambda item: item[:2]):
             item[0] += 1
             row = item[2]
--- a/granitedock/quota_sharing/state.py
+++ b/granitedock/quota_sharing/state.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from granitedock.membership.part import Part
+from granitedock.membership.local_member import LocalMember
 from granitedock.policy.types import CounterCall, Customer, Outcome, SharedQuota
 from granitedock.quota_sharing.counts import Counts, Row
 
@@ -36,11 +36,11 @@
 class Shared:
     """`part` is our part in the fleet, on its own clock (`steady`); everything else here is in Unix ms."""
 
-    def __init__(self, part: Part, bounds: Bounds) -> None:
+    def __init__(self, part: LocalMember, bounds: Bounds) -> None:
         self.part, self.bounds = part, bounds
-        me = part.view.me
-        self.seat = me.seat
-        self.counts = Counts(me.name, me.born, bounds.most_rows)
+        me = part.membership.local
+        self.seat = me.slot
+        self.counts = Counts(me.name, me.started_at, bounds.most_rows)
         self.silent: dict[int, float] = {}  # seats, and since when
         self.present: dict[int, float] = {}  # silent seats that showed at the counter, and until when
         self.taken: dict[tuple[int, int], bool] = {}  # customers' windows whose inheritance rides on an add
@@ -83,8 +83,8 @@
         """Units of this window that others of the set let in, or may have, beyond the counter's total."""
         units = self.counts.outstanding(customer, window)
         if self.silent:
-            for n in range(min(quota.subset_size, self.part.seats.gateways)):
-                seat = (quota.subset_start + n) % self.part.seats.gateways
+            for n in range(min(quota.subset_size, self.part.slots.gateways)):
+                seat = (quota.subset_start + n) % self.part.slots.gateways
                 since = self.silent.get(seat)
                 if since is not None and now > self.present.get(seat, 0.0):
                     units += reserve(quota, window, since, now)
@@ -106,20 +106,20 @@
         """Rows for others, by address, and calls for the counter, that are due now."""
         self.look(now, steady)
         self.counts.sweep(now)
-        sends, view = [], self.part.view
-        others = view.others()
+        sends, membership = [], self.part.membership
+        others = membership.live_others()
         if self.counts.to_tell and others and now - self.told_at >= self.bounds.tell_ms:
             self.told_at = now
-            for name in view.chance.sample(others, min(view.pace.fanout, len(others))):
+            for address in membership.gossip_addresses():
                 rows = self.counts.take(ROWS_A_DATAGRAM, len(others) + 1)
                 if rows:
-                    sends.append((view.entries[name].member.address, tuple(rows)))
+                    sends.append((address, tuple(rows)))
         return sends, self.calls(now)
 
     def look(self, now: float, steady: float) -> None:
         """Who is silent now: seats that were held live by us, and are neither live, nor left by their own
         word, nor proved empty by our own fresh knock."""
-        seats = self.part.seats
+        seats = self.part.slots
         silent = seats.silent(steady)
         for seat in [seat for seat in self.silent if seat not in silent]:
             del self.silent[seat]
@@ -137,7 +137,7 @@
         ourselves while anybody is silent to us, and while others hold us for silent, which we hear as what we
         have to contradict. Costs two calls and more each two seconds, only then."""
         bounds = self.bounds
-        refutations = self.part.view.counts["refutations"]
+        refutations = self.part.membership.counts["refutations"]
         if refutations != self.refutations:
             self.refutations, self.accused_at = refutations, now
         doubt = bool(self.silent) or now - self.accused_at < 15 * bounds.presence_ms
--- a/granitedock/service/event_loop.py
+++ b/granitedock/service/event_loop.py
@@ -244,8 +244,8 @@
         to each other; else None, and nothing of it is so much as imported."""
         if told is None or not told.enabled:
             return None
-        from granitedock.membership.carrier import FleetLink
         from granitedock.membership.settings import may_talk
+        from granitedock.membership.udp_transport import FleetLink
 
         if not may_talk(born):
             self.log.event("fleet off", why="the settings do not let gateways talk to each other")
--- a/tests/golden/test_golden_wire.py
+++ b/tests/golden/test_golden_wire.py
@@ -20,19 +20,19 @@
 
 
 def member_fields(member):
-    return [*astuple(member)[:4], int(member.state), member.seat, member.settings]
+    return [*astuple(member)[:4], int(member.state), member.slot, member.settings_checksum]
 
 
 def member_from(fields):
-    from granitedock.membership.member import Member, State
+    from granitedock.membership.member import Member, MemberState
 
     name, address, born, bump, state, seat, settings = fields
-    return Member(name, address, born, bump, State(state), seat, settings)
+    return Member(name, address, born, bump, MemberState(state), seat, settings)
 
 
 def datagram_fields(data):
     """What a datagram says, as plain values; raises ValueError (`datagram_error`)."""
-    from granitedock.membership.wire import decode
+    from granitedock.membership.codec import decode
 
     message = decode(CLUSTER, data)
     return {
@@ -41,8 +41,12 @@
         "number": message.number,
         "word": message.word,
         "news": [
-            {"member": member_fields(item.member), "suspected_by": item.by, "ended_ms_ago": item.age_ms}
-            for item in message.news
+            {
+                "member": member_fields(item.member),
+                "suspected_by": item.suspected_by,
+                "ended_ms_ago": item.ended_ms_ago,
+            }
+            for item in message.updates
         ],
         "quota_rows": [list(astuple(row)) for row in message.rows],
         "host_rows": [list(astuple(row)) for row in message.evidence],
@@ -50,17 +54,18 @@
 
 
 def datagram_from(fields):
-    from granitedock.membership.member import News
-    from granitedock.membership.wire import Kind, Message, encode
+    from granitedock.membership.codec import encode
+    from granitedock.membership.member import MemberUpdate
+    from granitedock.membership.messages import Message, MessageKind
     from granitedock.outlier_detection.evidence import Row as HostRow
     from granitedock.quota_sharing.counts import Row
 
     news = tuple(
-        News(member_from(item["member"]), item["suspected_by"], item["ended_ms_ago"])
+        MemberUpdate(member_from(item["member"]), item["suspected_by"], item["ended_ms_ago"])
         for item in fields["news"]
     )
     message = Message(
-        Kind(fields["kind"]),
+        MessageKind(fields["kind"]),
         member_from(fields["sender"]),
         fields["number"],
         fields["word"],
@@ -72,15 +77,15 @@
 
 
 def datagram_error():
-    from granitedock.membership.wire import Malformed
+    from granitedock.membership.errors import MalformedMessageError
 
-    return Malformed
+    return MalformedMessageError
 
 
 def datagram_kinds():
-    from granitedock.membership.wire import Kind
+    from granitedock.membership.messages import MessageKind
 
-    return {int(kind) for kind in Kind}
+    return {int(kind) for kind in MessageKind}
 
 
 # Lines of the configuration service.
--- a/tests/helpers/planted_faults.py
+++ b/tests/helpers/planted_faults.py
@@ -2,9 +2,10 @@
 
 from functools import wraps
 
-from granitedock.membership.machine import View
-from granitedock.membership.member import OVER, State
-from granitedock.membership.seats import Seats
+from granitedock.membership.anti_entropy import AntiEntropy
+from granitedock.membership.member import ENDED_STATES, MemberState
+from granitedock.membership.member_slots import MemberSlots
+from granitedock.membership.timers import NEVER, Timer
 from granitedock.model_checking.gateways import Shape
 from granitedock.policy import decisions
 from granitedock.policy.decisions import TokenBucket
@@ -79,10 +80,15 @@
 
 
 def silence_taken_for_proof(monkeypatch):
-    monkeypatch.setattr("granitedock.membership.seats.OVER", frozenset({State.DEAD, *OVER}))
-    monkeypatch.setattr(Seats, "vacant", lambda self, now, seat: seat in self.empty)
+    monkeypatch.setattr(
+        "granitedock.membership.member_slots.ENDED_STATES", frozenset({MemberState.DEAD, *ENDED_STATES})
+    )
+    monkeypatch.setattr(MemberSlots, "is_vacant", lambda self, now, slot: slot in self.vacancies)
 
 
 def nobody_looks_for_those_that_are_over(monkeypatch):
-    for way in ("revive", "sync", "seek"):
-        monkeypatch.setattr(View, way, lambda self, way=way: self.timers.update({way: float("inf")}))
+    ways = {"revive": Timer.REVIVE, "sync": Timer.SYNC, "join": Timer.JOIN}
+    for way, timer in ways.items():
+        monkeypatch.setattr(
+            AntiEntropy, way, lambda self, timer=timer: self.state.timers.update({timer: NEVER})
+        )
--- a/tests/membership/test_membership_simulated.py
+++ b/tests/membership/test_membership_simulated.py
@@ -8,16 +8,18 @@
 from pytest import raises
 
 from granitedock.lab.fleetsim import World, plain
-from granitedock.membership.machine import Change, View
-from granitedock.membership.member import LIVE, Member, News, State
-from granitedock.membership.news import NewsQueue, most_told
-from granitedock.membership.pace import Pace
-from granitedock.membership.seats import Seats
+from granitedock.membership.broadcast_queue import BroadcastQueue, transmit_limit
+from granitedock.membership.codec import MAX_BYTES, decode, encode, update_budget, update_size
+from granitedock.membership.errors import MalformedMessageError
+from granitedock.membership.member import LIVE_STATES, Member, MemberChange, MemberState, MemberUpdate
+from granitedock.membership.member_slots import MemberSlots
+from granitedock.membership.membership import Membership
+from granitedock.membership.messages import Message, MessageKind
 from granitedock.membership.settings import parse
-from granitedock.membership.wire import MOST_BYTES, Kind, Malformed, Message, cost, decode, encode, room
+from granitedock.membership.timing import Timing
 from granitedock.toml_file import FileError
 
-PACE = Pace()
+TIMING = Timing()
 STEPS = st.one_of(
     st.tuples(st.sampled_from(["crash", "vanish", "start", "leave"]), st.integers(0, 5)),
     st.tuples(st.just("pause"), st.integers(0, 5), st.integers(100, 9000)),
@@ -31,15 +33,15 @@
     """A world of six that notes each process's starts, and checks at each step what must always hold."""
 
     def __init__(self, seed, loss):
-        super().__init__(6, seed, PACE, loss=loss, twice=loss)
+        super().__init__(6, seed, TIMING, loss=loss, twice=loss)
         self.watch = self.see
         self.back = {}
 
     def see(self, now, node, change):
         said, target = change.member, self.nodes[int(change.member.name[1:])]
-        if said.state is State.GONE:
+        if said.state is MemberState.GONE:
             # Proved dead, so no process of this incarnation runs, whatever the wires did.
-            assert target.part is None or target.part.view.me.born > said.born
+            assert target.part is None or target.part.membership.local.started_at > said.started_at
 
     def shares(self):
         serving = [node for node in self.running() if self.now >= node.paused_until]
@@ -47,7 +49,7 @@
 
     def bound(self):
         """One, and a sixth for each that came back within a lease: others may still hold its share."""
-        fresh = sum(self.now - at <= PACE.lease_ms + 20 for at in self.back.values())
+        fresh = sum(self.now - at <= TIMING.lease_ms + 20 for at in self.back.values())
         return 1 + fresh / 6 + 1e-9
 
     def step(self, what, *how):
@@ -77,7 +79,7 @@
     world = Watched(seed, loss)
     if refutes is not None:
         for node in world.nodes:
-            node.part.view.answer = refutes
+            node.part.membership.merging.refute = refutes
     world.run(3000)
     for step in steps:
         world.step(*step)
@@ -87,7 +89,7 @@
         world.step("start", n)
     if refutes is not None:
         for node in world.running():
-            node.part.view.answer = refutes
+            node.part.membership.merging.refute = refutes
     world.run(9000)  # whoever is paused wakes
     # The stated time: one longest wait for a seed, and what a heal takes. Less than it takes to forget the
     # dead, or that would mend what a missing refutation breaks.
@@ -116,7 +118,7 @@
 def test_a_share_held_on_without_a_fresh_proof_is_caught_by_the_same_story(monkeypatch):
     steps = [("crash", 2), ("run", 7000), ("cut", 1, True), ("start", 2), ("run", 7000)]
     settles(steps, 1, 0.0)
-    monkeypatch.setattr(Seats, "vacant", lambda seats, now, seat: seat in seats.empty)
+    monkeypatch.setattr(MemberSlots, "is_vacant", lambda slots, now, slot: slot in slots.vacancies)
     with raises(AssertionError):
         settles(steps, 1, 0.0)
 
@@ -129,24 +131,29 @@
         name = f"g{number:04d}"
 
         def known(name=name):
-            return all(node.part.view.entries[name].member.state not in LIVE for node in world.running())
+            return all(
+                node.part.membership.state.table.records[name].member.state not in LIVE_STATES
+                for node in world.running()
+            )
 
         assert world.run_until(known, 20_000) <= 5000
-        held = {node.part.view.entries[name].member.state for node in world.running()}
-        assert held == {State.DEAD if vanish else State.GONE}
+        held = {node.part.membership.state.table.records[name].member.state for node in world.running()}
+        assert held == {MemberState.DEAD if vanish else MemberState.GONE}
 
 
 def test_no_live_one_is_called_dead_at_a_twentieth_lost_though_one_in_ten_is_starved():
     def deaths(pace):
         world, called, chance = World(40, seed=9, pace=pace, loss=0.05, known=True), [], Random(2)
-        world.watch = lambda now, node, change: called.append(change.member.name) if change.false else None
+        world.watch = lambda now, node, change: (
+            called.append(change.member.name) if change.false_death else None
+        )
         for _ in range(40):
             world.pause(chance.randrange(4), chance.uniform(500, 1400))
             world.run(1500)
         return sum(int(name[1:]) >= 4 for name in called), len(called)
 
-    assert deaths(PACE) == (0, 0)
-    hasty = replace(PACE, suspect_ms=200, suspect_most_ms=200, gap_ms=1e9)
+    assert deaths(TIMING) == (0, 0)
+    hasty = replace(TIMING, suspect_ms=200, suspect_most_ms=200, gap_ms=1e9)
     assert deaths(plain(hasty))[1] > 0  # the same day has false ends where suspicions are short
 
 
@@ -155,7 +162,9 @@
     world.run(2000)
     accused = []
     world.watch = lambda now, node, change: (
-        accused.append(change.member.name) if node.number == 3 and change.member.state > State.ALIVE else None
+        accused.append(change.member.name)
+        if node.number == 3 and change.member.state > MemberState.ALIVE
+        else None
     )
     world.pause(3, 30_000)
     world.run(33_000)
@@ -165,114 +174,118 @@
 def test_a_clock_set_back_before_a_restart_does_not_leave_the_new_process_dead():
     world = World(3, seed=6, known=True)
     world.run(1000)
-    born = world.nodes[2].part.view.me.born
+    born = world.nodes[2].part.membership.local.started_at
     world.crash(2)
     world.run(4000)
     world.start(2)
-    view = world.nodes[2].part.view
-    view.me = Member(view.me.name, view.me.address, born - 3_600_000, 0, State.ALIVE, 2, 1)
-    assert world.run_until(world.agree, 8000) < 8000 and world.nodes[2].part.view.me.born >= born
+    table = world.nodes[2].part.membership.state.table
+    table.local = Member(table.local.name, table.local.address, born - 3_600_000, 0, MemberState.ALIVE, 2, 1)
+    assert (
+        world.run_until(world.agree, 8000) < 8000 and world.nodes[2].part.membership.local.started_at >= born
+    )
 
 
 def test_the_dead_are_forgotten_within_the_stated_time_and_a_side_long_cut_off_is_found_again():
     world = World(6, seed=3, known=True)
     world.run(1000)
     world.cut(range(3), range(3, 6))
-    world.run(PACE.forget_ms * 1.2 + 10_000)
-    assert all(len(node.part.view.entries) == 2 for node in world.nodes)
+    world.run(TIMING.forget_ms * 1.2 + 10_000)
+    assert all(len(node.part.membership.state.table.records) == 2 for node in world.nodes)
     world.heal()
-    assert world.run_until(world.agree, PACE.seeds_most_ms + 10_000) < PACE.seeds_most_ms + 10_000
+    assert world.run_until(world.agree, TIMING.seeds_most_ms + 10_000) < TIMING.seeds_most_ms + 10_000
 
 
-def member(n, state=State.ALIVE, born=5, settings_=1):
+def member(n, state=MemberState.ALIVE, born=5, settings_=1):
     return Member(f"g{n}", f"10.0.0.{n}:7946", born, 0, state, n, settings_)
 
 
 def test_a_share_is_taken_over_only_on_our_own_fresh_proof_and_a_settled_end():
-    seats = Seats(PACE, 4, 1)
+    slots = MemberSlots(TIMING, 4, 1)
     for n in (1, 2, 3):
-        seats.changed(0, Change(member(n), None))
-    seats.changed(1000, Change(member(3, State.DEAD), State.ALIVE))
-    assert seats.active_members(9000, 0, 4) == 4 and not seats.knocks(9000)  # a silence proves nothing
-    seats.changed(9000, Change(member(3, State.GONE), State.DEAD))
-    assert seats.active_members(60_000, 0, 4) == 4  # and neither does what others say
-    assert seats.knocks(60_000) == [member(3).address]
-    seats.refused(60_010, member(3).address)
+        slots.member_changed(0, MemberChange(member(n), None))
+    slots.member_changed(1000, MemberChange(member(3, MemberState.DEAD), MemberState.ALIVE))
+    assert slots.active_members(9000, 0, 4) == 4 and not slots.due_probes(9000)  # a silence proves nothing
+    slots.member_changed(9000, MemberChange(member(3, MemberState.GONE), MemberState.DEAD))
+    assert slots.active_members(60_000, 0, 4) == 4  # and neither does what others say
+    assert slots.due_probes(60_000) == [member(3).address]
+    slots.connection_refused(60_010, member(3).address)
     assert (
-        seats.active_members(60_020, 0, 4) == 3 and seats.active_members(60_020, 0, 2) == 2
+        slots.active_members(60_020, 0, 4) == 3 and slots.active_members(60_020, 0, 2) == 2
     )  # sets without it keep theirs
-    assert seats.active_members(60_020, 2, 2) == 1
-    assert seats.active_members(60_010 + PACE.lease_ms + 1, 0, 4) == 4  # the proof is old
-    seats.refused(70_000, member(3).address)
-    seats.changed(70_001, Change(member(3, born=9), State.GONE))
-    assert seats.active_members(70_002, 0, 4) == 4  # it is back
-    seats.changed(70_003, Change(member(3, State.LEFT, born=9), State.ALIVE))
-    seats.refused(70_010, member(3).address)
+    assert slots.active_members(60_020, 2, 2) == 1
+    assert slots.active_members(60_010 + TIMING.lease_ms + 1, 0, 4) == 4  # the proof is old
+    slots.connection_refused(70_000, member(3).address)
+    slots.member_changed(70_001, MemberChange(member(3, born=9), MemberState.GONE))
+    assert slots.active_members(70_002, 0, 4) == 4  # it is back
+    slots.member_changed(70_003, MemberChange(member(3, MemberState.LEFT, born=9), MemberState.ALIVE))
+    slots.connection_refused(70_010, member(3).address)
     assert (
-        seats.active_members(70_020, 0, 4) == 4
-        and seats.active_members(70_003 + PACE.settle_ms, 0, 4) == 4 - 1
+        slots.active_members(70_020, 0, 4) == 4
+        and slots.active_members(70_003 + TIMING.settle_ms, 0, 4) == 4 - 1
     )
-    seats.slept(72_100)
-    seats.refused(72_110, member(3).address)
-    assert seats.active_members(72_120, 0, 4) == 4  # our own clock had a gap
-    seats.refused(74_200, member(3).address)
-    assert seats.active_members(74_210, 0, 4) == 3
-    seats.changed(74_220, Change(member(2, settings_=7), State.ALIVE))
-    assert seats.active_members(74_230, 0, 4) == 4  # others count by other settings
+    slots.process_paused(72_100)
+    slots.connection_refused(72_110, member(3).address)
+    assert slots.active_members(72_120, 0, 4) == 4  # our own clock had a gap
+    slots.connection_refused(74_200, member(3).address)
+    assert slots.active_members(74_210, 0, 4) == 3
+    slots.member_changed(74_220, MemberChange(member(2, settings_=7), MemberState.ALIVE))
+    assert slots.active_members(74_230, 0, 4) == 4  # others count by other settings
 
 
 def test_datagrams_stay_within_their_size_and_what_is_not_one_of_ours_is_refused():
     long = [
-        Member("n" * 64, f"100.100.100.{n}:65535", 2**52, 2**31, State.SUSPECT, 2**19, 2**32 - 1)
+        Member("n" * 64, f"100.100.100.{n}:65535", 2**52, 2**31, MemberState.SUSPECT, 2**19, 2**32 - 1)
         for n in range(30)
     ]
-    me = long[0].said(State.ALIVE)
-    queue = NewsQueue()
+    me = long[0].with_state(MemberState.ALIVE)
+    queue = BroadcastQueue()
     for n, one in enumerate(long):
         queue.add(
-            News(
-                Member(f"{n:02d}" + one.name[2:], one.address, *one.rank(), one.seat, one.settings),
-                by="b" * 64,
+            MemberUpdate(
+                Member(
+                    f"{n:02d}" + one.name[2:], one.address, *one.precedence(), one.slot, one.settings_checksum
+                ),
+                suspected_by="b" * 64,
             )
         )
-    news = queue.take(room("c" * 32, me), 1000, cost)
-    whole = Message(Kind.ACK, me, 2**32 - 1, "w" * 64, tuple(news))
+    news = queue.take(update_budget("c" * 32, me), 1000, update_size)
+    whole = Message(MessageKind.ACK, me, 2**32 - 1, "w" * 64, tuple(news))
     data = encode("c" * 32, whole)
-    assert 900 < len(data) <= MOST_BYTES and decode("c" * 32, data) == whole
+    assert 900 < len(data) <= MAX_BYTES and decode("c" * 32, data) == whole
     for spoilt in (b"", data[:-1], data + b"x", b"\xc1", data * 2):
-        with raises(Malformed):
+        with raises(MalformedMessageError):
             decode("c" * 32, spoilt)
-    with raises(Malformed, match="another cluster"):
+    with raises(MalformedMessageError, match="another cluster"):
         decode("d", data)
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.binary(max_size=200), st.integers(0, 60))
 def test_no_datagram_is_a_fault(garbage, at):
-    view = View(member(1), PACE, (), 0.0, Random(1), "c")
-    data = bytearray(encode("c", Message(Kind.PAGE, member(2), 1, "a", (News(member(3)),))))
+    membership = Membership(member(1), TIMING, (), 0.0, Random(1), "c")
+    data = bytearray(encode("c", Message(MessageKind.PAGE, member(2), 1, "a", (MemberUpdate(member(3)),))))
     data[at : at + len(garbage) // 8] = garbage
     for told in (garbage, bytes(data)):
         try:
-            view.heard(1.0, decode("c", told))
-        except Malformed:
+            membership.receive(1.0, decode("c", told))
+        except MalformedMessageError:
             pass
-    view.tick(2.0)
+    membership.tick(2.0)
 
 
 def test_news_is_told_a_bounded_number_of_times_and_newer_news_takes_its_place():
-    queue, told = NewsQueue(), 0
-    queue.add(News(member(1, State.SUSPECT), by="a"))
-    queue.add(News(member(1, State.SUSPECT), by="b"))
-    queue.add(News(member(1, State.DEAD)))
+    queue, told = BroadcastQueue(), 0
+    queue.add(MemberUpdate(member(1, MemberState.SUSPECT), suspected_by="a"))
+    queue.add(MemberUpdate(member(1, MemberState.SUSPECT), suspected_by="b"))
+    queue.add(MemberUpdate(member(1, MemberState.DEAD)))
     while queue:
-        told += len(queue.take(500, 40, cost))
-    assert told == most_told(40)
+        told += len(queue.take(500, 40, update_size))
+    assert told == transmit_limit(40)
 
 
 def test_the_operators_file_names_a_bad_field_by_its_line():
     good = 'enabled = true\nlisten = "0.0.0.0:7946"\nadvertise = "10.0.0.4:7946"\nseeds = ["10.0.0.5:7946"]\n'
-    assert parse(good).pace() == PACE
+    assert parse(good).protocol_timing() == TIMING
     for text, fault in (
         (good.replace("10.0.0.5:7946", "gateway-5"), "f:4: seeds.0: Value error, not an address"),
         (good.replace("advertise", "advertised"), "f:3: advertised: Extra inputs"),
--- a/tests/outlier_detection/test_outlier_detection.py
+++ b/tests/outlier_detection/test_outlier_detection.py
@@ -12,8 +12,9 @@
 from granitedock.lab.load import broken, load_on
 from granitedock.lab.rig import FLEET_PORT, Rig
 from granitedock.lab.scenario import parse
-from granitedock.membership.member import Member, State
-from granitedock.membership.wire import MOST_BYTES, Kind, Message, decode, encode
+from granitedock.membership.codec import MAX_BYTES, decode, encode
+from granitedock.membership.member import Member, MemberState
+from granitedock.membership.messages import Message, MessageKind
 from granitedock.outlier_detection.evidence import Evidence, Row
 from granitedock.outlier_detection.judge import Judge, Weights
 from granitedock.policy.types import EndpointStatus, Host, Outcome
@@ -181,9 +182,9 @@
             while time.monotonic() < ends:
                 number += 1
                 for teller, hosts in (("evil", names), ("worse", names[:2]), ("worst", names[:2])):
-                    sender = Member(teller, "127.0.0.1:9", 5, number, State.ALIVE)
+                    sender = Member(teller, "127.0.0.1:9", 5, number, MemberState.ALIVE)
                     rows = tuple(Row(teller, 5, number, name, 2**40, 9, 0, -1) for name in hosts)
-                    message = Message(Kind.EVIDENCE, sender, 0, evidence=rows)
+                    message = Message(MessageKind.EVIDENCE, sender, 0, evidence=rows)
                     stranger.sendto(encode("lab", message), (rig.own(0), FLEET_PORT))
                 time.sleep(0.002)
         assert len(day.out(0)[0]) <= 2  # a quarter of eight, whatever is said
@@ -314,10 +315,10 @@
     new, old = row("g1", number=2, failures=0), row("g1", number=1)
     reader = Evidence("reader", 1, 100, 1e9)
     assert reader.merge(new, 0.0) and not reader.merge(old, 0.0) and reader.rows["h0"]["g1"].row == new
-    me = Member("n" * 64, "100.100.100.100:65535", 2**52, 2**31, State.ALIVE, 7, 2**31)
+    me = Member("n" * 64, "100.100.100.100:65535", 2**52, 2**31, MemberState.ALIVE, 7, 2**31)
     rows = tuple(
         Row("n" * 20, 2**42, 2**31, "h" * 24, 2**42, 999, 2**31, 2**31, 999, 999, 9999, 999, True)
         for _ in range(10)
     )
-    data = encode("c" * 32, Message(Kind.EVIDENCE, me, 2**31, evidence=rows))
-    assert len(data) <= MOST_BYTES and decode("c" * 32, data).evidence == rows
+    data = encode("c" * 32, Message(MessageKind.EVIDENCE, me, 2**31, evidence=rows))
+    assert len(data) <= MAX_BYTES and decode("c" * 32, data).evidence == rows
--- a/tests/quota_sharing/test_quota_sharing.py
+++ b/tests/quota_sharing/test_quota_sharing.py
@@ -13,10 +13,9 @@
 from granitedock.lab.load import broken, done_units, load_on
 from granitedock.lab.rig import Rig, on_loop
 from granitedock.lab.sharesim import Offer, ShareFleet, admitted
-from granitedock.membership.machine import Change
-from granitedock.membership.member import Member, State
-from granitedock.membership.pace import Pace
-from granitedock.membership.part import Part
+from granitedock.membership.local_member import LocalMember
+from granitedock.membership.member import Member, MemberChange, MemberState
+from granitedock.membership.timing import Timing
 from granitedock.policy.types import Outcome, Plan, SharedQuota
 from granitedock.quota_sharing.bound import excess
 from granitedock.quota_sharing.counts import Counts
@@ -326,8 +325,8 @@
     before.record_uncounted(161, 8, QUOTA, 3.0)
     before.reconcile(161, 8, 1.0)
     rows = unpack("g0", pack("g0", before.counts.mine()))
-    me = Member("g0", "10.0.0.0:7946", 9, 0, State.ALIVE, 0, 1)
-    after = Shared(Part(me, Pace(), (), 4, 0.0, Random(1), "c"), Bounds())
+    me = Member("g0", "10.0.0.0:7946", 9, 0, MemberState.ALIVE, 0, 1)
+    after = Shared(LocalMember(me, Timing(), (), 4, 0.0, Random(1), "c"), Bounds())
     assert after.rescue(rows, 16_500.0) == 2 and after.rescue(rows, 99_000.0) == 0
     assert after.uncounted_elsewhere(161, 8, QUOTA, 16_500.0) == 2.0  # until it is paid, we count it too
     after.record_uncounted(161, 8, QUOTA, 4.0)
@@ -335,7 +334,7 @@
     after.reconcile(161, 8, 6.0)
     assert after.uncounted_elsewhere(161, 8, QUOTA, 16_500.0) == 0.0 and after.counts.own(161, 8) == 0.0
     assert after.carry_over(161, 8) == 0.0
-    other = Shared(Part(member(1), Pace(), (), 4, 0.0, Random(1), "c"), Bounds())
+    other = Shared(LocalMember(member(1), Timing(), (), 4, 0.0, Random(1), "c"), Bounds())
     other.heard(tuple(rows) + tuple(after.counts.take(9, 3)), 16_500.0)
     assert other.uncounted_elsewhere(161, 8, QUOTA, 16_500.0) == 0.0  # the raised row wins, in any order
     with raises(Refused, match="another gateway"):
@@ -344,14 +343,14 @@
         unpack("g0", b"")
 
 
-def member(n, state=State.ALIVE):
+def member(n, state=MemberState.ALIVE):
     return Member(f"g{n}", f"10.0.0.{n}:7946", 5, 0, state, n, 1)
 
 
 def shared_of_four():
-    part = Part(member(0), Pace(), (), 4, 0.0, Random(1), "c")
+    part = LocalMember(member(0), Timing(), (), 4, 0.0, Random(1), "c")
     for n in (1, 2, 3):
-        part.seats.changed(0.0, Change(member(n), None))
+        part.slots.member_changed(0.0, MemberChange(member(n), None))
     return part, Shared(part, Bounds(reserve_ms=60_000))
 
 
@@ -363,25 +362,25 @@
         return round(shared.uncounted_elsewhere(161, int(now // 2000), QUOTA, now), 6)
 
     assert held(10_000.0) == 0
-    part.seats.changed(10_000.0, Change(member(3, State.DEAD), State.SUSPECT))
+    part.slots.member_changed(10_000.0, MemberChange(member(3, MemberState.DEAD), MemberState.SUSPECT))
     since = 10_000.0 - shared.bounds.silent_ms
     assert held(11_000.0) == round(
         RATE / 1000 * 1000 / SET, 6
     )  # its part of the rate, this far into the window
     assert shared.silent == {3: since}
-    part.seats.changed(11_500.0, Change(member(3, State.GONE), State.DEAD))
+    part.slots.member_changed(11_500.0, MemberChange(member(3, MemberState.GONE), MemberState.DEAD))
     assert held(11_600.0) > 0  # others' word for its end is not ours
-    part.seats.refused(11_700.0, member(3).address)
+    part.slots.connection_refused(11_700.0, member(3).address)
     assert held(11_800.0) == 0  # our own proof is
-    assert held(11_700.0 + Pace().lease_ms + 100) > 0  # for as long as it is fresh
+    assert held(11_700.0 + Timing().lease_ms + 100) > 0  # for as long as it is fresh
     call = next(call for call in shared.tick(16_000.0, 16_000.0)[1] if call.window == 3)
     shared.counter_call_finished(call, Outcome.DONE, 1.0)
     assert held(16_500.0) == 0  # it counts where we do
     assert held(31_000.0) > 0
     assert held(since + 60_000 + 500) == 0  # its time is up
-    part.seats.changed(80_000.0, Change(member(2, State.DEAD), State.ALIVE))
+    part.slots.member_changed(80_000.0, MemberChange(member(2, MemberState.DEAD), MemberState.ALIVE))
     assert held(80_100.0) > 0
-    part.seats.changed(80_200.0, Change(member(2, State.LEFT), State.DEAD))
+    part.slots.member_changed(80_200.0, MemberChange(member(2, MemberState.LEFT), MemberState.DEAD))
     assert held(80_300.0) == 0  # by its own word
 
 
--- a/tests/test_small_functions.py
+++ b/tests/test_small_functions.py
@@ -5,13 +5,13 @@
 import pytest
 
 
-def test_fleet_news_most_told():
-    from granitedock.membership.news import most_told
+def test_membership_broadcast_queue_transmit_limit():
+    from granitedock.membership.broadcast_queue import transmit_limit
 
-    assert (most_told(2), most_told(40), most_told(1000)) == (10, 12, 15)
+    assert (transmit_limit(2), transmit_limit(40), transmit_limit(1000)) == (10, 12, 15)
 
 
-def test_fleet_settings_may_talk():
+def test_membership_settings_may_talk():
     from granitedock.membership.settings import may_talk
 
     assert (may_talk({"Specifics": {"MailPerS": 40}}), may_talk({"Specifics": {}}), may_talk({})) == (
@@ -21,21 +21,23 @@
     )
 
 
-def test_fleet_settings_settings_number():
-    from granitedock.membership.settings import settings_number
+def test_membership_settings_settings_checksum():
+    from granitedock.membership.settings import settings_checksum
 
-    assert settings_number({"Me": 1, "Balancers": 4}) == settings_number({"Balancers": 4, "Me": 2})
+    assert settings_checksum({"Me": 1, "Balancers": 4}) == settings_checksum({"Balancers": 4, "Me": 2})
 
 
-def test_fleet_wire_decode():
-    from granitedock.membership.wire import Kind, Member, Message, State, decode, encode
+def test_membership_codec_decode():
+    from granitedock.membership.codec import decode, encode
+    from granitedock.membership.member import Member, MemberState
+    from granitedock.membership.messages import Message, MessageKind
 
-    me = Member("a", "127.0.0.1:7946", 5, 0, State.ALIVE)
-    assert decode("c", encode("c", Message(Kind.PING, me, 3, "b"))).word == "b"
+    me = Member("a", "127.0.0.1:7946", 5, 0, MemberState.ALIVE)
+    assert decode("c", encode("c", Message(MessageKind.PING, me, 3, "b"))).word == "b"
 
 
-def test_fleet_wire_is_address():
-    from granitedock.membership.wire import is_address
+def test_membership_codec_is_address():
+    from granitedock.membership.codec import is_address
 
     assert [is_address(text) for text in ("127.0.0.1:7946", "127.0.0.1", "localhost:1", "1.2.3.4:70000")] == [
         True,
@@ -211,16 +213,16 @@
 
 
 def test_shared_bound_detection_ms():
-    from granitedock.quota_sharing.bound import Pace, detection_ms
+    from granitedock.quota_sharing.bound import Timing, detection_ms
 
-    assert (detection_ms(Pace()), detection_ms(Pace(), 200) > 13300) == (9500.0, True)
+    assert (detection_ms(Timing()), detection_ms(Timing(), 200) > 13300) == (9500.0, True)
 
 
 def test_shared_bound_excess():
-    from granitedock.quota_sharing.bound import Pace, Plan, excess
+    from granitedock.quota_sharing.bound import Plan, Timing, excess
 
     plan = Plan("p", 0.04, 40, 0, 1, 0, 0, 0, 0, 0)
-    assert excess(plan, 4, Pace(), 100.0).of(isolated=2) == 210.0
+    assert excess(plan, 4, Timing(), 100.0).of(isolated=2) == 210.0
 
 
 def test_shared_counts_merged():
