--- a/granitedock/membership/anti_entropy.py
+++ b/granitedock/membership/anti_entropy.py
@@ -8,8 +8,8 @@
 from granitedock.membership.codec import update_size
 from granitedock.membership.member import Member, MemberState, MemberUpdate
 from granitedock.membership.messages import Message, MessageKind
-from granitedock.membership.protocol_state import NEVER, ProtocolState
-from granitedock.membership.timers import Timer
+from granitedock.membership.protocol_state import ProtocolState
+from granitedock.membership.timers import LONG_AGO, NEVER, Timer
 
 OLD_ADDRESSES = 16  # of removed members, tried among the seeds
 JOIN_AT_ONCE = 3  # seeds tried together while no other member is live
@@ -25,7 +25,7 @@
         self.old_addresses: deque[str] = deque(maxlen=OLD_ADDRESSES)
         self.join_wait_ms = state.timing.seeds_ms
         self.cursor = ""  # the name after which the next page begins
-        self.pulled_at = -NEVER
+        self.pulled_at = LONG_AGO
 
     # Pages.
 
--- a/granitedock/membership/member_slots.py
+++ b/granitedock/membership/member_slots.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass
 
 from granitedock.membership.member import ENDED_STATES, LIVE_STATES, Member, MemberChange, MemberState
+from granitedock.membership.timers import LONG_AGO
 from granitedock.membership.timing import Timing
 
 PROBES_AT_ONCE = 8  # with more slots vacant than can be proved in a lease, the rest count as held
 RENEWALS_PER_LEASE = 4
 PROOFS_PER_GATEWAY = 4  # addresses kept with their last refusal
-NEVER = float("-inf")
 
 
 @dataclass(slots=True)
@@ -26,8 +26,8 @@
 
     address: str
     since: float
-    probed_at: float = NEVER
-    proved_at: float = NEVER
+    probed_at: float = LONG_AGO
+    proved_at: float = LONG_AGO
 
 
 class MemberSlots:
@@ -45,7 +45,7 @@
         self.vacancies: dict[int, Vacancy] = {}
         self.ended_silently: dict[int, float] = {}  # slots once held, whose gateway did not announce its end
         self.refused_at: dict[str, float] = {}  # when an address last refused a probe
-        self.suspend_until = NEVER
+        self.suspend_until = LONG_AGO
 
     def member_changed(self, now: float, change: MemberChange) -> None:
         """A member's record changed."""
@@ -78,7 +78,7 @@
         elif held:
             self.ended_silently[member.slot] = now
         if member.state in ENDED_STATES and member.settings_checksum == self.settings_checksum:
-            proved_at = self.refused_at.get(member.address, NEVER)
+            proved_at = self.refused_at.get(member.address, LONG_AGO)
             self.vacancies.setdefault(member.slot, Vacancy(member.address, now, proved_at=proved_at))
 
     def process_paused(self, now: float) -> None:
--- a/granitedock/membership/member_table.py
+++ b/granitedock/membership/member_table.py
@@ -5,8 +5,7 @@
 from dataclasses import dataclass, field
 
 from granitedock.membership.member import LIVE_STATES, Member, MemberState
-
-NEVER = float("inf")
+from granitedock.membership.timers import LONG_AGO
 
 
 @dataclass(slots=True)
@@ -15,11 +14,11 @@
 
     member: Member
     since: float  # when it entered its state
-    heard_at: float = -NEVER  # its newest message
+    heard_at: float = LONG_AGO  # its newest message
     accusers: dict[str, None] = field(default_factory=dict)  # members that suspect it, in order
     suspected_at: float = 0.0
     refusals: int = 0  # connection probes refused in a row since it was last heard
-    refused_at: float = -NEVER
+    refused_at: float = LONG_AGO
 
 
 class MemberTable:
--- a/granitedock/membership/protocol_state.py
+++ b/granitedock/membership/protocol_state.py
@@ -12,11 +12,9 @@
 from granitedock.membership.member import LIVE_STATES, Member, MemberChange, MemberState, MemberUpdate
 from granitedock.membership.member_table import MemberRecord, MemberTable
 from granitedock.membership.messages import Message, MessageKind
-from granitedock.membership.timers import Timer
+from granitedock.membership.timers import LONG_AGO, Timer
 from granitedock.membership.timing import Timing
 
-NEVER = float("inf")
-
 
 class ProtocolState:
     """Member table, broadcast queue, timers and the effects that the transport is still to carry out.
@@ -39,7 +37,9 @@
         self.connection_probes: list[str] = []
         self.changes: list[MemberChange] = []
         self.counts: Counter[str] = Counter()
-        self.suspend_until = -NEVER  # after a pause of this process nobody is accused or declared dead before
+        self.suspend_until = (
+            LONG_AGO  # after a pause of this process nobody is accused or declared dead before
+        )
         self.sequence_number = 0
 
     def next_sequence_number(self) -> int:
--- a/granitedock/membership/timers.py
+++ b/granitedock/membership/timers.py
@@ -4,7 +4,8 @@
 
 from enum import Enum
 
-NEVER = float("inf")
+NEVER = float("inf")  # when a stopped timer is due
+LONG_AGO = float("-inf")  # when something last happened that has not happened yet
 
 
 class Timer(Enum):
