--- a/granitedock/membership/codec.py
+++ b/granitedock/membership/codec.py
@@ -15,7 +15,7 @@
 
 import msgpack
 
-from granitedock.membership.errors import Malformation, MalformedMessageError
+from granitedock.membership.errors import Malformation, MalformedMessageError, PayloadKindError
 from granitedock.membership.member import Member, MemberState, MemberUpdate
 from granitedock.membership.messages import NO_PAYLOADS, Message, MessageKind, PayloadTypes
 
@@ -50,7 +50,10 @@
 
 
 def encode(cluster: str, message: Message, payload_types: PayloadTypes = NO_PAYLOADS) -> bytes:
-    """The message as a datagram; its kind is a MessageKind or one of `payload_types`."""
+    """The message as a datagram.
+
+    Raises PayloadKindError for a kind that is neither a MessageKind nor one of `payload_types`.
+    """
     body: list[Any] = [
         VERSION,
         cluster,
@@ -61,7 +64,10 @@
         [encode_update(update) for update in message.updates],
     ]
     if message.kind not in PROTOCOL_KINDS:
-        payload_type = payload_types[message.kind]
+        payload_type = payload_types.get(message.kind)
+        if payload_type is None:
+            why = f"kind {message.kind} is not registered"
+            raise PayloadKindError(why)
         body.append([payload_type.encode_row(row) for row in message.payload])
     return msgpack.packb(body)
 
--- a/granitedock/membership/errors.py
+++ b/granitedock/membership/errors.py
@@ -34,4 +34,4 @@
 
 
 class PayloadKindError(MembershipError, ValueError):
-    """A payload kind whose number is not free."""
+    """A payload kind whose number is not free, or that is not registered where it is sent."""
--- a/tests/membership/test_membership_dispatch.py
+++ b/tests/membership/test_membership_dispatch.py
@@ -51,6 +51,8 @@
     assert decode("c", data, {NUMBERS.kind: NUMBERS}) == message
     with raises(MalformedMessageError, match="unknown kind"):
         decode("c", data)
+    with raises(PayloadKindError, match="not registered"):
+        encode("c", message)
 
 
 def test_a_kind_is_registered_once_and_never_in_the_place_of_the_protocols_own():
--- a/tests/outlier_detection/test_outlier_detection.py
+++ b/tests/outlier_detection/test_outlier_detection.py
@@ -187,7 +187,7 @@
                     sender = Member(teller, "127.0.0.1:9", 5, number, MemberState.ALIVE)
                     rows = tuple(Row(teller, 5, number, name, 2**40, 9, 0, -1) for name in hosts)
                     message = Message(HOST_PAYLOAD.kind, sender, 0, payload=rows)
-                    stranger.sendto(encode("lab", message), (rig.own(0), FLEET_PORT))
+                    stranger.sendto(encode("lab", message, PAYLOAD_TYPES), (rig.own(0), FLEET_PORT))
                 time.sleep(0.002)
         assert len(day.out(0)[0]) <= 2  # a quarter of eight, whatever is said
         rows = day.ends()
