--- a/granitedock/membership/timers.py
+++ b/granitedock/membership/timers.py
@@ -19,3 +19,5 @@
     JOIN = "join"  # try seeds and old addresses
     REVIVE = "revive"  # probe a member that is not live
     MAINTENANCE = "maintenance"  # remove members that ended long ago
+
+    __hash__ = object.__hash__  # members are single; Enum's own hash is a call in Python for each input
