--- a/granitedock/commands/gateway.py
+++ b/granitedock/commands/gateway.py
@@ -68,8 +68,10 @@
     return {
         "on": file.enabled and may_talk(settings),
         "shared": file.enabled and may_talk(settings) and file.shared.enabled,
-        "pace": file.pace(),
-        "bound": bound_report(platform_settings.plans(settings), gateways, file.pace(), interval_ms),
+        "pace": file.protocol_timing(),
+        "bound": bound_report(
+            platform_settings.plans(settings), gateways, file.protocol_timing(), interval_ms
+        ),
     }
 
 
--- a/granitedock/configuration/follower_ports.py
+++ b/granitedock/configuration/follower_ports.py
@@ -63,6 +63,6 @@
 class EventLogger(Protocol):
     """A function that logs an event with its figures, for operators to see."""
 
-    def __call__(self, event: str, **figures: object) -> None:
+    def __call__(self, event: str, /, **figures: object) -> None:
         """Log one event."""
         ...
--- a/granitedock/configuration/gateway_attachment.py
+++ b/granitedock/configuration/gateway_attachment.py
@@ -29,7 +29,7 @@
 
     counts: Counter[str]
 
-    def event(self, event: str, **figures: Any) -> None:
+    def event(self, event: str, /, **figures: Any) -> None:
         """Log one event."""
         ...
 
--- a/granitedock/event_log.py
+++ b/granitedock/event_log.py
@@ -75,7 +75,7 @@
         name = event.pop("event")
         return {"at_ms": round(now, 1), "gateway": self.name, "event": name, **event}
 
-    def event(self, event: str, **figures: Any) -> None:
+    def event(self, event: str, /, **figures: Any) -> None:
         """Log an event with its figures."""
         self.logger.msg(event, **figures)
 
--- a/granitedock/gateway_process.py
+++ b/granitedock/gateway_process.py
@@ -25,8 +25,8 @@
 
     from granitedock.configuration.gateway_attachment import GatewayAttachment
     from granitedock.configuration.settings import GatewayFile
-    from granitedock.membership.carrier import FleetLink
     from granitedock.membership.settings import FleetFile
+    from granitedock.membership_services import MembershipServices
 
 SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGUSR1)
 
@@ -35,7 +35,7 @@
     """A gateway and its optional parts; None for one that is off."""
 
     service: GatewayService
-    membership: FleetLink | None
+    membership: MembershipServices | None
     configuration: GatewayAttachment | None
 
     def start(self) -> None:
@@ -68,30 +68,30 @@
 
 def attach_membership(
     service: GatewayService, settings: dict[str, Any], file: FleetFile | None
-) -> FleetLink | None:
+) -> MembershipServices | None:
     """The view of the other gateways, where the operators turned it on and the deployment's settings let
     gateways talk to each other; with it quota sharing and the outlier detector, each where it is on.
     `settings` are the platform file's."""
     if file is None or not file.enabled:
         return None
-    from granitedock.membership.carrier import FleetLink
     from granitedock.membership.settings import may_talk
+    from granitedock.membership_services import MembershipServices
 
     state_machine = service.state_machine
     if not may_talk(settings):
         service.log.event("membership disabled", why="the settings do not let gateways talk to each other")
         return None
-    link = FleetLink(file, service.name, settings, int(BEGAN_MS), service.reactor, service.log)
+    link = MembershipServices(file, service.name, settings, int(BEGAN_MS), service.reactor, service.log)
     service.effects.exit_hooks.append(link.leave)
-    state_machine.commands.status_commands[b"FLEET"] = link.shown
-    state_machine.policy.rate_limiter.membership = link
+    state_machine.commands.status_commands[b"FLEET"] = link.show_members
+    state_machine.policy.rate_limiter.membership = link.transport
     if file.shared.enabled:
-        state_machine.policy.rate_limiter.quota_sharing = link.share(service.clock, service.tell)
+        state_machine.policy.rate_limiter.quota_sharing = link.share_quotas(service.clock, service.tell)
     if file.hosts.enabled:
-        detector = link.judgement(service.clock, service.tell, lambda: state_machine.watch.version)
+        detector = link.detect_outliers(service.clock, service.tell, lambda: state_machine.watch.version)
         state_machine.policy.load_balancer.ejection.detector = detector
         state_machine.endpoints.outlier_detector = detector
-        state_machine.commands.status_commands[b"HOSTS"] = link.shown_hosts
+        state_machine.commands.status_commands[b"HOSTS"] = link.show_hosts
     return link
 
 
--- a/granitedock/lab/sharesim.py
+++ b/granitedock/lab/sharesim.py
@@ -17,9 +17,10 @@
 from granitedock.lab.fleetsim import EPOCH, Node, World
 from granitedock.lab.gateway_settings import gateway_settings
 from granitedock.lab.scenario import parse
-from granitedock.membership.pace import Pace
-from granitedock.membership.wire import Kind, Message
+from granitedock.membership.messages import Message
+from granitedock.membership.timing import Timing
 from granitedock.outlier_detection.detector import OutlierDetector
+from granitedock.outlier_detection.payload import HOST_PAYLOAD
 from granitedock.outlier_detection.settings import OutlierDetectionSettings
 from granitedock.policy.types import (
     Attempt,
@@ -32,6 +33,7 @@
     Plan,
     Request,
 )
+from granitedock.quota_sharing.payload import QUOTA_PAYLOAD
 from granitedock.quota_sharing.settings import QuotaSharingSettings
 from granitedock.quota_sharing.sharing import QuotaSharing
 
@@ -82,9 +84,11 @@
         self.gateway.update_endpoints(seen, True)
         self.judge: OutlierDetector | None = None
         if fleet.judged:
-            me = node.part.view.me
+            me = node.part.membership.local
             self.names = [me.name]
-            self.judge = OutlierDetector(me.name, me.born, OutlierDetectionSettings(), lambda: self.names)
+            self.judge = OutlierDetector(
+                me.name, me.started_at, OutlierDetectionSettings(), lambda: self.names
+            )
             self.judge.update_hosts(self.hosts, fleet.unix())
             self.gateway.load_balancer.ejection.detector = self.judge
         self.customers: dict[int, Customer] = {}
@@ -114,7 +118,7 @@
         elif what == "silent":
             fleet.later(attempt.request.deadline - fleet.unix(), self.ended, attempt, Outcome.TIMEOUT)
         else:
-            fleet.later(SERVED_MS, self.ended, attempt, Outcome[what.upper()])
+            fleet.later(SERVED_MS, self.ended, attempt, Outcome(what))
 
     def ended(self, attempt: Attempt, outcome: Outcome) -> None:
         if not self.up() or attempt.outcome is not None:
@@ -183,17 +187,16 @@
     def tell_evidence(self) -> None:
         if not self.up():
             return
-        fleet, view = self.fleet, self.part.view
+        fleet, membership = self.fleet, self.part.membership
         fleet.later(self.judge.settings.broadcast_interval_ms, self.tell_evidence)
         if fleet.now < self.node.paused_until:
             return
-        others = view.others()
-        self.names = sorted([view.me.name, *others])
+        self.names = sorted([membership.local.name, *membership.live_others()])
         rows = tuple(self.judge.broadcasts_due(10, fleet.unix()))
         self.judge.update_verdicts(fleet.unix())
-        for name in view.chance.sample(others, min(view.pace.fanout, len(others))) if rows else ():
-            message = Message(Kind.EVIDENCE, view.me, evidence=rows)
-            fleet.post(self.node, view.entries[name].member.address, message)
+        for address in membership.gossip_addresses() if rows else ():
+            message = Message(HOST_PAYLOAD.kind, membership.local, payload=rows)
+            fleet.post(self.node, address, message)
 
     def tell(self) -> None:
         if not self.up():
@@ -204,7 +207,7 @@
             return
         due = self.shared.run_maintenance(fleet.unix(), fleet.now)
         for broadcast in due.broadcasts:
-            message = Message(Kind.ROWS, self.part.view.me, rows=broadcast.rows)
+            message = Message(QUOTA_PAYLOAD.kind, self.part.membership.local, payload=broadcast.rows)
             fleet.post(self.node, broadcast.address, message)
         for call in due.counter_calls:
             self.call_counter(call)
@@ -214,6 +217,8 @@
     """`shared`: uncounted units are told and reserves held. `viewed`: even shares follow the view. With
     neither, the gateways decide as before there was a view."""
 
+    payload_types = {kind.kind: kind for kind in (QUOTA_PAYLOAD, HOST_PAYLOAD)}
+
     def __init__(
         self,
         count: int,
@@ -238,7 +243,7 @@
         self.counter_cuts: dict[int, float] = {}  # gateways cut off from the counter, and since when
         self.names: dict[int, list[float]] = {}  # the counter: total and when the name ends
         self.calls = 0
-        super().__init__(count, seed, Pace(), known=True, **more)
+        super().__init__(count, seed, Timing(), known=True, **more)
         self.arrivals = Random(seed)
         for offer in offers:
             self.arrive(offer)
@@ -264,10 +269,10 @@
     def hear(self, node: Node, message: Message) -> None:
         super().hear(node, message)
         desk = self.desks[node.number]
-        if message.rows and desk.shared is not None:
-            desk.shared.receive(message.rows, self.unix())
-        if message.evidence and desk.judge is not None:
-            desk.judge.receive(message.evidence, self.unix())
+        if message.kind == QUOTA_PAYLOAD.kind and desk.shared is not None:
+            desk.shared.receive(message.payload, self.unix())
+        if message.kind == HOST_PAYLOAD.kind and desk.judge is not None:
+            desk.judge.receive(message.payload, self.unix())
 
     def counter_cut(self, *which: int) -> None:
         for n in which:
--- a/granitedock/model_checking/state_digest.py
+++ b/granitedock/model_checking/state_digest.py
@@ -42,6 +42,7 @@
         "initial_endpoints",
         "permitted",
         "settings",
+        "sequence",
     }
 )
 
--- a/granitedock/outlier_detection/observations.py
+++ b/granitedock/outlier_detection/observations.py
@@ -12,7 +12,7 @@
 from collections import Counter
 from dataclasses import dataclass, replace
 
-from granitedock.membership.news import most_told
+from granitedock.membership.broadcast_queue import transmit_limit
 
 NEVER = -1  # the age of what never happened
 EXPIRY_INTERVAL_MS = 1000.0
@@ -136,7 +136,7 @@
 
         One leaves the queue once it went as often as gossip to `members` members does.
         """
-        max_transmits = most_told(members)
+        max_transmits = transmit_limit(members)
         chosen = []
         least_sent = heapq.nsmallest(
             limit, self.queue.values(), key=lambda queued: (queued.transmits, queued.order)
--- a/granitedock/quota_sharing/bound.py
+++ b/granitedock/quota_sharing/bound.py
@@ -15,7 +15,7 @@
 import math
 from dataclasses import dataclass
 
-from granitedock.membership.pace import Pace
+from granitedock.membership.timing import Timing
 from granitedock.policy.types import Plan
 
 BROADCAST_ROUNDS = 5  # in which gossip reaches all, as measured at up to 1,000 members
@@ -25,7 +25,7 @@
 PERIODS_PER_DOUBLING = 5
 
 
-def detection_ms(pace: Pace, gateways: int = MEASURED_GATEWAYS) -> float:
+def detection_ms(pace: Timing, gateways: int = MEASURED_GATEWAYS) -> float:
     """D, in ms: until a silence is known to all that can hear each other.
 
     Holds also for the silence of half of the fleet at once, as measured (8.7 s at 40, 13.3 s at 200).
@@ -53,7 +53,7 @@
 def excess(
     plan: Plan,
     subset_size: int,
-    pace: Pace,
+    pace: Timing,
     broadcast_interval_ms: float,
     gateways: int = MEASURED_GATEWAYS,
 ) -> Excess:
@@ -68,7 +68,7 @@
 
 
 def bound_report(
-    plans: list[Plan], gateways: int, pace: Pace, broadcast_interval_ms: float
+    plans: list[Plan], gateways: int, pace: Timing, broadcast_interval_ms: float
 ) -> list[dict[str, float | str]]:
     """What `granitedock check --fleet` prints: a row for each plan with a rate, its subset the whole fleet.
 
--- a/granitedock/quota_sharing/sharing.py
+++ b/granitedock/quota_sharing/sharing.py
@@ -12,7 +12,7 @@
 
 from dataclasses import dataclass
 
-from granitedock.membership.part import Part
+from granitedock.membership.local_member import LocalMember
 from granitedock.policy.types import CounterCall, Outcome, SharedQuota
 from granitedock.quota_sharing.presence import Presence
 from granitedock.quota_sharing.reserve import SilentMembers
@@ -44,13 +44,13 @@
     `membership` is its part in the fleet, which runs on a steady clock of its own.
     """
 
-    def __init__(self, membership: Part, settings: QuotaSharingSettings) -> None:
+    def __init__(self, membership: LocalMember, settings: QuotaSharingSettings) -> None:
         self.membership = membership
         self.settings = settings
-        me = membership.view.me
-        self.usage = UncountedUsage(me.name, me.born, settings.max_rows)
+        me = membership.membership.local
+        self.usage = UncountedUsage(me.name, me.started_at, settings.max_rows)
         self.silent_members = SilentMembers(settings)
-        self.presence = Presence(me.seat, settings)
+        self.presence = Presence(me.slot, settings)
         self.carrying: set[tuple[int, int]] = set()  # windows whose carried-over units ride on an add
         self.restored = False
         self.broadcast_at = float("-inf")
@@ -85,7 +85,7 @@
         """See QuotaSharingPort: what others broadcast, and the reserves of the silent."""
         units = self.usage.outstanding_elsewhere(customer, window)
         if self.silent_members.since:
-            slot_count = self.membership.seats.gateways
+            slot_count = self.membership.slots.gateways
             for units_held_back in self.silent_members.reserves(quota, window, slot_count, now):
                 units += units_held_back
         return units
@@ -118,24 +118,24 @@
 
     def run_maintenance(self, now: float, steady_now: float) -> DueWork:
         """The periodic work: refreshes who is silent, drops old rows, and gives what is to be sent now."""
-        silent_slots = self.membership.seats.silent(steady_now)
+        silent_slots = self.membership.slots.silent(steady_now)
         self.silent_members.refresh(silent_slots, now, steady_now)
         self.usage.remove_expired(now)
         broadcasts = self._broadcasts_due(now)
-        refutations = self.membership.view.counts["refutations"]
+        refutations = self.membership.membership.counts["refutations"]
         return DueWork(broadcasts, self.presence.calls_due(self.silent_members.since, refutations, now))
 
     def _broadcasts_due(self, now: float) -> list[UsageBroadcast]:
-        view = self.membership.view
-        others = view.others()
+        membership = self.membership.membership
+        others = membership.live_others()
         if not self.usage.queue or not others:
             return []
         if now - self.broadcast_at < self.settings.broadcast_interval_ms:
             return []
         self.broadcast_at = now
         broadcasts = []
-        for name in view.chance.sample(others, min(view.pace.fanout, len(others))):
+        for address in membership.gossip_addresses():
             rows = self.usage.next_broadcast(ROWS_PER_DATAGRAM, len(others) + 1)
             if rows:
-                broadcasts.append(UsageBroadcast(view.entries[name].member.address, tuple(rows)))
+                broadcasts.append(UsageBroadcast(address, tuple(rows)))
         return broadcasts
--- a/granitedock/quota_sharing/uncounted_usage.py
+++ b/granitedock/quota_sharing/uncounted_usage.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from granitedock.membership.news import most_told
+from granitedock.membership.broadcast_queue import transmit_limit
 
 PER_UNIT = 1000
 WINDOWS_KEPT = 2  # a row is of use in its own window and the next one
@@ -209,7 +209,7 @@
 
         A row leaves the queue once it went as often as gossip to `members` members does.
         """
-        max_transmits = most_told(members)
+        max_transmits = transmit_limit(members)
         chosen = []
         least_sent = heapq.nsmallest(
             limit, self.queue.values(), key=lambda queued: (queued.transmits, queued.order)
--- a/granitedock/service/ports.py
+++ b/granitedock/service/ports.py
@@ -54,7 +54,7 @@
 
     counts: Counter[str]
 
-    def event(self, event: str, **figures: Any) -> None:
+    def event(self, event: str, /, **figures: Any) -> None:
         """Write one line."""
         ...
 
--- a/tests/golden/test_golden_wire.py
+++ b/tests/golden/test_golden_wire.py
@@ -20,67 +20,80 @@
 
 
 def member_fields(member):
-    return [*astuple(member)[:4], int(member.state), member.seat, member.settings]
+    return [*astuple(member)[:4], int(member.state), member.slot, member.settings_checksum]
 
 
 def member_from(fields):
-    from granitedock.membership.member import Member, State
+    from granitedock.membership.member import Member, MemberState
 
     name, address, born, bump, state, seat, settings = fields
-    return Member(name, address, born, bump, State(state), seat, settings)
+    return Member(name, address, born, bump, MemberState(state), seat, settings)
 
 
 def datagram_fields(data):
     """What a datagram says, as plain values; raises ValueError (`datagram_error`)."""
-    from granitedock.membership.wire import decode
+    from granitedock.membership.codec import decode
+    from granitedock.membership_services import PAYLOAD_TYPES
+    from granitedock.outlier_detection.payload import HOST_PAYLOAD
+    from granitedock.quota_sharing.payload import QUOTA_PAYLOAD
 
-    message = decode(CLUSTER, data)
+    message = decode(CLUSTER, data, PAYLOAD_TYPES)
+    rows = {message.kind: [list(astuple(row)) for row in message.payload]}
     return {
         "kind": int(message.kind),
         "sender": member_fields(message.sender),
         "number": message.number,
         "word": message.word,
         "news": [
-            {"member": member_fields(item.member), "suspected_by": item.by, "ended_ms_ago": item.age_ms}
-            for item in message.news
+            {
+                "member": member_fields(item.member),
+                "suspected_by": item.suspected_by,
+                "ended_ms_ago": item.ended_ms_ago,
+            }
+            for item in message.updates
         ],
-        "quota_rows": [list(astuple(row)) for row in message.rows],
-        "host_rows": [list(astuple(row)) for row in message.evidence],
+        "quota_rows": rows.get(QUOTA_PAYLOAD.kind, []),
+        "host_rows": rows.get(HOST_PAYLOAD.kind, []),
     }
 
 
 def datagram_from(fields):
-    from granitedock.membership.member import News
-    from granitedock.membership.wire import Kind, Message, encode
+    from granitedock.membership.codec import encode
+    from granitedock.membership.member import MemberUpdate
+    from granitedock.membership.messages import Message
+    from granitedock.membership_services import PAYLOAD_TYPES
     from granitedock.outlier_detection.observations import HostObservation
     from granitedock.quota_sharing.uncounted_usage import UsageRow
 
     news = tuple(
-        News(member_from(item["member"]), item["suspected_by"], item["ended_ms_ago"])
+        MemberUpdate(member_from(item["member"]), item["suspected_by"], item["ended_ms_ago"])
         for item in fields["news"]
     )
     message = Message(
-        Kind(fields["kind"]),
+        fields["kind"],
         member_from(fields["sender"]),
         fields["number"],
         fields["word"],
         news,
-        tuple(UsageRow(*row) for row in fields["quota_rows"]),
-        tuple(HostObservation(*row) for row in fields["host_rows"]),
+        (
+            *(UsageRow(*row) for row in fields["quota_rows"]),
+            *(HostObservation(*row) for row in fields["host_rows"]),
+        ),
     )
-    return encode(CLUSTER, message)
+    return encode(CLUSTER, message, PAYLOAD_TYPES)
 
 
 def datagram_error():
-    from granitedock.membership.wire import Malformed
+    from granitedock.membership.errors import MalformedMessageError
 
-    return Malformed
+    return MalformedMessageError
 
 
 def datagram_kinds():
-    from granitedock.membership.wire import Kind
+    from granitedock.membership.messages import MessageKind
+    from granitedock.membership_services import PAYLOAD_TYPES
 
-    return {int(kind) for kind in Kind}
+    return {int(kind) for kind in MessageKind} | set(PAYLOAD_TYPES)
 
 
 # Lines of the configuration service.
--- a/tests/helpers/process_fleet.py
+++ b/tests/helpers/process_fleet.py
@@ -27,7 +27,7 @@
 spread = 4
 left_ms = 800
 """
-# The stated time in which the live gateways agree again after a change (docs/fleet.md), on a loaded machine.
+# The stated time in which the live gateways agree again after a change (docs/membership.md), under load.
 WITHIN_S = 10.0
 
 
--- a/tests/outlier_detection/test_outlier_detection.py
+++ b/tests/outlier_detection/test_outlier_detection.py
@@ -7,10 +7,13 @@
 from hypothesis import strategies as st
 from pytest import raises
 
-from granitedock.membership.member import Member, State
-from granitedock.membership.wire import MOST_BYTES, Kind, Message, decode, encode
+from granitedock.membership.codec import MAX_BYTES, decode, encode
+from granitedock.membership.member import Member, MemberState
+from granitedock.membership.messages import Message
+from granitedock.membership_services import PAYLOAD_TYPES
 from granitedock.outlier_detection.detector import OutlierDetector
 from granitedock.outlier_detection.observations import HostObservation, Observations
+from granitedock.outlier_detection.payload import HOST_PAYLOAD
 from granitedock.outlier_detection.settings import OutlierDetectionSettings
 from granitedock.policy.types import EndpointStatus, Host, Outcome
 
@@ -155,10 +158,10 @@
         and not reader.merge(old, 0.0)
         and reader.by_host["h0"]["g1"].observation == new
     )
-    me = Member("n" * 64, "100.100.100.100:65535", 2**52, 2**31, State.ALIVE, 7, 2**31)
+    me = Member("n" * 64, "100.100.100.100:65535", 2**52, 2**31, MemberState.ALIVE, 7, 2**31)
     rows = tuple(
         HostObservation("n" * 20, 2**42, 2**31, "h" * 24, 2**42, 999, 2**31, 2**31, 999, 999, 9999, 999, True)
         for _ in range(10)
     )
-    data = encode("c" * 32, Message(Kind.EVIDENCE, me, 2**31, evidence=rows))
-    assert len(data) <= MOST_BYTES and decode("c" * 32, data).evidence == rows
+    data = encode("c" * 32, Message(HOST_PAYLOAD.kind, me, 2**31, payload=rows), PAYLOAD_TYPES)
+    assert len(data) <= MAX_BYTES and decode("c" * 32, data, PAYLOAD_TYPES).payload == rows
--- a/tests/outlier_detection/test_outlier_detection_processes.py
+++ b/tests/outlier_detection/test_outlier_detection_processes.py
@@ -10,9 +10,12 @@
 from granitedock.lab.cluster.network import MEMBERSHIP_PORT
 from granitedock.lab.load.verification import cluster_load, violations
 from granitedock.lab.scenario import parse
-from granitedock.membership.member import Member, State
-from granitedock.membership.wire import Kind, Message, encode
+from granitedock.membership.codec import encode
+from granitedock.membership.member import Member, MemberState
+from granitedock.membership.messages import Message
+from granitedock.membership_services import PAYLOAD_TYPES
 from granitedock.outlier_detection.observations import HostObservation
+from granitedock.outlier_detection.payload import HOST_PAYLOAD
 
 WORLD = """
 seed = 3
@@ -118,7 +121,7 @@
         assert not any(day.ejected(*range(5)).values())
         rig.pause(4)
         time.sleep(7)
-        rig.wake(4)  # with old observations
+        rig.resume(4)  # with old observations
         time.sleep(2)
         assert not any(day.ejected(*range(4)).values())
         day.ends()
@@ -179,10 +182,12 @@
             while time.monotonic() < ends:
                 number += 1
                 for gateway, hosts in (("evil", names), ("worse", names[:2]), ("worst", names[:2])):
-                    sender = Member(gateway, "127.0.0.1:9", 5, number, State.ALIVE)
+                    sender = Member(gateway, "127.0.0.1:9", 5, number, MemberState.ALIVE)
                     rows = tuple(HostObservation(gateway, 5, number, name, 2**40, 9, 0, -1) for name in hosts)
-                    message = Message(Kind.EVIDENCE, sender, 0, evidence=rows)
-                    stranger.sendto(encode("lab", message), (rig.gateway_host(0), MEMBERSHIP_PORT))
+                    message = Message(HOST_PAYLOAD.kind, sender, 0, payload=rows)
+                    stranger.sendto(
+                        encode("lab", message, PAYLOAD_TYPES), (rig.gateway_host(0), MEMBERSHIP_PORT)
+                    )
                 time.sleep(0.002)
         assert len(day.ejected(0)[0]) <= 2  # a quarter of eight, whatever is said
         rows = day.ends()
--- a/tests/quota_sharing/test_quota_sharing.py
+++ b/tests/quota_sharing/test_quota_sharing.py
@@ -7,10 +7,9 @@
 from pytest import mark, raises
 
 from granitedock.lab.sharesim import Offer, ShareFleet, admitted
-from granitedock.membership.machine import Change
-from granitedock.membership.member import Member, State
-from granitedock.membership.pace import Pace
-from granitedock.membership.part import Part
+from granitedock.membership.local_member import LocalMember
+from granitedock.membership.member import Member, MemberChange, MemberState
+from granitedock.membership.timing import Timing
 from granitedock.policy.types import Outcome, Plan, SharedQuota
 from granitedock.quota_sharing.bound import excess
 from granitedock.quota_sharing.reserve import SilentMembers
@@ -168,8 +167,8 @@
     before.record_uncounted(161, 8, QUOTA, 3.0)
     before.reconcile(161, 8, 1.0)
     rows = unpack("g0", pack("g0", before.usage.own_unreconciled_rows()))
-    me = Member("g0", "10.0.0.0:7946", 9, 0, State.ALIVE, 0, 1)
-    after = QuotaSharing(Part(me, Pace(), (), 4, 0.0, Random(1), "c"), QuotaSharingSettings())
+    me = Member("g0", "10.0.0.0:7946", 9, 0, MemberState.ALIVE, 0, 1)
+    after = QuotaSharing(LocalMember(me, Timing(), (), 4, 0.0, Random(1), "c"), QuotaSharingSettings())
     assert after.restore(rows, 16_500.0) == 2 and after.restore(rows, 99_000.0) == 0
     assert (
         after.uncounted_elsewhere(161, 8, QUOTA, 16_500.0) == 2.0
@@ -182,7 +181,7 @@
         and after.usage.own_outstanding(161, 8) == 0.0
     )
     assert after.carry_over(161, 8) == 0.0
-    other = QuotaSharing(Part(member(1), Pace(), (), 4, 0.0, Random(1), "c"), QuotaSharingSettings())
+    other = QuotaSharing(LocalMember(member(1), Timing(), (), 4, 0.0, Random(1), "c"), QuotaSharingSettings())
     other.receive(tuple(rows) + tuple(after.usage.next_broadcast(9, 3)), 16_500.0)
     assert other.uncounted_elsewhere(161, 8, QUOTA, 16_500.0) == 0.0  # the larger row wins, in any order
     with raises(SnapshotError, match="another gateway"):
@@ -191,14 +190,14 @@
         unpack("g0", b"")
 
 
-def member(n, state=State.ALIVE):
+def member(n, state=MemberState.ALIVE):
     return Member(f"g{n}", f"10.0.0.{n}:7946", 5, 0, state, n, 1)
 
 
 def shared_of_four():
-    part = Part(member(0), Pace(), (), 4, 0.0, Random(1), "c")
+    part = LocalMember(member(0), Timing(), (), 4, 0.0, Random(1), "c")
     for n in (1, 2, 3):
-        part.seats.changed(0.0, Change(member(n), None))
+        part.slots.member_changed(0.0, MemberChange(member(n), None))
     return part, QuotaSharing(part, QuotaSharingSettings(max_reserve_ms=60_000))
 
 
@@ -210,25 +209,25 @@
         return round(shared.uncounted_elsewhere(161, int(now // 2000), QUOTA, now), 6)
 
     assert held_back(10_000.0) == 0
-    part.seats.changed(10_000.0, Change(member(3, State.DEAD), State.SUSPECT))
+    part.slots.member_changed(10_000.0, MemberChange(member(3, MemberState.DEAD), MemberState.SUSPECT))
     since = 10_000.0 - shared.settings.detection_delay_ms
     assert held_back(11_000.0) == round(
         RATE / 1000 * 1000 / SET, 6
     )  # its part of the rate, this far into the window
     assert shared.silent_members.since == {3: since}
-    part.seats.changed(11_500.0, Change(member(3, State.GONE), State.DEAD))
+    part.slots.member_changed(11_500.0, MemberChange(member(3, MemberState.GONE), MemberState.DEAD))
     assert held_back(11_600.0) > 0  # that others proved its end does not count
-    part.seats.refused(11_700.0, member(3).address)
+    part.slots.connection_refused(11_700.0, member(3).address)
     assert held_back(11_800.0) == 0  # our own probe does
-    assert held_back(11_700.0 + Pace().lease_ms + 100) > 0  # for as long as it is fresh
+    assert held_back(11_700.0 + Timing().lease_ms + 100) > 0  # for as long as it is fresh
     call = next(call for call in shared.run_maintenance(16_000.0, 16_000.0).counter_calls if call.window == 3)
     shared.counter_call_finished(call, Outcome.DONE, 1.0)
     assert held_back(16_500.0) == 0  # it counts where we do
     assert held_back(31_000.0) > 0
     assert held_back(since + 60_000 + 500) == 0  # the maximum time is over
-    part.seats.changed(80_000.0, Change(member(2, State.DEAD), State.ALIVE))
+    part.slots.member_changed(80_000.0, MemberChange(member(2, MemberState.DEAD), MemberState.ALIVE))
     assert held_back(80_100.0) > 0
-    part.seats.changed(80_200.0, Change(member(2, State.LEFT), State.DEAD))
+    part.slots.member_changed(80_200.0, MemberChange(member(2, MemberState.LEFT), MemberState.DEAD))
     assert held_back(80_300.0) == 0  # by its own announcement
 
 
--- a/tests/quota_sharing/test_quota_sharing_examples.py
+++ b/tests/quota_sharing/test_quota_sharing_examples.py
@@ -6,16 +6,16 @@
 
 
 def test_quota_sharing_bound_detection_ms():
-    from granitedock.quota_sharing.bound import Pace, detection_ms
+    from granitedock.quota_sharing.bound import Timing, detection_ms
 
-    assert (detection_ms(Pace()), detection_ms(Pace(), 200) > 13300) == (9500.0, True)
+    assert (detection_ms(Timing()), detection_ms(Timing(), 200) > 13300) == (9500.0, True)
 
 
 def test_quota_sharing_bound_excess():
-    from granitedock.quota_sharing.bound import Pace, Plan, excess
+    from granitedock.quota_sharing.bound import Plan, Timing, excess
 
     plan = Plan("p", 0.04, 40, 0, 1, 0, 0, 0, 0, 0)
-    assert excess(plan, 4, Pace(), 100.0).total(isolated=2) == 210.0
+    assert excess(plan, 4, Timing(), 100.0).total(isolated=2) == 210.0
 
 
 def test_quota_sharing_uncounted_usage_merged():
