--- a/granitedock/configuration/gateway_attachment.py
+++ b/granitedock/configuration/gateway_attachment.py
@@ -67,7 +67,7 @@
         """Count an event among the gateway's counters."""
         self.event_log.counts["configuration_" + name] += 1
 
-    def log(self, event: str, **figures: Any) -> None:
+    def log(self, event: str, /, **figures: Any) -> None:
         """Log an event in the gateway's log."""
         self.event_log.event(event, **figures)
 
