--- a/granitedock/commands/queries.py
+++ b/granitedock/commands/queries.py
@@ -2,37 +2,18 @@
 
 from __future__ import annotations
 
-import socket
 from collections.abc import Callable, Iterable
 from typing import Any
 
 import click
 
 from granitedock.commands.errors import CommandError
+from granitedock.gateway_query import query_gateway
 
 JsonObject = dict[str, Any]
 Formatter = Callable[[JsonObject], Iterable[str]]
 
 
-def query_gateway(address: str, command: bytes, timeout_s: float) -> bytes:
-    """Send one RESP command without arguments to a running gateway and return its bulk string reply.
-
-    Raises click.ClickException if the gateway can't be reached in time or replies with something else.
-    """
-    host, _, port = address.rpartition(":")
-    try:
-        with socket.create_connection((host.strip("[]"), int(port)), timeout=timeout_s) as connection:
-            connection.sendall(b"*1\r\n$%d\r\n%b\r\n" % (len(command), command))
-            with connection.makefile("rb") as reply:
-                header = reply.readline()
-                if header.startswith(b"$"):
-                    return reply.read(int(header[1:]))
-    except (OSError, ValueError) as error:
-        raise CommandError(address, error) from None
-    message = f"{address} answers {header.strip().decode('latin-1')!r}"
-    raise click.ClickException(message)
-
-
 @click.command()
 @click.argument("address")
 @click.option("--within", "timeout_s", default=3.0, show_default=True, help="Seconds to wait for the answer.")
--- a/granitedock/lab/scale/requests.py
+++ b/granitedock/lab/scale/requests.py
@@ -18,7 +18,7 @@
 
 import orjson
 
-from granitedock.commands.queries import query_gateway
+from granitedock.gateway_query import query_gateway
 from granitedock.lab.load.generator import LoadGenerator
 from granitedock.lab.load.request_record import RequestRecord
 from granitedock.lab.scale.platform import settings
