--- a/tests/quota_sharing/test_quota_sharing_processes.py
+++ b/tests/quota_sharing/test_quota_sharing_processes.py
@@ -13,7 +13,7 @@
 
 RATE, BURST, SET = 40.0, 40.0, 4
 LEAST = 0.9  # of the allowance over some seconds, with real processes, which other work may hold up
-DETECTION_S = 9.0  # the stated time in which a silence is known to all (docs/fleet.md)
+DETECTION_S = 9.0  # the stated time in which a silence is known to all (docs/membership.md)
 SHARED = ("view = true", "view = true\nshared = true")
 
 
