--- a/tests/golden/test_golden_story.py
+++ b/tests/golden/test_golden_story.py
@@ -1,6 +1,6 @@
 """One long story through a real gateway, compared byte for byte with its recording (tests/data/README.md).
 
-The gateway runs on the loopback harness (`loopback.py`): the story turns its loop and its clock, and holds all
+The gateway runs on the loopback harness (`loopback.py`): the test turns its loop and its clock, and holds all
 its peers. The transcript says what each peer got, in order, with the story's time in ms; the choices of hosts
 follow from the seed in the file that the harness hands the gateway.
 """
