--- a/granitedock/commands/gateway.py
+++ b/granitedock/commands/gateway.py
@@ -6,6 +6,7 @@
 
 import click
 
+from granitedock.commands.check_report import printed
 from granitedock.commands.errors import CommandError
 from granitedock.commands.settings_files import load_configuration_file, load_fleet_file
 
@@ -81,12 +82,12 @@
 
     settings = platform_file["settings"]
     return {
-        "limits": limits,
-        "seat": platform_settings.identity(int(platform_file["seed"], 16), settings),
-        "leave": platform_settings.permitted_features(settings),
-        "cold": platform_settings.slow_start(settings),
-        "products": platform_settings.request_classes(settings),
-        "plans": platform_settings.plans(settings),
+        "limits": printed(limits),
+        "seat": printed(platform_settings.identity(int(platform_file["seed"], 16), settings)),
+        "leave": printed(platform_settings.permitted_features(settings)),
+        "cold": printed(platform_settings.slow_start(settings)),
+        "products": printed(platform_settings.request_classes(settings)),
+        "plans": printed(platform_settings.plans(settings)),
     }
 
 
--- a/granitedock/platform_settings.py
+++ b/granitedock/platform_settings.py
@@ -40,8 +40,8 @@
     """A request class of the settings."""
     return RequestClass(
         name=record["Name"],
-        kind=IDEMPOTENCY[record["Repeat"]],
-        group=IdempotencyScope(record.get("DedupScope") or "all"),
+        idempotency=IDEMPOTENCY[record["Repeat"]],
+        idempotency_scope=IdempotencyScope(record.get("DedupScope") or "all"),
         idempotency_window_ms=number(record, "WindowMs"),
         latency_objective_ms=number(record, "TargetMs"),
         deadline_ms=number(record, "GiveUpMs"),
@@ -86,7 +86,7 @@
     return PermittedFeatures(
         max_attempts=int(number(allowed, "MaxAttempts")),
         hedged_requests=bool(allowed.get("SecondCopies")),
-        withdraw=bool(allowed.get("Cancel")),
+        cancel=bool(allowed.get("Cancel")),
         retry_after=bool(allowed.get("RetryAfter")),
         max_retry_after_ms=number(allowed, "MaxRetryAfterMs"),
     )
--- a/granitedock/policy/gateway.py
+++ b/granitedock/policy/gateway.py
@@ -190,14 +190,14 @@
         """When the attempt ends, if before the request's deadline. Guards against hosts busy with what is
         too late; an idempotent request's client would only ask again."""
         request_class = request.request_class
-        if request_class.kind is Idempotency.IDEMPOTENT or request_class.late_priority_weight:
+        if request_class.idempotency is Idempotency.IDEMPOTENT or request_class.late_priority_weight:
             return None
         return request.received_at + request_class.latency_objective_ms
 
     def check_silence_later(self, attempt: Attempt) -> None:
         """Look at the attempt again, where another could follow it and still be in time."""
         request = attempt.request
-        if retry_right(request) is Right.NEVER or not self.permitted.withdraw:
+        if retry_right(request) is Right.NEVER or not self.permitted.cancel:
             return
         estimates = self.load_balancer.estimates
         mean = estimates.mean_answer_ms(self.now) * estimates.request_work(request, self.now)
--- a/granitedock/policy/outlier_ejection.py
+++ b/granitedock/policy/outlier_ejection.py
@@ -55,7 +55,7 @@
             return False
         if self.panic_mode:
             return True
-        risky = request.request_class.kind is Idempotency.NON_IDEMPOTENT
+        risky = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
         detector = self.detector
         if detector is not None and detector.is_ejected(host, risky, self.now):
             return False
--- a/granitedock/policy/retry_rules.py
+++ b/granitedock/policy/retry_rules.py
@@ -48,7 +48,7 @@
 
 def retry_right(request: Request) -> Right:
     """When another attempt is allowed, if one may have run."""
-    return REPEAT_RIGHTS[request.request_class.kind].retry
+    return REPEAT_RIGHTS[request.request_class.idempotency].retry
 
 
 def within_window(request: Request, execution: Attempt, now: float) -> bool:
@@ -63,7 +63,7 @@
         return hosts
     if right is Right.NEVER or not within_window(request, execution, now):
         return []
-    scope = request.request_class.group
+    scope = request.request_class.idempotency_scope
     if scope is IdempotencyScope.ZONE:
         return [host for host in hosts if host.zone == execution.host.zone]
     if scope is IdempotencyScope.CELL:
@@ -76,7 +76,9 @@
     execution = possible_execution(request)
     if execution is None:
         return True
-    right = REPEAT_RIGHTS[request.request_class.kind].rejection
+    right = REPEAT_RIGHTS[request.request_class.idempotency].rejection
     if right is Right.IF_SCOPE_IS_ALL:
-        return request.request_class.group is IdempotencyScope.ALL and within_window(request, execution, now)
+        return request.request_class.idempotency_scope is IdempotencyScope.ALL and within_window(
+            request, execution, now
+        )
     return right is Right.ALWAYS
--- a/granitedock/policy/types.py
+++ b/granitedock/policy/types.py
@@ -56,8 +56,8 @@
     """A kind of requests: what a repeat does, and what an answer is worth in time and late."""
 
     name: str
-    kind: Idempotency
-    group: IdempotencyScope
+    idempotency: Idempotency
+    idempotency_scope: IdempotencyScope
     idempotency_window_ms: float
     latency_objective_ms: float
     deadline_ms: float
@@ -89,7 +89,7 @@
 
     max_attempts: int
     hedged_requests: bool
-    withdraw: bool
+    cancel: bool
     retry_after: bool
     max_retry_after_ms: float
 
--- a/granitedock/service/host_connections.py
+++ b/granitedock/service/host_connections.py
@@ -72,7 +72,7 @@
         attempt_deadline = min(attempt_deadline or request.deadline, request.deadline)
         context.counts[counter_names.FORWARDS] += 1
         wary = (
-            request.request_class.kind is Idempotency.NON_IDEMPOTENT
+            request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
             and context.now - self.reset_at < context.limits.wary_ms
         )
         connection = None if wary else self.pool.take(endpoint)
--- a/granitedock/service/in_flight_requests.py
+++ b/granitedock/service/in_flight_requests.py
@@ -92,7 +92,7 @@
         if request_class is None or plan is None:
             self.clients.malformed(client, "unknown product or plan")
             return
-        kind = request_class.kind
+        kind = request_class.idempotency
         if parsed.idempotent != (kind is Idempotency.IDEMPOTENT) or (
             kind is Idempotency.KEYED and not parsed.keyed
         ):
--- a/tests/golden/test_golden_names.py
+++ b/tests/golden/test_golden_names.py
@@ -11,6 +11,7 @@
 
 import click
 import pytest
+from click.testing import CliRunner
 from pydantic import BaseModel
 
 DATA = Path(__file__).parents[1] / "data"
@@ -194,6 +195,20 @@
     assert commands(command_line()) == json.loads((DATA / "command_line.json").read_bytes())
 
 
+def test_check_prints_the_recorded_words():
+    """Of a platform file with membership, quota sharing and the configuration service turned on."""
+    arguments = [
+        "check",
+        "--told",
+        str(DATA / "platform_file.json"),
+        "--fleet",
+        str(DATA / "fleet_enabled.toml"),
+    ]
+    arguments += ["--configuration", str(PROGRAM.parent / "deploy" / "configuration.toml")]
+    result = CliRunner().invoke(command_line(), arguments)
+    assert (result.exit_code, result.output) == (0, (DATA / "check_output.json").read_text())
+
+
 # Operators' files.
 
 
--- a/tests/service/test_platform_file.py
+++ b/tests/service/test_platform_file.py
@@ -240,9 +240,9 @@
     assert [(it.name, it.latency_objective_ms, it.deadline_ms) for it in request_classes] == [
         (it["name"], it["aim_ms"], it["deadline_ms"]) for it in site["class"]
     ]
-    assert {it.kind for it in request_classes} == set(Idempotency)
-    keyed = next(it for it in request_classes if it.kind is Idempotency.KEYED)
-    assert keyed.idempotency_window_ms <= 1500 and keyed.group in (
+    assert {it.idempotency for it in request_classes} == set(Idempotency)
+    keyed = next(it for it in request_classes if it.idempotency is Idempotency.KEYED)
+    assert keyed.idempotency_window_ms <= 1500 and keyed.idempotency_scope in (
         IdempotencyScope.ALL,
         IdempotencyScope.ZONE,
     )
@@ -258,9 +258,13 @@
     try:
         client = gate.client()
         for number, request_class in enumerate(request_classes):
-            word, key = ("READ", "") if request_class.kind is Idempotency.IDEMPOTENT else ("WRITE", ",k=5c")
+            word, key = (
+                ("READ", "") if request_class.idempotency is Idempotency.IDEMPOTENT else ("WRITE", ",k=5c")
+            )
             text = f"c={request_class.name},t={site['tenant'][-1]['name']},d={request_class.deadline_ms:g}"
-            text += f",units=1,spread=1,first=0{key if request_class.kind is Idempotency.KEYED else ''}"
+            text += (
+                f",units=1,spread=1,first=0{key if request_class.idempotency is Idempotency.KEYED else ''}"
+            )
             words = [f"API.{word}", f"{161 + number:016x}", f"{77 + number:016x}", text]
             client.send(b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(it), it.encode()) for it in words))
             host = gate.at_host()
