--- a/granitedock/policy/retry_rules.py
+++ b/granitedock/policy/retry_rules.py
@@ -78,7 +78,6 @@
         return True
     right = REPEAT_RIGHTS[request.request_class.idempotency].rejection
     if right is Right.IF_SCOPE_IS_ALL:
-        return request.request_class.idempotency_scope is IdempotencyScope.ALL and within_window(
-            request, execution, now
-        )
+        everywhere = request.request_class.idempotency_scope is IdempotencyScope.ALL
+        return everywhere and within_window(request, execution, now)
     return right is Right.ALWAYS
