--- a/granitedock/policy/late_retries.py
+++ b/granitedock/policy/late_retries.py
@@ -1,4 +1,4 @@
-"""Clients' own late retries, told by how little time is left. Guards a crowded counter against them."""
+"""Clients' own late retries, recognized by how little time is left. Guards a crowded counter against them."""
 
 from __future__ import annotations
 
--- a/granitedock/policy/rate_limiter.py
+++ b/granitedock/policy/rate_limiter.py
@@ -215,7 +215,7 @@
     def total_with_uncounted(
         self, call: CounterCall, account: QuotaAccount, total: float, sharing: QuotaSharingPort
     ) -> float:
-        """The counter's total with what others let in beyond it, in the call's window and the one before."""
+        """The counter's total with what others admitted beyond it, in the call's window and the last."""
         key = call.customer.key
         uncounted = sharing.uncounted_elsewhere(key, call.window, account.quota, self.now)
         before = sharing.uncounted_elsewhere(key, call.window - 1, account.quota, self.now)
--- a/granitedock/policy/retry_rules.py
+++ b/granitedock/policy/retry_rules.py
@@ -72,7 +72,7 @@
 
 
 def may_reject(request: Request, now: float) -> bool:
-    """Whether its client may be told to try again; else the answer is an error."""
+    """Whether its client may be asked to try again; else the answer is an error."""
     execution = possible_execution(request)
     if execution is None:
         return True
--- a/granitedock/quota_sharing/bound.py
+++ b/granitedock/quota_sharing/bound.py
@@ -25,14 +25,14 @@
 PERIODS_PER_DOUBLING = 5
 
 
-def detection_ms(pace: Timing, gateways: int = MEASURED_GATEWAYS) -> float:
+def detection_ms(timing: Timing, gateways: int = MEASURED_GATEWAYS) -> float:
     """D, in ms: until a silence is known to all that can hear each other.
 
     Holds also for the silence of half of the fleet at once, as measured (8.7 s at 40, 13.3 s at 200).
     """
     doublings = max(0.0, math.log2(gateways / MEASURED_GATEWAYS))
     periods = DETECTION_PERIODS + PERIODS_PER_DOUBLING * doublings
-    return periods * pace.period_ms + pace.suspect_most_ms + BROADCAST_ROUNDS * pace.gossip_ms
+    return periods * timing.period_ms + timing.suspect_most_ms + BROADCAST_ROUNDS * timing.gossip_ms
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
 def excess(
     plan: Plan,
     subset_size: int,
-    pace: Timing,
+    timing: Timing,
     broadcast_interval_ms: float,
     gateways: int = MEASURED_GATEWAYS,
 ) -> Excess:
@@ -61,14 +61,14 @@
     burst = plan.burst / subset_size
     rate = plan.rate / subset_size
     return Excess(
-        per_isolated=burst + rate * detection_ms(pace, gateways),
-        per_returned=burst + rate * pace.lease_ms,
+        per_isolated=burst + rate * detection_ms(timing, gateways),
+        per_returned=burst + rate * timing.lease_ms,
         per_counter_cut=rate * BROADCAST_ROUNDS * broadcast_interval_ms,
     )
 
 
 def bound_report(
-    plans: list[Plan], gateways: int, pace: Timing, broadcast_interval_ms: float
+    plans: list[Plan], gateways: int, timing: Timing, broadcast_interval_ms: float
 ) -> list[dict[str, float | str]]:
     """What `granitedock check --fleet` prints: a row for each plan with a rate, its subset the whole fleet.
 
@@ -78,7 +78,7 @@
     for plan in plans:
         if plan.rate <= 0:
             continue
-        terms = excess(plan, gateways, pace, broadcast_interval_ms, gateways)
+        terms = excess(plan, gateways, timing, broadcast_interval_ms, gateways)
         minute = plan.rate * MINUTE_MS + plan.burst
         rows.append(
             {
--- a/granitedock/quota_sharing/uncounted_usage.py
+++ b/granitedock/quota_sharing/uncounted_usage.py
@@ -1,6 +1,6 @@
 """Units admitted without the counter's knowledge: per customer and window, by gateway and incarnation.
 
-A state-based CRDT: each row has two counts that only grow, `admitted` (let in without the counter) and
+A state-based CRDT: each row has two counts that only grow, `admitted` (without the counter) and
 `reconciled` (added to the counter since). Outstanding is their difference. A merge takes the larger of each,
 so that reordered, lost and duplicated rows end in the same state, and a restart, which is another
 incarnation, takes nothing back. Amounts are whole thousandths of a unit. No I/O, no clock.
--- a/granitedock/service/client_connections.py
+++ b/granitedock/service/client_connections.py
@@ -1,4 +1,4 @@
-"""Clients' connections: taken in, looked at from time to time, and closed.
+"""Clients' connections: accepted, checked from time to time, and closed.
 
 Owns the state of each connection and whether new ones are accepted. Replies and their order are the reply
 queues' (`reply_queues`), requests the in-flight requests' (`in_flight_requests`).
@@ -50,7 +50,7 @@
     pending: deque[CommandReply | InFlightRequest] = field(default_factory=deque)  # in order of arrival
     write_paused: bool = False
     unread_bytes: int = 0  # written since the client stopped reading
-    idle_since: float = 0.0  # when it was taken in, or last got a reply
+    idle_since: float = 0.0  # when it was accepted, or last got a reply
     # Written by the client connections.
     state: ClientState = OPEN
     sent_request: bool = False  # well-formed as a command, whether it was taken or not
--- a/granitedock/service/counter_connections.py
+++ b/granitedock/service/counter_connections.py
@@ -87,7 +87,7 @@
         self.context.emit(connection.link.send, data)  # type: ignore[union-attr]  # an open one has a link
 
     def _finish(self, call: CounterCall, outcome: Outcome) -> None:
-        """A call without a total; told to the policy once this step is done."""
+        """A call without a total; handed to the policy once this step is done."""
         self.policy_timers.cancel(call)
         self.context.follow_up(self.policy.counter_call_finished, call, outcome, 0.0)
 
--- a/granitedock/service/endpoints.py
+++ b/granitedock/service/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: the hosts as discovery last told them.
+"""The endpoint list: the hosts as discovery last gave them.
 
 Owns the endpoints by name and their addresses. Which of them gets an attempt is decided by the policy; the
 watch that brings the list is in `discovery_watch`.
--- a/granitedock/service/host_connections.py
+++ b/granitedock/service/host_connections.py
@@ -291,7 +291,7 @@
     # Outcomes of attempts.
 
     def _end_attempt(self, connection: HostConnection, outcome: Outcome) -> None:
-        """The attempt has an outcome and no response; told once this step is done."""
+        """The attempt has an outcome and no response; handed over once this step is done."""
         attempt = connection.attempt
         connection.attempt = None
         self.context.follow_up(self._finish_attempt, attempt, outcome)
--- a/granitedock/service/lifecycle.py
+++ b/granitedock/service/lifecycle.py
@@ -26,7 +26,7 @@
 
     STARTING = "starting"
     SERVING = "serving"
-    DRAINING = "draining"  # told to end; still listening
+    DRAINING = "draining"  # asked to end; still listening
     CLOSING = "closing"  # listening no more; requests in flight are waited for
     ENDED = "ended"  # all requests are answered; clients may still read
     LEFT = "left"
@@ -129,7 +129,7 @@
 
     @property
     def refusing(self) -> bool:
-        """Requests are refused at once: the process shuts, or was told to before a list came. Guards hosts
+        """Requests are refused at once: the process shuts, or was asked to before a list came. Guards hosts
         that drain by a list that the process never got: what it was handed may be old."""
         return self.state in SHUTTING or (self.state is DRAINING and not self.has_endpoints)
 
@@ -174,7 +174,7 @@
     def drain(self, _machine: Lifecycle) -> None:
         """Set the deadlines of a graceful shutdown.
 
-        A PING that waited for the start is told the truth: guards the requests behind it on its connection,
+        A PING that waited for the start gets the truth: guards the requests behind it on its connection,
         whose replies would else wait for the PONG until the process is gone.
         """
         self.commands.answer_pings(serving=False)
