--- a/granitedock/commands/laboratory.py
+++ b/granitedock/commands/laboratory.py
@@ -150,13 +150,14 @@
     if a property is broken (docs/model.md)."""
     from granitedock.model_checking import command
     from granitedock.model_checking.errors import TraceError
-    from granitedock.model_checking.trace import Fleet, Shape, describe_gateways, describe_views
+    from granitedock.model_checking.gateway_world_shape import GatewayWorldShape
+    from granitedock.model_checking.trace import Fleet, describe_gateways, describe_views
 
     if views:
         world = describe_views(Fleet(gateways, faults, window_ms))
     else:
         tasks = tasks or ("once", "mark", "read")
-        world = describe_gateways(Shape(gateways, hosts, tasks, faults, warm))
+        world = describe_gateways(GatewayWorldShape(gateways, hosts, tasks, faults, warm))
     lines: list[str] = []
     echo = lines.append if quiet else click.echo
     try:
--- a/granitedock/model_checking/command.py
+++ b/granitedock/model_checking/command.py
@@ -6,7 +6,8 @@
 
 from granitedock.model_checking import explore
 from granitedock.model_checking.errors import TraceError
-from granitedock.model_checking.gateways import START, Small
+from granitedock.model_checking.gateway_world import GatewayWorld
+from granitedock.model_checking.gateway_world_shape import START
 from granitedock.model_checking.trace import Trace, WorldDescription, make_world, read_trace, write_trace
 from granitedock.model_checking.views import Views
 
@@ -64,14 +65,14 @@
         echo(f"BROKEN {violation}")
 
 
-def summary(world: Small | Views) -> str:
+def summary(world: GatewayWorld | Views) -> str:
     """The state in a line, as seen from the outside."""
     if isinstance(world, Views):
         held = (f"g{node.number}: {len(world.live_of(node))} live" for node in world.running())
         return f"{world.now:8.1f} ms  {'  '.join(held)}"
     requests = []
-    for name, job in sorted(world.jobs.items()):
-        sent = " ".join(f"h{host}:{how}" for host, _, _, how in job.attempts.values())
-        answers = " ".join(kind for _, kind in job.answers)
-        requests.append(f"{name} ({job.request_class}) [{sent}] {answers}".rstrip())
+    for name, request in sorted(world.requests.items()):
+        sent = " ".join(f"h{attempt.host}:{attempt.ending}" for attempt in request.attempts.values())
+        answers = " ".join(answer.kind for answer in request.answers)
+        requests.append(f"{name} ({request.request_class}) [{sent}] {answers}".rstrip())
     return f"{world.now - START:6.1f} ms  {'  '.join(requests)}"
--- a/granitedock/model_checking/state_digest.py
+++ b/granitedock/model_checking/state_digest.py
@@ -33,7 +33,7 @@
         "effects",
         "log",
         "world",
-        "gate",
+        "modelled_gateway",
         "policy_timers",
         "wakes",
         "made",
--- a/granitedock/model_checking/trace.py
+++ b/granitedock/model_checking/trace.py
@@ -13,7 +13,8 @@
 
 from granitedock.model_checking.errors import TraceError
 from granitedock.model_checking.explore import Move
-from granitedock.model_checking.gateways import KINDS, Shape, Small
+from granitedock.model_checking.gateway_world import GatewayWorld
+from granitedock.model_checking.gateway_world_shape import CEILING_MARK, REQUEST_CLASSES, GatewayWorldShape
 from granitedock.model_checking.views import Fleet, Views
 
 WorldDescription = dict[str, Any]  # the file's "world" and "shape"
@@ -44,9 +45,18 @@
     Path(path).write_bytes(orjson.dumps(document))
 
 
-def describe_gateways(shape: Shape) -> WorldDescription:
+def describe_gateways(shape: GatewayWorldShape) -> WorldDescription:
     """The description of a world of gateways with requests."""
-    return {"world": "gateways", "shape": asdict(shape)}
+    return {
+        "world": "gateways",
+        "shape": {
+            "gateways": shape.gateways,
+            "hosts": shape.hosts,
+            "tasks": shape.requests,
+            "faults": shape.faults,
+            "warm": shape.warm_up_requests,
+        },
+    }
 
 
 def describe_views(fleet: Fleet) -> WorldDescription:
@@ -54,25 +64,33 @@
     return {"world": "views", "shape": asdict(fleet)}
 
 
-def make_world(description: WorldDescription) -> Small | Views:
+def make_world(description: WorldDescription) -> GatewayWorld | Views:
     """The first state of the world that is described. Raises TraceError."""
     try:
         if description["world"] == "views":
             return Views(Fleet(**description["shape"]))
-        fields = description["shape"]
-        shape = Shape(**(fields | {"tasks": tuple(fields["tasks"])}))
+        shape = read_gateway_shape(description["shape"])
     except (KeyError, TypeError) as error:
         message = f"no world: {type(error).__name__}: {error}"
         raise TraceError(message) from None
     check_shape(shape)
-    return Small(shape)
+    return GatewayWorld(shape)
 
 
-def check_shape(shape: Shape) -> None:
+def read_gateway_shape(fields: dict[str, Any]) -> GatewayWorldShape:
+    """The shape of a world of gateways from its fields in a file. Raises KeyError or TypeError."""
+    names = {"tasks": "requests", "warm": "warm_up_requests"}  # the file's, and here
+    renamed = {names.get(name, name): value for name, value in fields.items()}
+    return GatewayWorldShape(**(renamed | {"requests": tuple(fields["tasks"])}))
+
+
+def check_shape(shape: GatewayWorldShape) -> None:
     """Raise TraceError for a world of gateways that can't be made."""
-    if not shape.tasks or any(task.rstrip("!") not in KINDS for task in shape.tasks):
-        message = f"no tasks: {shape.tasks}; they are of {', '.join(KINDS)}, with a ! under a ceiling"
+    classes = [request.rstrip(CEILING_MARK) for request in shape.requests]
+    if not classes or any(request_class not in REQUEST_CLASSES for request_class in classes):
+        known = ", ".join(REQUEST_CLASSES)
+        message = f"no tasks: {shape.requests}; they are of {known}, with a ! under a ceiling"
         raise TraceError(message)
-    if min(shape.gateways, shape.hosts) < 1 or min(shape.faults, shape.warm) < 0:
+    if min(shape.gateways, shape.hosts) < 1 or min(shape.faults, shape.warm_up_requests) < 0:
         message = "a world has a gateway, a host, and no fewer faults than none"
         raise TraceError(message)
--- a/tests/helpers/planted_faults.py
+++ b/tests/helpers/planted_faults.py
@@ -6,7 +6,7 @@
 from granitedock.membership.member import ENDED_STATES, MemberState
 from granitedock.membership.member_slots import MemberSlots
 from granitedock.membership.timers import NEVER, Timer
-from granitedock.model_checking.gateways import Shape
+from granitedock.model_checking.gateway_world_shape import GatewayWorldShape
 from granitedock.policy.load_balancer import LoadBalancer
 from granitedock.policy.retry_rules import REPEAT_RIGHTS, RepeatRights, Right
 from granitedock.policy.token_bucket import TokenBucket
@@ -69,17 +69,29 @@
 
 
 PLANTED = {
-    "answers twice": (twice, Shape(1, 1, ("read",), 0), "rule 1: t0 was answered 2 times"),
-    "never answers": (never_brought_back, Shape(1, 1, ("once",), 1), "rule 1: t0 was answered late"),
-    "two copies": (two_copies, Shape(1, 2, ("read",), 1, warm=12), "rule 2: t0 is out at"),
-    "one-shot again": (sent_again, Shape(1, 2, ("once",), 1), "rule 2: t0 (once) may have run at"),
+    "answers twice": (twice, GatewayWorldShape(1, 1, ("read",), 0), "rule 1: t0 was answered 2 times"),
+    "never answers": (
+        never_brought_back,
+        GatewayWorldShape(1, 1, ("once",), 1),
+        "rule 1: t0 was answered late",
+    ),
+    "two copies": (
+        two_copies,
+        GatewayWorldShape(1, 2, ("read",), 1, warm_up_requests=12),
+        "rule 2: t0 is out at",
+    ),
+    "one-shot again": (
+        sent_again,
+        GatewayWorldShape(1, 2, ("once",), 1),
+        "rule 2: t0 (once) may have run at",
+    ),
     "one-shot deferred": (
         deferred_though_it_ran,
-        Shape(1, 2, ("once",), 1),
+        GatewayWorldShape(1, 2, ("once",), 1),
         "rule 2: t0 (once) may have run",
     ),
-    "drains": (sent_to_those_that_drain, Shape(1, 1, ("read",), 2), "rule 3: t"),
-    "ceiling": (ceiling_not_kept, Shape(2, 1, ("read!",) * 3, 0), "rule 5: over the ceiling"),
+    "drains": (sent_to_those_that_drain, GatewayWorldShape(1, 1, ("read",), 2), "rule 3: t"),
+    "ceiling": (ceiling_not_kept, GatewayWorldShape(2, 1, ("read!",) * 3, 0), "rule 5: over the ceiling"),
 }
 
 
--- a/tests/model_checking/test_model_checking.py
+++ b/tests/model_checking/test_model_checking.py
@@ -12,7 +12,8 @@
 from granitedock import platform_settings
 from granitedock.model_checking import command, explore
 from granitedock.model_checking.errors import TraceError
-from granitedock.model_checking.gateways import Shape, Small
+from granitedock.model_checking.gateway_world import GatewayWorld
+from granitedock.model_checking.gateway_world_shape import GatewayWorldShape
 from granitedock.model_checking.state_digest import state_digest
 from granitedock.model_checking.trace import describe_gateways
 from granitedock.model_checking.views import Fleet, Views
@@ -23,35 +24,35 @@
 @mark.parametrize(
     ("shape", "least"),
     [
-        (Shape(1, 2, ("once",), 2), 1000),
-        (Shape(2, 2, ("mark", "read"), 1), 500),
-        (Shape(1, 2, ("once", "read"), 1, warm=12), 300),
-        (Shape(2, 1, ("read!", "read!", "read!"), 0), 20),
+        (GatewayWorldShape(1, 2, ("once",), 2), 1000),
+        (GatewayWorldShape(2, 2, ("mark", "read"), 1), 500),
+        (GatewayWorldShape(1, 2, ("once", "read"), 1, warm_up_requests=12), 300),
+        (GatewayWorldShape(2, 1, ("read!", "read!", "read!"), 0), 20),
     ],
     ids=["one-shot, two faults", "two gateways", "kept connections", "under a ceiling"],
 )
 def test_every_state_of_a_small_world_keeps_the_rules(shape, least):
-    found = explore.explore(Small(shape))
+    found = explore.explore(GatewayWorld(shape))
     assert found.complete and not found.violations and found.states >= least and found.ends > 10, found
 
 
 def test_the_ways_that_matter_are_reached():
     """Exploring says nothing of what it never meets: late replies, retries after a kill, drains, refunds."""
-    world = Small(Shape(2, 2, ("mark", "once"), 1))
+    world = GatewayWorld(GatewayWorldShape(2, 2, ("mark", "once"), 1))
     seen, stack, met = {world.digest()}, [[]], set()
     while stack:
         trace = stack.pop()
-        world = Small(Shape(2, 2, ("mark", "once"), 1))
+        world = GatewayWorld(GatewayWorldShape(2, 2, ("mark", "once"), 1))
         for move in trace:
             world.play(move)
         for move in world.moves():
             met.add((move[0], move[1] if move[0] == "due" else ""))
-        for job in world.jobs.values():
-            met |= {("answer", kind) for _, kind in job.answers}
-            met.add(("forwards", len(job.attempts)))
-            met |= {("ended", row[3]) for row in job.attempts.values()}
+        for request in world.requests.values():
+            met |= {("answer", kind) for _, kind in request.answers}
+            met.add(("forwards", len(request.attempts)))
+            met |= {("ended", attempt.ending) for attempt in request.attempts.values()}
         for move in world.moves() if len(trace) < 9 else ():
-            after = Small(Shape(2, 2, ("mark", "once"), 1))
+            after = GatewayWorld(GatewayWorldShape(2, 2, ("mark", "once"), 1))
             for step in [*trace, move]:
                 after.play(step)
             if after.digest() not in seen and len(seen) < 1600:
@@ -67,7 +68,7 @@
 @mark.parametrize("name", PLANTED)
 def test_a_planted_fault_is_found_with_a_trace_that_plays_again(name, monkeypatch, tmp_path):
     plant, shape, told = PLANTED[name]
-    assert not explore.explore(Small(shape)).violations
+    assert not explore.explore(GatewayWorld(shape)).violations
     plant(monkeypatch)
     keep = tmp_path / "trace.json"
     assert command.check(describe_gateways(shape), 20_000, 1, str(keep), lambda _: None) == 1
@@ -108,7 +109,7 @@
     few = subprocess.run([*run, "--task", "once", "--most", "5"], capture_output=True, text=True, timeout=60)
     assert few.returncode == 2 and "ended at 5 states" in few.stdout
     trace = tmp_path / "trace.json"
-    told = describe_gateways(Shape(1, 1, ("read",), 0))
+    told = describe_gateways(GatewayWorldShape(1, 1, ("read",), 0))
     for text, why in (("{", "no trace"), (orjson.dumps(told | {"moves": [["kill", 0]]}).decode(), "cannot")):
         trace.write_text(text)
         with raises(TraceError, match=why):
@@ -164,7 +165,10 @@
 
 
 def test_the_digest_tells_states_apart_by_content_and_not_by_identity():
-    one, other = Small(Shape(1, 1, ("read",), 0)), Small(Shape(1, 1, ("read",), 0))
+    one, other = (
+        GatewayWorld(GatewayWorldShape(1, 1, ("read",), 0)),
+        GatewayWorld(GatewayWorldShape(1, 1, ("read",), 0)),
+    )
     assert one.digest() == other.digest()
     one.play(("due", "ask", 0, "t0", "asked"))
     assert one.digest() != other.digest()
