--- a/granitedock/commands/laboratory.py
+++ b/granitedock/commands/laboratory.py
@@ -151,10 +151,11 @@
     from granitedock.model_checking import command
     from granitedock.model_checking.errors import TraceError
     from granitedock.model_checking.gateway_world_shape import GatewayWorldShape
-    from granitedock.model_checking.trace import Fleet, describe_gateways, describe_views
+    from granitedock.model_checking.membership_world import MembershipWorldShape
+    from granitedock.model_checking.trace import describe_gateways, describe_membership
 
     if views:
-        world = describe_views(Fleet(gateways, faults, window_ms))
+        world = describe_membership(MembershipWorldShape(gateways, faults, window_ms))
     else:
         tasks = tasks or ("once", "mark", "read")
         world = describe_gateways(GatewayWorldShape(gateways, hosts, tasks, faults, warm))
--- a/granitedock/model_checking/command.py
+++ b/granitedock/model_checking/command.py
@@ -8,8 +8,8 @@
 from granitedock.model_checking.errors import TraceError
 from granitedock.model_checking.gateway_world import GatewayWorld
 from granitedock.model_checking.gateway_world_shape import START
+from granitedock.model_checking.membership_world import MembershipWorld
 from granitedock.model_checking.trace import Trace, WorldDescription, make_world, read_trace, write_trace
-from granitedock.model_checking.views import Views
 
 Echo = Callable[[str], None]
 
@@ -65,9 +65,9 @@
         echo(f"BROKEN {violation}")
 
 
-def summary(world: GatewayWorld | Views) -> str:
+def summary(world: GatewayWorld | MembershipWorld) -> str:
     """The state in a line, as seen from the outside."""
-    if isinstance(world, Views):
+    if isinstance(world, MembershipWorld):
         held = (f"g{node.number}: {len(world.live_of(node))} live" for node in world.running())
         return f"{world.now:8.1f} ms  {'  '.join(held)}"
     requests = []
--- a/granitedock/model_checking/trace.py
+++ b/granitedock/model_checking/trace.py
@@ -15,7 +15,7 @@
 from granitedock.model_checking.explore import Move
 from granitedock.model_checking.gateway_world import GatewayWorld
 from granitedock.model_checking.gateway_world_shape import CEILING_MARK, REQUEST_CLASSES, GatewayWorldShape
-from granitedock.model_checking.views import Fleet, Views
+from granitedock.model_checking.membership_world import MembershipWorld, MembershipWorldShape
 
 WorldDescription = dict[str, Any]  # the file's "world" and "shape"
 
@@ -59,16 +59,16 @@
     }
 
 
-def describe_views(fleet: Fleet) -> WorldDescription:
-    """The description of a world of gateways' membership views."""
-    return {"world": "views", "shape": asdict(fleet)}
+def describe_membership(shape: MembershipWorldShape) -> WorldDescription:
+    """The description of a world of gateways' memberships."""
+    return {"world": "views", "shape": asdict(shape)}
 
 
-def make_world(description: WorldDescription) -> GatewayWorld | Views:
+def make_world(description: WorldDescription) -> GatewayWorld | MembershipWorld:
     """The first state of the world that is described. Raises TraceError."""
     try:
         if description["world"] == "views":
-            return Views(Fleet(**description["shape"]))
+            return MembershipWorld(MembershipWorldShape(**description["shape"]))
         shape = read_gateway_shape(description["shape"])
     except (KeyError, TypeError) as error:
         message = f"no world: {type(error).__name__}: {error}"
--- a/tests/model_checking/test_model_checking.py
+++ b/tests/model_checking/test_model_checking.py
@@ -10,13 +10,13 @@
 from pytest import mark, raises
 
 from granitedock import platform_settings
-from granitedock.model_checking import command, explore
+from granitedock.model_checking import command, explore, gateway_events, gateway_moves, membership_world
 from granitedock.model_checking.errors import TraceError
 from granitedock.model_checking.gateway_world import GatewayWorld
 from granitedock.model_checking.gateway_world_shape import GatewayWorldShape
+from granitedock.model_checking.membership_world import MembershipWorld, MembershipWorldShape
 from granitedock.model_checking.state_digest import state_digest
 from granitedock.model_checking.trace import describe_gateways
-from granitedock.model_checking.views import Fleet, Views
 from granitedock.policy.quota_account import QuotaAccount
 from granitedock.policy.types import CounterCall, Customer, Plan
 
@@ -84,7 +84,7 @@
 
 
 def test_views_agree_and_no_share_is_taken_over_whatever_single_fault_comes_first():
-    found = explore.explore(Views(Fleet(3, 1, 200.0)))
+    found = explore.explore(MembershipWorld(MembershipWorldShape(3, 1, 200.0)))
     assert found.complete and not found.violations and found.ends > 100, found
 
 
@@ -94,7 +94,7 @@
 )
 def test_a_fault_planted_in_the_view_is_found(plant, told, monkeypatch):
     plant(monkeypatch)
-    found = explore.explore(Views(Fleet(3, 1, 50.0)))
+    found = explore.explore(MembershipWorld(MembershipWorldShape(3, 1, 50.0)))
     assert found.violations and told in found.violations[0], found
 
 
@@ -116,6 +116,15 @@
             command.replay(str(trace), lambda _: None)
 
 
+def test_each_event_and_each_move_of_a_world_has_its_handler():
+    assert set(gateway_events.EVENTS) == set(gateway_moves.OUTCOMES)
+    assert set(gateway_events.FAULTS) == {gateway_moves.KILL, gateway_moves.STOP, gateway_moves.DRAIN}
+    tables = membership_world.ARRIVALS_MS, membership_world.CLUSTER_MOVES, membership_world.GATEWAY_FAULTS
+    names = [name for table in tables for name in table]
+    stored = "pass lose twice late event mend settle crash vanish start pause part"  # by trace files
+    assert sorted(names) == sorted(stored.split())
+
+
 # The pure parts, by any inputs.
 
 
