--- a/granitedock/commands/laboratory.py
+++ b/granitedock/commands/laboratory.py
@@ -147,7 +147,7 @@
     quiet: bool,
 ) -> None:
     """Visit every state of a small world through the program's own state machines; exits with 1 and a trace
-    if a property is broken (docs/model.md)."""
+    if a property is broken (docs/model-checking.md)."""
     from granitedock.model_checking import command
     from granitedock.model_checking.errors import TraceError
     from granitedock.model_checking.gateway_world_shape import GatewayWorldShape
