--- a/granitedock/model_checking/state_digest.py
+++ b/granitedock/model_checking/state_digest.py
@@ -103,7 +103,7 @@
 
 
 def write_name(value: Any, values: Values, _numbers: Numbers) -> None:
-    """What is told by its name: a member of an enum, a plan, a request class."""
+    """What its name identifies: a member of an enum, a plan, a request class."""
     values.append(value.name)
 
 
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -146,14 +146,14 @@
 
 def planted_faults():
     """What plants each fault, by the name of its trace."""
-    from planted_faults import PLANTED, silence_taken_for_proof
+    from planted_faults import PLANTED, take_silence_for_proof
 
     return {
         "one_shot_again": PLANTED["one-shot again"][0],
         "two_copies": PLANTED["two copies"][0],
         "answers_twice": PLANTED["answers twice"][0],
         "ceiling": PLANTED["ceiling"][0],
-        "views_silence": silence_taken_for_proof,
+        "views_silence": take_silence_for_proof,
     }
 
 
--- a/tests/helpers/planted_faults.py
+++ b/tests/helpers/planted_faults.py
@@ -17,7 +17,8 @@
 from granitedock.service.reply_queues import ReplyQueues
 
 
-def twice(monkeypatch):
+def answer_twice(monkeypatch):
+    """Each answer is written twice."""
     fill = ReplyQueues.fill
 
     def filled(self, client, waiting, answer):
@@ -27,20 +28,24 @@
     monkeypatch.setattr(ReplyQueues, "fill", filled)
 
 
-def sent_again(monkeypatch):
+def repeat_non_idempotent(monkeypatch):
+    """A non-idempotent request is sent again after an attempt that may have run."""
     monkeypatch.setitem(REPEAT_RIGHTS, Idempotency.NON_IDEMPOTENT, RepeatRights(Right.ALWAYS, Right.NEVER))
 
 
-def deferred_though_it_ran(monkeypatch):
+def reject_after_run(monkeypatch):
+    """A non-idempotent request is rejected after an attempt that may have run."""
     monkeypatch.setitem(REPEAT_RIGHTS, Idempotency.NON_IDEMPOTENT, RepeatRights(Right.NEVER, Right.ALWAYS))
 
 
-def never_brought_back(monkeypatch):
+def never_answer(monkeypatch):
+    """Neither an attempt's deadline nor the request's watchdog does anything."""
     monkeypatch.setitem(HANDLERS, Input.ATTEMPT_DEADLINE, lambda gateway, connection, attempt: None)
     monkeypatch.setitem(HANDLERS, Input.REQUEST_WATCHDOG, lambda gateway, request: None)
 
 
-def sent_to_those_that_drain(monkeypatch):
+def send_to_draining_hosts(monkeypatch):
+    """Endpoint updates never say that a host drains."""
     update_endpoints = LoadBalancer.update_endpoints
 
     @wraps(update_endpoints)  # a bound method is pickled by its name
@@ -52,12 +57,13 @@
     monkeypatch.setattr(LoadBalancer, "update_endpoints", updated)
 
 
-def ceiling_not_kept(monkeypatch):
+def ignore_ceiling(monkeypatch):
+    """Token buckets admit everything."""
     monkeypatch.setattr(TokenBucket, "take", lambda self, units, now: True)
 
 
-def two_copies(monkeypatch):
-    """A forward that is withdrawn is made again while its connection stays open."""
+def keep_cancelled_attempts(monkeypatch):
+    """An attempt that is cancelled is made again while its connection stays open."""
     cancel_waiting = HostConnections.cancel_waiting
 
     def kept(self, connection):
@@ -69,40 +75,42 @@
 
 
 PLANTED = {
-    "answers twice": (twice, GatewayWorldShape(1, 1, ("read",), 0), "rule 1: t0 was answered 2 times"),
+    "answers twice": (answer_twice, GatewayWorldShape(1, 1, ("read",), 0), "rule 1: t0 was answered 2 times"),
     "never answers": (
-        never_brought_back,
+        never_answer,
         GatewayWorldShape(1, 1, ("once",), 1),
         "rule 1: t0 was answered late",
     ),
     "two copies": (
-        two_copies,
+        keep_cancelled_attempts,
         GatewayWorldShape(1, 2, ("read",), 1, warm_up_requests=12),
         "rule 2: t0 is out at",
     ),
     "one-shot again": (
-        sent_again,
+        repeat_non_idempotent,
         GatewayWorldShape(1, 2, ("once",), 1),
         "rule 2: t0 (once) may have run at",
     ),
     "one-shot deferred": (
-        deferred_though_it_ran,
+        reject_after_run,
         GatewayWorldShape(1, 2, ("once",), 1),
         "rule 2: t0 (once) may have run",
     ),
-    "drains": (sent_to_those_that_drain, GatewayWorldShape(1, 1, ("read",), 2), "rule 3: t"),
-    "ceiling": (ceiling_not_kept, GatewayWorldShape(2, 1, ("read!",) * 3, 0), "rule 5: over the ceiling"),
+    "drains": (send_to_draining_hosts, GatewayWorldShape(1, 1, ("read",), 2), "rule 3: t"),
+    "ceiling": (ignore_ceiling, GatewayWorldShape(2, 1, ("read!",) * 3, 0), "rule 5: over the ceiling"),
 }
 
 
-def silence_taken_for_proof(monkeypatch):
+def take_silence_for_proof(monkeypatch):
+    """A member that is only DEAD counts as ended, and its slot is vacant at once."""
     monkeypatch.setattr(
         "granitedock.membership.member_slots.ENDED_STATES", frozenset({MemberState.DEAD, *ENDED_STATES})
     )
     monkeypatch.setattr(MemberSlots, "is_vacant", lambda self, now, slot: slot in self.vacancies)
 
 
-def nobody_looks_for_those_that_are_over(monkeypatch):
+def never_search_for_ended_members(monkeypatch):
+    """Members that are not live are never looked for again."""
     ways = {"revive": Timer.REVIVE, "sync": Timer.SYNC, "join": Timer.JOIN}
     for way, timer in ways.items():
         monkeypatch.setattr(
--- a/tests/model_checking/test_model_checking.py
+++ b/tests/model_checking/test_model_checking.py
@@ -6,7 +6,7 @@
 import orjson
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from planted_faults import PLANTED, nobody_looks_for_those_that_are_over, silence_taken_for_proof
+from planted_faults import PLANTED, never_search_for_ended_members, take_silence_for_proof
 from pytest import mark, raises
 
 from granitedock import platform_settings
@@ -90,7 +90,7 @@
 
 @mark.parametrize(
     ("plant", "told"),
-    [(silence_taken_for_proof, "divides by"), (nobody_looks_for_those_that_are_over, "views differ")],
+    [(take_silence_for_proof, "divides by"), (never_search_for_ended_members, "views differ")],
 )
 def test_a_fault_planted_in_the_view_is_found(plant, told, monkeypatch):
     plant(monkeypatch)
