--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -24,12 +24,16 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from granitedock.lab.fleetsim import World, plain  # noqa: E402
+from granitedock.lab.simulators.membership_simulation import (  # noqa: E402
+    MembershipSimulation,
+    without_lifeguard,
+)
+from granitedock.lab.simulators.simulated_network import NetworkConditions  # noqa: E402
 from granitedock.membership.member import LIVE_STATES  # noqa: E402
 from granitedock.membership.timing import Timing  # noqa: E402
 
 SIZES = (10, 40, 200, 1000)
-PACES = {"view": Timing(), "view without Lifeguard's parts": plain(Timing())}
+PACES = {"view": Timing(), "view without Lifeguard's parts": without_lifeguard(Timing())}
 MESH_MS, MESH_DEAD_MS, MESH_BYTES = 500.0, 4000.0, 90
 PLOTS = Path(__file__).parent.parent / "docs" / "plots"
 
@@ -41,7 +45,7 @@
 def detection(case: tuple[str, int, bool, int]) -> tuple[str, int, bool, list[float], list[float]]:
     """Crashes (or silences) one after another: the ms until all others know, and until each does."""
     name, count, vanish, crashes = case
-    world = World(count, seed=count + vanish, pace=PACES[name], known=True)
+    world = MembershipSimulation(count, count + vanish, PACES[name], already_joined=True)
     world.run(3000)
     to_all, to_each = [], []
     for n in range(crashes):
@@ -53,12 +57,12 @@
             if change.member.name == name and change.member.state not in LIVE_STATES:
                 knows.setdefault(node.number, now - began)
 
-        world.watch = see
+        world.on_change = see
         world.crash(number, vanish)
         world.run_until(lambda knows=knows: len(knows) >= count - 1, 30_000, 25.0)
         to_all.append(max(knows.values()) if len(knows) >= count - 1 else 30_000)
         to_each += knows.values()
-        world.watch = lambda *_: None
+        world.on_change = lambda *_: None
         world.start(number)
         world.run(5000)
     return name, count, vanish, to_all, to_each
@@ -67,7 +71,9 @@
 def load(case: tuple[str, int]) -> tuple[str, int, float, float]:
     """Messages and bytes a second a member, while nothing happens."""
     name, count = case
-    world = World(count, seed=3, pace=PACES[name], known=True, measured=True)
+    world = MembershipSimulation(
+        count, 3, PACES[name], NetworkConditions(measure_bytes=True), already_joined=True
+    )
     world.run(3000)
     for node in world.nodes:
         node.sent = node.sent_bytes = 0
@@ -80,14 +86,14 @@
 def heal(case: tuple[str, int]) -> tuple[str, int, float, float]:
     """A cut into halves for 20 s: ms until both sides have settled, and until all agree after its end."""
     name, count = case
-    world = World(count, seed=5, pace=PACES[name], known=True)
+    world = MembershipSimulation(count, 5, PACES[name], already_joined=True)
     world.run(2000)
     half = range(count // 2), range(count // 2, count)
-    world.cut(*half)
-    settled = world.run_until(lambda: all(world.agree(side) for side in half), 20_000, 100.0)
+    world.partition(*half)
+    settled = world.run_until(lambda: all(world.views_agree(side) for side in half), 20_000, 100.0)
     world.run(20_000 - settled)
     world.heal()
-    return name, count, settled, world.run_until(world.agree, 60_000, 100.0)
+    return name, count, settled, world.run_until(world.views_agree, 60_000, 100.0)
 
 
 def false_deaths(case: tuple[str, int, float, bool]) -> tuple[str, int, float, bool, float, float]:
@@ -95,14 +101,14 @@
     0.5 to 1.5 s again and again, where that is asked for. A death counts once, however many hold it."""
     name, count, loss, starved = case
     chance = random.Random(7)
-    world = World(count, seed=11, pace=PACES[name], loss=loss, known=True)
+    world = MembershipSimulation(count, 11, PACES[name], NetworkConditions(loss=loss), already_joined=True)
     called: dict[tuple[str, int], None] = {}
 
     def see(now, node, change):
         if change.member.state not in LIVE_STATES:
             called[(change.member.name, change.member.refutations)] = None
 
-    world.watch = see
+    world.on_change = see
     slow = set(range(0, count, 10)) if starved else set()
     seconds = {10: 1800, 40: 900, 200: 120, 1000: 15}[count]
     for _ in range(seconds):
--- a/benchmarks/outlier_detection.py
+++ b/benchmarks/outlier_detection.py
@@ -2,7 +2,7 @@
 
     .venv/bin/python benchmarks/outlier_detection.py faults   # an outlier, and faults that eject no good host
 
-The decisions are the module's own; hosts, network and clients are simulated (lab/sharesim.py). The table goes
+The decisions are the module's own; hosts, network and clients are simulated (lab/simulators/). The table goes
 to standard output as Markdown, the plot to docs/plots/.
 """
 
@@ -23,8 +23,10 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from granitedock.lab.sharesim import Offer, ShareFleet  # noqa: E402
-from granitedock.policy.types import Plan  # noqa: E402
+from granitedock.lab.simulators.offered_load import OfferedLoad  # noqa: E402
+from granitedock.lab.simulators.quota_simulation import GatewayFeatures, QuotaSimulation  # noqa: E402
+from granitedock.lab.simulators.simulated_network import NetworkConditions  # noqa: E402
+from granitedock.policy.types import Outcome, Plan  # noqa: E402
 
 PLOTS = Path(__file__).parent.parent / "docs" / "plots"
 PLAN = Plan("p", 100, 100_000, 0, 1, 0, 0.5, 0, 0, 0)
@@ -66,41 +68,41 @@
     cpu: float  # part of a core for each gateway, simulation included
 
 
-def host_fails(world: ShareFleet) -> None:
+def host_fails(world: QuotaSimulation) -> None:
     """One host answers with errors."""
-    world.bad["h0"] = "error"
+    world.host_faults["h0"] = Outcome.ERROR
 
 
-def host_is_silent(world: ShareFleet) -> None:
+def host_is_silent(world: QuotaSimulation) -> None:
     """One host does not answer."""
-    world.bad["h0"] = "silent"
+    world.host_faults["h0"] = Outcome.TIMEOUT
 
 
-def one_connection(world: ShareFleet) -> None:
+def one_connection(world: QuotaSimulation) -> None:
     """One gateway cannot reach one host."""
-    world.unreached.add((0, "h1"))
+    world.unreachable.add((0, "h1"))
 
 
-def own_network(world: ShareFleet) -> None:
+def own_network(world: QuotaSimulation) -> None:
     """One gateway cannot reach any host."""
-    world.unreached |= {(0, f"h{n}") for n in range(world.hosts)}
+    world.unreachable |= {(0, f"h{n}") for n in range(world.host_count)}
 
 
-def partitioned(world: ShareFleet) -> None:
+def partitioned(world: QuotaSimulation) -> None:
     """One host fails, and half of the gateways do not hear the other half."""
     half = len(world.nodes) // 2
-    world.bad["h0"] = "error"
-    world.cut(range(half), range(half, len(world.nodes)))
+    world.host_faults["h0"] = Outcome.ERROR
+    world.partition(range(half), range(half, len(world.nodes)))
 
 
-def paused(world: ShareFleet) -> None:
+def paused(world: QuotaSimulation) -> None:
     """One host fails for 10 s, and one gateway stands still over its recovery."""
-    world.bad["h0"] = "error"
+    world.host_faults["h0"] = Outcome.ERROR
     world.pause(0, 15_000)
-    world.later(10_000, world.bad.clear)
+    world.schedule(10_000, world.host_faults.clear)
 
 
-FAULTS: dict[str, Callable[[ShareFleet], None]] = {
+FAULTS: dict[str, Callable[[QuotaSimulation], None]] = {
     "a host errs": host_fails,
     "a host is silent": host_is_silent,
     "one gateway has no connection to a host": one_connection,
@@ -113,16 +115,14 @@
 def play(case: Case) -> tuple[Case, Result]:
     """Run one case."""
     count, size = case.gateways, SIZES[case.gateways]
-    offers = [Offer(key, PLAN, size.rate * count / CUSTOMERS, count) for key in range(CUSTOMERS)]
-    world = ShareFleet(
+    offers = [OfferedLoad(key, PLAN, size.rate * count / CUSTOMERS, count) for key in range(CUSTOMERS)]
+    world = QuotaSimulation(
         count,
         offers,
         case.seed,
-        shared=False,
-        viewed=False,
-        hosts=size.hosts,
-        judged=case.detection,
-        measured=True,
+        GatewayFeatures(share_quotas=False, use_membership=False, detect_outliers=case.detection),
+        NetworkConditions(measure_bytes=True),
+        host_count=size.hosts,
     )
     world.run(SETTLE_MS)
     sent_before = sum(node.sent_bytes for node in world.nodes)
@@ -134,11 +134,11 @@
         world.run(SAMPLE_MS)
         if case.detection:
             good_ejected += good_hosts_ejected(world)
-    done = sum(len(offer.done) for offer in offers)
-    refused = sum(offer.refused for offer in offers)
+    done = sum(len(offer.completed) for offer in offers)
+    refused = sum(offer.rejected for offer in offers)
     sent = sum(node.sent_bytes for node in world.nodes) - sent_before
     return case, Result(
-        lost=sum(world.lost.values()),
+        lost=sum(world.failed_attempts.values()),
         served=done / (done + refused),
         good_ejected=good_ejected / samples / count / size.hosts,
         bytes_per_s=sent / count / SECONDS,
@@ -146,10 +146,10 @@
     )
 
 
-def good_hosts_ejected(world: ShareFleet) -> int:
+def good_hosts_ejected(world: QuotaSimulation) -> int:
     """Over all gateways, the ejected hosts that have no fault now."""
-    detectors = [desk.judge for desk in world.desks.values() if desk.judge is not None]
-    return sum(name not in world.bad for detector in detectors for name in detector.ejected)
+    detectors = [gateway.detector for gateway in world.gateways.values() if gateway.detector is not None]
+    return sum(name not in world.host_faults for detector in detectors for name in detector.ejected)
 
 
 def mean(results: list[Result]) -> Result:
--- a/benchmarks/quota_sharing.py
+++ b/benchmarks/quota_sharing.py
@@ -3,7 +3,7 @@
     .venv/bin/python benchmarks/quota_sharing.py faults   # 2 to 16 gateways, each kind of fault, 20 seeds
     .venv/bin/python benchmarks/quota_sharing.py scale    # 40 and 200 gateways with 10,000 customers
 
-The decisions are the module's own; counter, network, hosts and clients are simulated (lab/sharesim.py).
+The decisions are the module's own; counter, network, hosts and clients are simulated (lab/simulators/).
 `before` is the same program without membership and quota sharing, in the same run. Tables go to standard
 output as Markdown, the plot to docs/plots/.
 """
@@ -26,7 +26,9 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from granitedock.lab.sharesim import Offer, ShareFleet, admitted, worst_over  # noqa: E402
+from granitedock.lab.simulators.offered_load import OfferedLoad, admitted, peak_share  # noqa: E402
+from granitedock.lab.simulators.quota_simulation import GatewayFeatures, QuotaSimulation  # noqa: E402
+from granitedock.lab.simulators.simulated_network import NetworkConditions  # noqa: E402
 from granitedock.policy.types import Plan  # noqa: E402
 from granitedock.quota_sharing.uncounted_usage import UncountedUsage  # noqa: E402
 
@@ -41,72 +43,72 @@
 GATEWAYS = (2, 4, 8, 16)
 
 
-def halves(world: ShareFleet) -> tuple[range, range]:
+def halves(world: QuotaSimulation) -> tuple[range, range]:
     """The second half of the gateways, and the first."""
     count = len(world.nodes)
     return range(count // 2, count), range(count // 2)
 
 
-def no_fault(_: ShareFleet) -> None:
+def no_fault(_: QuotaSimulation) -> None:
     """Nothing fails."""
 
 
-def counter_half(world: ShareFleet) -> None:
+def counter_half(world: QuotaSimulation) -> None:
     """Half are cut off from the counter."""
-    world.counter_cut(*halves(world)[0])
+    world.disconnect_counter(*halves(world)[0])
 
 
-def counter_most(world: ShareFleet) -> None:
+def counter_most(world: QuotaSimulation) -> None:
     """Three quarters are cut off from the counter."""
-    world.counter_cut(*range(max(1, len(world.nodes) // 4), len(world.nodes)))
+    world.disconnect_counter(*range(max(1, len(world.nodes) // 4), len(world.nodes)))
 
 
-def counter_all(world: ShareFleet) -> None:
+def counter_all(world: QuotaSimulation) -> None:
     """All are cut off from the counter."""
-    world.counter_cut(*range(len(world.nodes)))
+    world.disconnect_counter(*range(len(world.nodes)))
 
 
-def both_half(world: ShareFleet) -> None:
+def both_half(world: QuotaSimulation) -> None:
     """Half are cut off from the counter and from the others."""
-    world.counter_cut(*halves(world)[0])
-    world.cut(*halves(world))
+    world.disconnect_counter(*halves(world)[0])
+    world.partition(*halves(world))
 
 
-def both_one(world: ShareFleet) -> None:
+def both_one(world: QuotaSimulation) -> None:
     """One is cut off from the counter and from the others."""
     last = len(world.nodes) - 1
-    world.counter_cut(last)
-    world.cut([last], range(last))
+    world.disconnect_counter(last)
+    world.partition([last], range(last))
 
 
-def partitioned(world: ShareFleet) -> None:
+def partitioned(world: QuotaSimulation) -> None:
     """The halves are cut off from each other."""
-    world.cut(*halves(world))
+    world.partition(*halves(world))
 
 
-def one_way(world: ShareFleet) -> None:
+def one_way(world: QuotaSimulation) -> None:
     """Half are cut off from the counter, and one of them from one other in one direction."""
-    world.counter_cut(*halves(world)[0])
-    world.cut([halves(world)[0][0]], [0], both=False)
+    world.disconnect_counter(*halves(world)[0])
+    world.partition([halves(world)[0][0]], [0], both=False)
 
 
-def killed(world: ShareFleet) -> None:
+def killed(world: QuotaSimulation) -> None:
     """All are cut off from the counter, and half are killed."""
-    world.counter_cut(*range(len(world.nodes)))
+    world.disconnect_counter(*range(len(world.nodes)))
     for n in halves(world)[0]:
         world.crash(n)
 
 
-def restarted(world: ShareFleet) -> None:
+def restarted(world: QuotaSimulation) -> None:
     """Half are cut off from the counter and from the others, and restart."""
-    world.counter_cut(*halves(world)[0])
-    world.cut(*halves(world))
+    world.disconnect_counter(*halves(world)[0])
+    world.partition(*halves(world))
     for n in halves(world)[0]:
         world.crash(n)
         world.start(n, tuple(node.address for node in world.nodes))
 
 
-FAULTS: dict[str, Callable[[ShareFleet], None]] = {
+FAULTS: dict[str, Callable[[QuotaSimulation], None]] = {
     "none": no_fault,
     "half cut off from the counter": counter_half,
     "three quarters cut off from the counter": counter_most,
@@ -143,8 +145,14 @@
 
 def play(case: Case) -> tuple[Case, Result]:
     """Run one case."""
-    offer = Offer(161, PLAN, 4 * RATE, case.gateways)
-    world = ShareFleet(case.gateways, [offer], case.seed, shared=case.sharing, viewed=case.sharing, loss=0.01)
+    offer = OfferedLoad(161, PLAN, 4 * RATE, case.gateways)
+    world = QuotaSimulation(
+        case.gateways,
+        [offer],
+        case.seed,
+        GatewayFeatures(share_quotas=case.sharing, use_membership=case.sharing),
+        NetworkConditions(loss=0.01),
+    )
     world.run(JOIN_MS)
     began = world.now
     FAULTS[case.fault](world)
@@ -153,7 +161,7 @@
     return case, Result(
         transient=admitted(offer, began, settled_at) / (RATE * TRANSIENT_MS / 1000),
         settled=admitted(offer, settled_at, world.now) / (RATE * (world.now - settled_at) / 1000),
-        worst_minute=worst_over(offer, began, world.now, MINUTE_MS),
+        worst_minute=peak_share(offer, began, world.now, MINUTE_MS),
     )
 
 
@@ -257,10 +265,10 @@
 def scale_row(count: int, customers: int, row_bytes: float) -> str:
     """Run one fleet; its row of the table."""
     plan = Plan("p", 0.0005, 5, 0, 1, 0, 0.5, 0, 0, 0)
-    offers = [Offer(key, plan, 0.2, 4, key % count) for key in range(customers)]
-    world = ShareFleet(count, offers, 3, measured=True)
+    offers = [OfferedLoad(key, plan, 0.2, 4, key % count) for key in range(customers)]
+    world = QuotaSimulation(count, offers, 3, network=NetworkConditions(measure_bytes=True))
     world.run(5000)
-    world.counter_cut(*halves(world)[0])
+    world.disconnect_counter(*halves(world)[0])
     world.run(5000)
     for node in world.nodes:
         node.sent_bytes = 0
@@ -273,7 +281,11 @@
     merges = (row_changes(world) - changes_before) / count / seconds
     done = sum(admitted(offer, began, world.now) for offer in offers)
     uncounted = sum(
-        sum(1 for at, by, _ in offer.done if at >= began and by in world.counter_cuts) for offer in offers
+        sum(
+            request.sent_at >= began and request.gateway in world.counter.disconnected_since
+            for request in offer.completed
+        )
+        for offer in offers
     )
     cpu = (time.process_time() - cpu_before) / count / seconds
     cells = [
@@ -289,12 +301,16 @@
     return "| " + " | ".join(cells) + " |"
 
 
-def usages(world: ShareFleet) -> list[UncountedUsage]:
+def usages(world: QuotaSimulation) -> list[UncountedUsage]:
     """What each gateway knows of uncounted usage."""
-    return [desk.shared.usage for desk in world.desks.values() if desk.shared is not None]
+    return [
+        gateway.quota_sharing.usage
+        for gateway in world.gateways.values()
+        if gateway.quota_sharing is not None
+    ]
 
 
-def row_changes(world: ShareFleet) -> int:
+def row_changes(world: QuotaSimulation) -> int:
     """Rows changed so far, at all gateways."""
     return sum(usage.change_count for usage in usages(world))
 
--- a/granitedock/lab/scale/platform.py
+++ b/granitedock/lab/scale/platform.py
@@ -6,7 +6,7 @@
 
 from granitedock.lab.gateway_settings import gateway_settings
 from granitedock.lab.scenario import parse
-from granitedock.lab.sharesim import SCENARIO
+from granitedock.lab.simulators.minimal_scenario import MINIMAL_SCENARIO
 
 ZONES = 5
 
@@ -28,7 +28,7 @@
 
 def settings(plans: int = 1, gateways: int = 2, counting: bool = True, me: int = 0) -> dict[str, Any]:
     """What a gateway is told under `settings`."""
-    made = gateway_settings(parse(SCENARIO), me)
+    made = gateway_settings(parse(MINIMAL_SCENARIO), me)
     made["Balancers"] = gateways
     made["Tariffs"] = [{"Name": "p", "Refill": 1e6, "MostAtOnce": 1e6}, *tariffs(plans)]
     made["Specifics"] = made["Specifics"] | {"Counter": counting, "MailPerS": 1000}
--- a/granitedock/lab/scale/view.py
+++ b/granitedock/lab/scale/view.py
@@ -1,11 +1,12 @@
-"""What the view of the fleet costs a gateway per gateway, on the simulated wire (`lab/fleetsim.py`)."""
+"""What the view of the fleet costs a gateway per gateway, on the simulated wire (`lab/simulators/`)."""
 
 from __future__ import annotations
 
 import time
 from dataclasses import dataclass
 
-from granitedock.lab.fleetsim import World
+from granitedock.lab.simulators.membership_simulation import MembershipSimulation
+from granitedock.lab.simulators.simulated_network import NetworkConditions
 
 SETTLE_MS = 2000.0
 
@@ -23,7 +24,9 @@
 
 def measure(count: int, seconds: float) -> ViewCost:
     """`count` views that know each other, for so many simulated seconds."""
-    world = World(count, seed=3, known=True, measured=True)
+    world = MembershipSimulation(
+        count, seed=3, network=NetworkConditions(measure_bytes=True), already_joined=True
+    )
     world.run(SETTLE_MS)
     for node in world.nodes:
         node.sent = node.sent_bytes = 0
--- /dev/null
+++ b/granitedock/lab/simulators/minimal_scenario.py
@@ -0,0 +1,15 @@
+"""The least scenario that a gateway's settings can be made of."""
+
+MINIMAL_SCENARIO = """
+[fleet]
+gateways = 2
+talk = true
+[[fleet.zones]]
+name = "east"
+hosts = 1
+[[clients]]
+customer = 1
+product = "read"
+plan = "p"
+rate = 1
+"""
--- a/granitedock/model_checking/command.py
+++ b/granitedock/model_checking/command.py
@@ -67,7 +67,7 @@
 def summary(world: Small | Views) -> str:
     """The state in a line, as seen from the outside."""
     if isinstance(world, Views):
-        held = (f"g{node.number}: {len(world.live_of(node))} live" for node in world.running())
+        held = (f"g{node.number}: {len(world.live_members(node))} live" for node in world.running_nodes())
         return f"{world.now:8.1f} ms  {'  '.join(held)}"
     requests = []
     for name, job in sorted(world.jobs.items()):
--- a/granitedock/model_checking/state_digest.py
+++ b/granitedock/model_checking/state_digest.py
@@ -36,6 +36,7 @@
         "gate",
         "policy_timers",
         "wakes",
+        "timer_number",
         "made",
         "plans",
         "known",
--- a/tests/configuration/test_plan_changes.py
+++ b/tests/configuration/test_plan_changes.py
@@ -5,8 +5,12 @@
 
 from granitedock.configuration.plan_transition import PlanHistory, carry_over
 from granitedock.configuration.quota_windows import window_of, with_window
-from granitedock.lab.plansim import PlanChange, PlanFleet, worst_part
-from granitedock.lab.sharesim import Offer
+from granitedock.lab.simulators.offered_load import OfferedLoad
+from granitedock.lab.simulators.plan_change_simulation import (
+    PlanChange,
+    PlanChangeSimulation,
+    worst_usage_share,
+)
 from granitedock.policy.quota_account import QuotaAccount
 from granitedock.policy.token_bucket import TokenBucket
 from granitedock.policy.types import Customer, Outcome, Plan
@@ -31,22 +35,22 @@
 def over_the_change(gateways, before, after, forget=False):
     """The most that a customer who asks for far more got, as a part of the bound; without a change where
     `after` is `before`."""
-    offer = Offer(1, before, 150, gateways)
+    offer = OfferedLoad(1, before, 150, gateways)
     change = PlanChange(after, FROM_MS, FROM_MS + HEARD_MS)
-    fleet = PlanFleet(gateways, [offer], [change] if after is not before else [], seed=1)
+    fleet = PlanChangeSimulation(gateways, [offer], [change] if after is not before else [], seed=1)
     if forget:
-        for desk in fleet.desks.values():
-            desk.changed = lambda new, desk=desk: fresh_accounts(desk, new)
+        for gateway in fleet.gateways.values():
+            gateway.apply_plan = lambda new, gateway=gateway: fresh_accounts(gateway, new)
     end = FROM_MS + HEARD_MS + AFTER_MS
     fleet.run(end)
-    return worst_part(offer, change, window_of(before) == window_of(after), end)
+    return worst_usage_share(offer, change, window_of(before) == window_of(after), end)
 
 
-def fresh_accounts(desk, new):
+def fresh_accounts(gateway, new):
     """As if nothing was carried over."""
-    desk.plans[new.name] = new
-    for customer in desk.gateway.rate_limiter.accounts:
-        customer.account = QuotaAccount(new, customer.account.subset_size, desk.fleet.unix())
+    gateway.admission.plans[new.name] = new
+    for customer in gateway.policy.rate_limiter.accounts:
+        customer.account = QuotaAccount(new, customer.account.subset_size, gateway.simulation.unix_ms())
 
 
 @pytest.mark.parametrize("name", CHANGES)
--- a/tests/membership/test_membership_simulated.py
+++ b/tests/membership/test_membership_simulated.py
@@ -7,7 +7,8 @@
 from hypothesis import strategies as st
 from pytest import raises
 
-from granitedock.lab.fleetsim import World, plain
+from granitedock.lab.simulators.membership_simulation import MembershipSimulation, without_lifeguard
+from granitedock.lab.simulators.simulated_network import NetworkConditions
 from granitedock.membership.broadcast_queue import BroadcastQueue, transmit_limit
 from granitedock.membership.codec import MAX_BYTES, decode, encode, update_budget, update_size
 from granitedock.membership.errors import MalformedMessageError
@@ -29,23 +30,26 @@
 )
 
 
-class Watched(World):
+class Watched(MembershipSimulation):
     """A world of six that notes each process's starts, and checks at each step what must always hold."""
 
     def __init__(self, seed, loss):
-        super().__init__(6, seed, TIMING, loss=loss, twice=loss)
-        self.watch = self.see
+        super().__init__(6, seed, TIMING, NetworkConditions(loss=loss, duplication=loss))
+        self.on_change = self.see
         self.back = {}
 
     def see(self, now, node, change):
         said, target = change.member, self.nodes[int(change.member.name[1:])]
         if said.state is MemberState.GONE:
             # Proved dead, so no process of this incarnation runs, whatever the wires did.
-            assert target.part is None or target.part.membership.local.started_at > said.started_at
+            assert (
+                target.local_member is None
+                or target.local_member.membership.local.started_at > said.started_at
+            )
 
     def shares(self):
-        serving = [node for node in self.running() if self.now >= node.paused_until]
-        return sum(1 / node.part.active_members(self.now, 0, 6) for node in serving)
+        serving = [node for node in self.running_nodes() if self.now >= node.paused_until]
+        return sum(1 / node.local_member.active_members(self.now, 0, 6) for node in serving)
 
     def bound(self):
         """One, and a sixth for each that came back within a lease: others may still hold its share."""
@@ -54,18 +58,18 @@
 
     def step(self, what, *how):
         node = self.nodes[how[0]] if what in ("crash", "vanish", "start", "leave", "pause") else None
-        if what == "start" and node.part is None:
+        if what == "start" and node.local_member is None:
             self.start(how[0], (self.nodes[0].address, self.nodes[1].address))
             self.back[how[0]] = self.now
-        elif what in ("crash", "vanish") and node.part is not None:
+        elif what in ("crash", "vanish") and node.local_member is not None:
             self.crash(how[0], what == "vanish")
-        elif what == "leave" and node.part is not None and self.now >= node.paused_until:
+        elif what == "leave" and node.local_member is not None and self.now >= node.paused_until:
             self.leave(how[0])
         elif what == "pause":
             self.pause(*how)
         elif what == "cut":
             ones = [n for n in range(6) if how[0] >> n & 1]
-            self.cut(ones, [n for n in range(6) if n not in ones], how[1])
+            self.partition(ones, [n for n in range(6) if n not in ones], how[1])
         elif what == "heal":
             self.heal()
         elif what == "run":
@@ -79,22 +83,22 @@
     world = Watched(seed, loss)
     if refutes is not None:
         for node in world.nodes:
-            node.part.membership.merging.refute = refutes
+            node.local_member.membership.merging.refute = refutes
     world.run(3000)
     for step in steps:
         world.step(*step)
     world.heal()
-    world.loss = 0.0
+    world.network.loss = 0.0
     for n in (0, 1):
         world.step("start", n)
     if refutes is not None:
-        for node in world.running():
-            node.part.membership.merging.refute = refutes
+        for node in world.running_nodes():
+            node.local_member.membership.merging.refute = refutes
     world.run(9000)  # whoever is paused wakes
     # The stated time: one longest wait for a seed, and what a heal takes. Less than it takes to forget the
     # dead, or that would mend what a missing refutation breaks.
-    took = world.run_until(world.agree, 40_000)
-    assert took < 40_000, [world.live_of(node) for node in world.running()]
+    took = world.run_until(world.views_agree, 40_000)
+    assert took < 40_000, [world.live_members(node) for node in world.running_nodes()]
 
 
 @settings(max_examples=250, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
@@ -124,7 +128,7 @@
 
 
 def test_a_crash_is_known_to_two_hundred_within_five_seconds_and_a_silence_as_well():
-    world = World(200, seed=4, known=True)
+    world = MembershipSimulation(200, seed=4, already_joined=True)
     world.run(2000)
     for number, vanish in ((150, False), (151, True)):
         world.crash(number, vanish)
@@ -132,19 +136,25 @@
 
         def known(name=name):
             return all(
-                node.part.membership.state.table.records[name].member.state not in LIVE_STATES
-                for node in world.running()
+                node.local_member.membership.state.table.records[name].member.state not in LIVE_STATES
+                for node in world.running_nodes()
             )
 
         assert world.run_until(known, 20_000) <= 5000
-        held = {node.part.membership.state.table.records[name].member.state for node in world.running()}
+        held = {
+            node.local_member.membership.state.table.records[name].member.state
+            for node in world.running_nodes()
+        }
         assert held == {MemberState.DEAD if vanish else MemberState.GONE}
 
 
 def test_no_live_one_is_called_dead_at_a_twentieth_lost_though_one_in_ten_is_starved():
+    def simulation(pace):
+        return MembershipSimulation(40, 9, pace, NetworkConditions(loss=0.05), already_joined=True)
+
     def deaths(pace):
-        world, called, chance = World(40, seed=9, pace=pace, loss=0.05, known=True), [], Random(2)
-        world.watch = lambda now, node, change: (
+        world, called, chance = simulation(pace), [], Random(2)
+        world.on_change = lambda now, node, change: (
             called.append(change.member.name) if change.false_death else None
         )
         for _ in range(40):
@@ -154,45 +164,46 @@
 
     assert deaths(TIMING) == (0, 0)
     hasty = replace(TIMING, suspect_ms=200, suspect_most_ms=200, gap_ms=1e9)
-    assert deaths(plain(hasty))[1] > 0  # the same day has false ends where suspicions are short
+    assert deaths(without_lifeguard(hasty))[1] > 0  # the same day has false ends where suspicions are short
 
 
 def test_one_that_wakes_from_a_long_pause_accuses_nobody():
-    world = World(5, seed=2, known=True)
+    world = MembershipSimulation(5, seed=2, already_joined=True)
     world.run(2000)
     accused = []
-    world.watch = lambda now, node, change: (
+    world.on_change = lambda now, node, change: (
         accused.append(change.member.name)
         if node.number == 3 and change.member.state > MemberState.ALIVE
         else None
     )
     world.pause(3, 30_000)
     world.run(33_000)
-    assert not accused and world.run_until(world.agree, 5000) < 5000
+    assert not accused and world.run_until(world.views_agree, 5000) < 5000
 
 
 def test_a_clock_set_back_before_a_restart_does_not_leave_the_new_process_dead():
-    world = World(3, seed=6, known=True)
+    world = MembershipSimulation(3, seed=6, already_joined=True)
     world.run(1000)
-    born = world.nodes[2].part.membership.local.started_at
+    born = world.nodes[2].local_member.membership.local.started_at
     world.crash(2)
     world.run(4000)
     world.start(2)
-    table = world.nodes[2].part.membership.state.table
+    table = world.nodes[2].local_member.membership.state.table
     table.local = Member(table.local.name, table.local.address, born - 3_600_000, 0, MemberState.ALIVE, 2, 1)
     assert (
-        world.run_until(world.agree, 8000) < 8000 and world.nodes[2].part.membership.local.started_at >= born
+        world.run_until(world.views_agree, 8000) < 8000
+        and world.nodes[2].local_member.membership.local.started_at >= born
     )
 
 
 def test_the_dead_are_forgotten_within_the_stated_time_and_a_side_long_cut_off_is_found_again():
-    world = World(6, seed=3, known=True)
+    world = MembershipSimulation(6, seed=3, already_joined=True)
     world.run(1000)
-    world.cut(range(3), range(3, 6))
+    world.partition(range(3), range(3, 6))
     world.run(TIMING.forget_ms * 1.2 + 10_000)
-    assert all(len(node.part.membership.state.table.records) == 2 for node in world.nodes)
+    assert all(len(node.local_member.membership.state.table.records) == 2 for node in world.nodes)
     world.heal()
-    assert world.run_until(world.agree, TIMING.seeds_most_ms + 10_000) < TIMING.seeds_most_ms + 10_000
+    assert world.run_until(world.views_agree, TIMING.seeds_most_ms + 10_000) < TIMING.seeds_most_ms + 10_000
 
 
 def member(n, state=MemberState.ALIVE, born=5, settings_=1):
--- a/tests/quota_sharing/test_quota_sharing.py
+++ b/tests/quota_sharing/test_quota_sharing.py
@@ -6,7 +6,9 @@
 from hypothesis import strategies as st
 from pytest import mark, raises
 
-from granitedock.lab.sharesim import Offer, ShareFleet, admitted
+from granitedock.lab.simulators.offered_load import OfferedLoad, admitted
+from granitedock.lab.simulators.quota_simulation import QuotaSimulation
+from granitedock.lab.simulators.simulated_network import NetworkConditions
 from granitedock.membership.local_member import LocalMember
 from granitedock.membership.member import Member, MemberChange, MemberState
 from granitedock.membership.timing import Timing
@@ -35,22 +37,22 @@
 
 def check_bound(steps, seed, loss=0.05):
     """Play the faults under four times the quota; what was admitted must not pass the stated bound."""
-    offer = Offer(161, PLAN, 4 * RATE, SET)
-    world = ShareFleet(SET, [offer], seed, loss=loss, twice=loss)
-    terms = excess(PLAN, SET, world.pace, QuotaSharingSettings().broadcast_interval_ms)
+    offer = OfferedLoad(161, PLAN, 4 * RATE, SET)
+    world = QuotaSimulation(SET, [offer], seed, network=NetworkConditions(loss=loss, duplication=loss))
+    terms = excess(PLAN, SET, world.timing, QuotaSharingSettings().broadcast_interval_ms)
     world.run(4000)
     isolated = returned = counter_cut = 0
     for what, *how in steps:
         ones = [n for n in range(SET) if how and how[0] >> n & 1]
         if what in ("counter", "both"):
-            world.counter_cut(*ones)
+            world.disconnect_counter(*ones)
             counter_cut += len(ones)
         if what in ("apart", "both"):
-            world.cut(ones, [n for n in range(SET) if n not in ones])
+            world.partition(ones, [n for n in range(SET) if n not in ones])
             isolated += SET  # whoever is cut off from the counter too, now or before, is on its own
-        if what == "crash" and world.nodes[how[0]].part is not None:
+        if what == "crash" and world.nodes[how[0]].local_member is not None:
             world.crash(how[0])
-        elif what == "start" and world.nodes[how[0]].part is None:
+        elif what == "start" and world.nodes[how[0]].local_member is None:
             world.start(how[0], tuple(node.address for node in world.nodes))
             returned += 1
         elif what == "pause":
@@ -80,10 +82,10 @@
     counter. With both counted, 0.64 of the allowance was done in the five seconds after the heal."""
     parts = []
     for seed in (3, 5, 8):
-        offer = Offer(161, PLAN, 4 * RATE, SET)
-        world = ShareFleet(SET, [offer], seed)
+        offer = OfferedLoad(161, PLAN, 4 * RATE, SET)
+        world = QuotaSimulation(SET, [offer], seed)
         world.run(6000 + 130 * seed)  # at another phase of the windows each time
-        world.counter_cut(*range(SET))
+        world.disconnect_counter(*range(SET))
         world.run(cut_ms)
         world.heal()
         back = world.now
