--- /dev/null
+++ b/granitedock/lab/hollow/__main__.py
@@ -0,0 +1,61 @@
+"""A process of hollow gateways, run as `python -m granitedock.lab.hollow`.
+
+The first line on standard input is a `HollowOrder` as JSON; the process answers with one line once it has
+taken the order, then takes `{"status": true}` and answers with a `HollowStatus` as JSON.
+"""
+
+from __future__ import annotations
+
+import gc
+import sys
+import time
+from dataclasses import asdict
+from typing import Any
+
+from granitedock.lab.emulators.process import run_until_sigterm
+from granitedock.lab.hollow.gateway import HollowGateway
+from granitedock.lab.hollow.messages import HollowOrder, HollowStatus
+from granitedock.lab.reactor import REACTOR
+from granitedock.lab.scale.roster import commanded
+
+START_SPREAD_S = 0.5  # the gateways of one process start within so long
+STATUS_COMMAND = "status"
+
+
+class HollowProcess:
+    """The hollow gateways of one process."""
+
+    def __init__(self, reactor: Any) -> None:
+        self.reactor = reactor
+        self.gateways: list[HollowGateway] = []
+
+    def handle_command(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Carry out an order, or report; the status as JSON fields."""
+        if STATUS_COMMAND not in command:
+            self.start(HollowOrder(**command))
+        return asdict(self.status())
+
+    def start(self, order: HollowOrder) -> None:
+        """Start all of the order's gateways, spread over `START_SPREAD_S`."""
+        for turn in range(order.count):
+            gateway = HollowGateway(self.reactor, order, order.first + turn)
+            self.gateways.append(gateway)
+            self.reactor.callLater(START_SPREAD_S * turn / order.count, gateway.start)
+
+    def status(self) -> HollowStatus:
+        """The state of all gateways now."""
+        from granitedock.lab.scale.probe import memory_mb
+
+        states = [gateway.status() for gateway in self.gateways]
+        return HollowStatus(time.process_time(), memory_mb(), states)
+
+
+def main() -> int:
+    """Run until SIGTERM, or the end of standard input."""
+    gc.disable()  # a collection would look through all the gateways of this process; a real one has one
+    commanded(REACTOR, HollowProcess(REACTOR).handle_command)
+    return run_until_sigterm("ready")
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- /dev/null
+++ b/granitedock/lab/hollow/gateway_io.py
@@ -0,0 +1,87 @@
+"""The event loop's part for a hollow gateway: timers, the watch on discovery, and counters for a log."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+from granitedock.service.callbacks import InputHandler
+from granitedock.service.clock import MS_PER_S
+from granitedock.service.connector import Connector
+from granitedock.service.discovery_protocol import DiscoveryWatchProtocol
+from granitedock.service.inputs import Input
+from granitedock.service.limits import Limits
+from granitedock.service.timers import Timer
+
+if TYPE_CHECKING:
+    from granitedock.service.discovery_watch import Watch
+
+
+class EventCounts:
+    """Counters of one hollow gateway, in place of its event log; log lines are counted and dropped."""
+
+    def __init__(self) -> None:
+        self.counts: Counter[str] = Counter()
+
+    def event(self, _event: str, /, **_figures: Any) -> None:
+        """Count a log line."""
+        self.counts["log_lines"] += 1
+
+
+class CountingWatchProtocol(DiscoveryWatchProtocol):
+    """A watch that counts the bytes that come."""
+
+    def __init__(self, tell: InputHandler, address: str, limits: Limits, counts: Counter[str]) -> None:
+        super().__init__(tell, address, limits)
+        self.counts = counts
+
+    def dataReceived(self, data: bytes) -> None:
+        """Bytes of the endpoint list."""
+        self.counts["watch_bytes"] += len(data)
+        super().dataReceived(data)
+
+
+class HollowIO:
+    """Timers and the watch, of all that a state machine may ask of its `GatewayIO`.
+
+    It connects to no host and no counter and accepts no client: without clients nothing asks for them.
+    """
+
+    def __init__(
+        self,
+        reactor: Any,
+        clock: Callable[[], float],
+        tell: InputHandler,
+        limits: Limits,
+        discovery: str,
+        counts: Counter[str],
+    ) -> None:
+        """`clock()` is Unix ms, `discovery` an address."""
+        self.reactor = reactor
+        self.clock = clock
+        self.tell = tell
+        self.limits = limits
+        self.discovery = discovery
+        self.counts = counts
+        self.watch_connector = Connector(
+            reactor, tell, self.make_watch, Input.WATCH_DISCONNECTED, limits.watch_connect_ms
+        )
+
+    def make_watch(self) -> CountingWatchProtocol:
+        """The protocol of a new connection to discovery."""
+        return CountingWatchProtocol(self.tell, self.discovery, self.limits, self.counts)
+
+    def start_timer(self, timer: Timer) -> None:
+        """Bring the timer's input when it is due, unless it is cancelled by then."""
+        wait_s = max(0.0, timer.due - self.clock()) / MS_PER_S
+        self.reactor.callLater(wait_s, self.timer_due, timer)
+
+    def timer_due(self, timer: Timer) -> None:
+        """Bring the timer's input now."""
+        if timer.input is not None:
+            self.tell(timer.input, *timer.arguments)
+
+    def connect_watch(self, watch: Watch) -> None:
+        """Connect to discovery."""
+        self.watch_connector.connect(watch, self.discovery)
--- a/granitedock/lab/scale/fleet.py
+++ b/granitedock/lab/scale/fleet.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from granitedock.lab.hollow import GatewayState, HollowOrder, HollowStatus
+from granitedock.lab.hollow.messages import GatewayState, HollowOrder, HollowStatus
 from granitedock.lab.scale.probe import ScaleError, quantile
 
 PROCESSES = 10
