--- a/granitedock/lab/hollow/gateway.py
+++ b/granitedock/lab/hollow/gateway.py
@@ -9,6 +9,10 @@
 from granitedock.lab.hollow.messages import GatewayState, HollowOrder
 from granitedock.lab.hollow.version_times import record_version
 from granitedock.lab.scale.platform import platform_file
+
+# Not imported where it is used: that would hold the loop up while the first watch connects, past its time.
+from granitedock.membership.settings import FleetFile
+from granitedock.membership_services import MembershipServices
 from granitedock.service.clock import MS_PER_S
 from granitedock.service.dispatcher import GatewayParameters, GatewayStateMachine
 from granitedock.service.inputs import Input
@@ -16,7 +20,6 @@
 
 if TYPE_CHECKING:
     from granitedock.lab.hollow.timed_attachment import TimedAttachment
-    from granitedock.membership_services import MembershipServices
     from granitedock.service.ports import GatewayIO
 
 MEMBERSHIP_PORT = 7946
@@ -103,9 +106,6 @@
 
     def make_membership(self) -> MembershipServices:
         """Make the gateway's membership, at an address of its own; the first gateway is the seed."""
-        from granitedock.membership.settings import FleetFile
-        from granitedock.membership_services import MembershipServices
-
         net = self.order.membership_net
         file = FleetFile(
             enabled=True,
