--- a/granitedock/model_checking/membership_world.py
+++ b/granitedock/model_checking/membership_world.py
@@ -1,6 +1,6 @@
 """A small cluster with the program's own membership and member slots, and every placing of a few faults.
 
-The network and the clock are those of `lab/fleetsim.py`, without chance of their own. While faults are left
+The network and the clock are those of `lab/simulators/`, without chance of their own. While faults are left
 and the window lasts, each datagram may be lost, doubled or late, and before each event a gateway may crash,
 vanish, restart, be paused or partitioned; then all is healed and the rest is played to its end in one move.
 Checked all along: no gateway that runs is held for ended by proof, and no quota share is divided among fewer
@@ -14,7 +14,8 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from granitedock.lab.fleetsim import Node, World
+from granitedock.lab.simulators.membership_simulation import MembershipSimulation, SimulatedNode
+from granitedock.lab.simulators.simulated_network import NetworkConditions
 from granitedock.membership.member import MemberChange, MemberState
 from granitedock.membership.messages import Message
 from granitedock.membership.timing import Timing
@@ -64,12 +65,12 @@
 class Datagram(NamedTuple):
     """A message that leaves a gateway for an address."""
 
-    source: Node
+    source: SimulatedNode
     address: str
     message: Message
 
 
-class MembershipWorld(World):
+class MembershipWorld(MembershipSimulation):
     """The world (`explore.World`).
 
     Moves: one of ARRIVALS_MS alone for the datagram that leaves now, else (NEXT_EVENT,), (HEAL,), (SETTLE,),
@@ -84,15 +85,16 @@
         self.settled = False
         self.intercepting = False  # datagrams, for moves to decide on
         self.started_at: dict[int, float] = {}  # by the number of a gateway that has run
-        super().__init__(shape.gateways, SEED, Timing(), latency_ms=(LATENCY_MS, LATENCY_MS), known=True)
-        self.watch = self.member_changed
-        self.passes = self.lets_through
+        network = NetworkConditions(latency_ms=(LATENCY_MS, LATENCY_MS))
+        super().__init__(shape.gateways, SEED, Timing(), network, already_joined=True)
+        self.on_change = self.member_changed
+        self.delivery_filter = self.lets_through
         self.intercepting = True
         self.faults_end_at = self.now + shape.window_ms
 
     # What the simulation calls.
 
-    def lets_through(self, _source: Node, _target: Node, _message: Message) -> bool:
+    def lets_through(self, _source: SimulatedNode, _target: SimulatedNode, _message: Message) -> bool:
         """Always: only moves lose datagrams."""
         return True
 
@@ -103,21 +105,21 @@
         super().start(n, seeds)
         self.started_at[n] = self.now
 
-    def member_changed(self, _now: float, node: Node, change: MemberChange) -> None:
+    def member_changed(self, _now: float, node: SimulatedNode, change: MemberChange) -> None:
         """Property 1: GONE is proof, and never of one that runs under the same incarnation."""
         member = change.member
-        subject = self.at.get(member.address)
-        if member.state is not MemberState.GONE or subject is None or subject.part is None:
+        subject = self.nodes_by_address.get(member.address)
+        if member.state is not MemberState.GONE or subject is None or subject.local_member is None:
             return
-        if subject.part.membership.local.started_at == member.started_at:
+        if subject.local_member.membership.local.started_at == member.started_at:
             self.found_violations.append(f"g{node.number} holds g{subject.number} for gone, which runs")
 
-    def post(self, node: Node, address: str, message: Message) -> None:
+    def send(self, node: SimulatedNode, address: str, message: Message) -> None:
         """A datagram leaves; while faults are placed, it waits for a move."""
         if self.intercepting and not self.settled:
             self.outgoing.append(Datagram(node, address, message))
         else:
-            super().post(node, address, message)
+            super().send(node, address, message)
 
     # What may happen.
 
@@ -131,11 +133,11 @@
             return [(name,) for name in ARRIVALS_MS]
         found: list[Move] = [(NEXT_EVENT,)]
         for node in self.nodes:
-            if node.part is None:
+            if node.local_member is None:
                 found.append((START, node.number))
             else:
                 found += [(name, node.number) for name in (CRASH, VANISH, PAUSE, PARTITION)]
-        if self.cuts:
+        if self.blocked_links:
             found.append((HEAL,))
         return found
 
@@ -154,9 +156,9 @@
     def _send_next(self, arrivals_ms: tuple[float, ...]) -> None:
         """The datagram that leaves now arrives after each of these times."""
         datagram = self.outgoing.pop(0)
-        target = self.at[datagram.address]
+        target = self.nodes_by_address[datagram.address]
         for after_ms in arrivals_ms:
-            self.later(after_ms, self.come, datagram.source, target, datagram.message)
+            self.schedule(after_ms, self.deliver, datagram.source, target, datagram.message)
 
     def next_event(self) -> None:
         """Go to the next event of the simulation."""
@@ -166,15 +168,15 @@
 
     def vanish(self, number: int) -> None:
         """End a gateway and its machine: connection probes meet silence."""
-        self.crash(number, vanish=True)
+        self.crash(number, host_down=True)
 
     def pause_long(self, number: int) -> None:
         """Pause a gateway's process for PAUSE_MS."""
         self.pause(number, PAUSE_MS)
 
-    def partition(self, number: int) -> None:
+    def isolate(self, number: int) -> None:
         """Cut a gateway off from all others."""
-        self.cut([number], [other for other in range(len(self.nodes)) if other != number])
+        self.partition([number], [other for other in range(len(self.nodes)) if other != number])
 
     def settle(self) -> None:
         """No more faults: what was cut stays so for the stated time, then all is healed for as long."""
@@ -184,8 +186,8 @@
         self._run_checked(CONVERGENCE_MS)
         self.heal()
         self._run_checked(CONVERGENCE_MS)
-        if not self.found_violations and not self.agree():
-            held = {node.number: sorted(self.live_of(node)) for node in self.running()}
+        if not self.found_violations and not self.views_agree():
+            held = {node.number: sorted(self.live_members(node)) for node in self.running_nodes()}
             seconds = f"{CONVERGENCE_MS / 1000:.1f} s"
             self.found_violations.append(f"views differ {seconds} after the last fault: {held}")
 
@@ -199,12 +201,14 @@
     def _check_shares(self) -> None:
         """Property 2: all count whoever has run for a lease among those that may be serving."""
         count = len(self.nodes)
-        lease_ms = self.pace.lease_ms
-        serving = sum(1 for node in self.running() if self.now > self.started_at[node.number] + lease_ms)
-        for node in self.running():
-            if node.part is None or self.now < node.paused_until:
+        lease_ms = self.timing.lease_ms
+        serving = sum(
+            1 for node in self.running_nodes() if self.now > self.started_at[node.number] + lease_ms
+        )
+        for node in self.running_nodes():
+            if node.local_member is None or self.now < node.paused_until:
                 continue  # a paused one decides nothing
-            counted = node.part.active_members(self.now, 0, count)
+            counted = node.local_member.active_members(self.now, 0, count)
             if counted < serving:
                 self.found_violations.append(
                     f"g{node.number} divides by {counted} while {serving} of {count} serve, "
@@ -230,7 +234,7 @@
             self.now,
             self.faults_left,
             self.settled,
-            sorted(self.cuts),
+            sorted(self.blocked_links),
             self.started_at,
             self.outgoing,
         ]
@@ -252,5 +256,5 @@
     VANISH: MembershipWorld.vanish,
     START: MembershipWorld.start,
     PAUSE: MembershipWorld.pause_long,
-    PARTITION: MembershipWorld.partition,
+    PARTITION: MembershipWorld.isolate,
 }
--- a/granitedock/model_checking/state_digest.py
+++ b/granitedock/model_checking/state_digest.py
@@ -33,6 +33,7 @@
         "modelled_gateway",
         "policy_timers",
         "wakes",
+        "timer_number",
         "made",
         "plans",
         "known",
