--- a/granitedock/commands/laboratory.py
+++ b/granitedock/commands/laboratory.py
@@ -107,7 +107,7 @@
 
     try:
         if show_only:
-            command.shown(results.read(output), page, plots, click.echo)
+            command.shown(results.read_results(output), page, plots, click.echo)
             return
         output.parent.mkdir(parents=True, exist_ok=True)
         raise SystemExit(command.scale(quick, output, page, plots, kind, click.echo))
--- a/granitedock/lab/scale/capacity.py
+++ b/granitedock/lab/scale/capacity.py
@@ -1,71 +1,87 @@
 """The tables of docs/CAPACITY.md by role: each figure as slope x count at the operators' size.
 
 A figure is `measured` (by a run of `lab scale`, at the count itself or along its slope), `simulated` (by the
-program's own machines on a simulated wire) or `reckoned` (from settings, limits and other figures). A budget
-is the operators' own; the factor is figure over budget, so above 1 is over."""
+program's own state machines on a simulated wire) or `reckoned` (from settings, limits and other figures). A
+budget is the operators' own; the factor is figure over budget, so above 1 is over budget."""
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Callable
 from math import isinf
 
+from granitedock.lab.scale.control_figures import control_figures
 from granitedock.lab.scale.events import EVENT_HEADS, day_events
-from granitedock.lab.scale.gateway_rows import gateway
-from granitedock.lab.scale.party_rows import client, control, counter, discovery, host
+from granitedock.lab.scale.figures import (
+    FIGURE_HEADS,
+    CapacityFigure,
+    CapacityModel,
+    format_amount,
+    format_factor,
+)
+from granitedock.lab.scale.gateway_figures import gateway_figures
 from granitedock.lab.scale.results import Results
-from granitedock.lab.scale.rows import HEADS, Row, Slopes, amount, over_by
+from granitedock.lab.scale.role_figures import (
+    client_figures,
+    counter_figures,
+    discovery_figures,
+    host_figures,
+)
 from granitedock.lab.scale.sizes import OperatorSize
-from granitedock.lab.scale.tables import figure, table
+from granitedock.lab.scale.tables import format_value, markdown_table
 
-ROLES = {
-    "gateway": gateway,
-    "counter": counter,
-    "discovery": discovery,
-    "control": control,
-    "host": host,
-    "client": client,
+ROLES: dict[str, Callable[[CapacityModel], list[CapacityFigure]]] = {
+    "gateway": gateway_figures,
+    "counter": counter_figures,
+    "discovery": discovery_figures,
+    "control": control_figures,
+    "host": host_figures,
+    "client": client_figures,
 }
+OVER_BUDGET_HEADS = ("figure", "at the size", "budget", "over by", "reached at, in line", "mechanism")
 
 
-def role_rows(results: Results, size: OperatorSize) -> dict[str, list[Row]]:
+def role_figures(results: Results, size: OperatorSize) -> dict[str, list[CapacityFigure]]:
     """Each role's figures."""
-    slopes = Slopes(results, size)
-    return {name: rows(slopes) for name, rows in ROLES.items()}
+    model = CapacityModel(results, size)
+    return {role: figures(model) for role, figures in ROLES.items()}
 
 
-def over_budget(roles: dict[str, list[Row]]) -> list[Row]:
-    """What is over its budget, first what is over by most."""
-    rows = [row for role in roles.values() for row in role if row.factor > 1.0]
-    return sorted(rows, key=lambda row: -row.factor)
+def over_budget(roles: dict[str, list[CapacityFigure]]) -> list[CapacityFigure]:
+    """The figures over their budget, by falling factor."""
+    exceeded = [figure for figures in roles.values() for figure in figures if figure.factor > 1.0]
+    return sorted(exceeded, key=lambda figure: -figure.factor)
 
 
-def shown(rows: Iterable[Row]) -> str:
-    return table(HEADS, (row.cells() for row in rows))
+def budget_reached_at(figure: CapacityFigure) -> str:
+    """At what part of the size the budget is reached, if the figure grows in line with the count."""
+    if isinf(figure.factor):
+        return "the first one"
+    return f"{format_value(1.0 / figure.factor)} of the size"
 
 
-def breaking_part(row: Row) -> str:
-    """By what part of the size the budget is already reached, if the figure grows in line with the count."""
-    if isinf(row.factor):
-        return "the first one"
-    return f"{figure(1.0 / row.factor)} of the size"
+def over_budget_cells(figure: CapacityFigure) -> tuple[str, ...]:
+    """The texts of the columns `OVER_BUDGET_HEADS`."""
+    return (
+        figure.name,
+        format_amount(figure.total, figure.unit),
+        format_amount(figure.budget, figure.unit),
+        format_factor(figure.factor),
+        budget_reached_at(figure),
+        figure.mechanism,
+    )
 
 
 def capacity_sections(results: Results, size: OperatorSize) -> dict[str, str]:
-    """The page's generated parts: a table a role, and what is over its budget."""
-    roles = role_rows(results, size)
-    made = {f"role-{name}": shown(rows) for name, rows in roles.items()}
-    heads = ("figure", "at the size", "budget", "over by", "reached at, in line", "mechanism")
-    rows = [
-        (
-            row.what,
-            amount(row.total, row.unit),
-            amount(row.budget, row.unit),
-            over_by(row.factor),
-            breaking_part(row),
-            row.mechanism,
-        )
-        for row in over_budget(roles)
-    ]
-    made["events"] = table(EVENT_HEADS, (event.cells() for event in day_events(results, size)))
-    made["over"] = table(heads, rows) if rows else "Nothing is over its budget.\n"
-    return made
+    """The page's sections of figures by name: a table a role, the day's events, what is over its budget."""
+    roles = role_figures(results, size)
+    sections = {
+        f"role-{role}": markdown_table(FIGURE_HEADS, (figure.cells() for figure in figures))
+        for role, figures in roles.items()
+    }
+    events = (event.cells() for event in day_events(results, size))
+    sections["events"] = markdown_table(EVENT_HEADS, events)
+    exceeded = [over_budget_cells(figure) for figure in over_budget(roles)]
+    sections["over"] = (
+        markdown_table(OVER_BUDGET_HEADS, exceeded) if exceeded else "Nothing is over its budget.\n"
+    )
+    return sections
--- a/granitedock/lab/scale/command.py
+++ b/granitedock/lab/scale/command.py
@@ -12,7 +12,7 @@
 from granitedock.lab.scale import calls, configuration, documents, fleet, hosts, plans, requests, tables, view
 from granitedock.lab.scale.capacity import capacity_sections
 from granitedock.lab.scale.probe import ScaleError, alone
-from granitedock.lab.scale.results import Machine, Results, read
+from granitedock.lab.scale.results import Machine, Results, read_results
 from granitedock.lab.scale.sizes import FULL, QUICK, OperatorSize, Sizes
 
 SPARE_DESCRIPTORS = 200
@@ -105,7 +105,7 @@
     if only is None:
         results = run.results(quick)
     else:
-        results = read(out)
+        results = read_results(out)
         run.again(results, only)
     results.write(out)
     shown(results, page, plots, say)
@@ -116,17 +116,17 @@
 
 def shown(results: Results, page: Path | None, plots: Path | None, say: Callable[[str], None]) -> None:
     """Tables to the page or, without one, to `say`; plots where a folder is named. Raises ScaleError."""
-    made = tables.sections(results) | capacity_sections(results, OperatorSize())
+    made = tables.measurement_sections(results) | capacity_sections(results, OperatorSize())
     if page is not None:
         try:
-            page.write_text(tables.filled(page.read_text(), made, str(page)))
+            page.write_text(tables.fill_page(page.read_text(), made, str(page)))
         except OSError as fault:
             raise ScaleError(f"{page}: {fault.strerror}") from None
     else:
         for name, text in made.items():
             say(f"## {name}\n\n{text}")
     if plots is not None:
-        from granitedock.lab.scale.plots import draw
+        from granitedock.lab.scale.plots import draw_plots
 
-        for path in draw(results, plots):
+        for path in draw_plots(results, plots):
             say(f"plot in {path}")
--- /dev/null
+++ b/granitedock/lab/scale/gateway_figures.py
@@ -0,0 +1,313 @@
+"""The figures of a gateway at the operators' size."""
+
+from __future__ import annotations
+
+from math import nan
+
+from granitedock.lab.scale.figures import (
+    KIB,
+    MS_A_SECOND_PER_PERCENT,
+    SEGMENT_BYTES,
+    US_A_SECOND_PER_PERCENT,
+    CapacityFigure,
+    CapacityModel,
+    FigureKind,
+    format_product,
+)
+from granitedock.lab.scale.sizes import UPDATES_A_RESTART
+from granitedock.lab.scale.tables import format_value
+
+RELEASE_S = 3600.0
+WATCH_LINE_BYTES = 6.0  # an empty line as a chunk
+MAINTENANCE_A_SECOND = 10.0
+REFRESHES_A_SECOND = 1.0
+ACCOUNT_LIFE_S = 40.0  # how long an idle quota account is kept at most, where no ceiling holds it
+
+
+def gateway_figures(model: CapacityModel) -> list[CapacityFigure]:
+    """All figures of a gateway."""
+    return [
+        *endpoint_list_figures(model),
+        *endpoint_update_figures(model),
+        *plan_figures(model),
+        *platform_file_figures(model),
+        *membership_figures(model),
+        *request_figures(model),
+    ]
+
+
+def endpoint_list_figures(model: CapacityModel) -> list[CapacityFigure]:
+    """Memory and periodic work of the list of hosts."""
+    size = model.size
+    memory = model.fit("hosts", "hosts", "memory_mb")
+    maintenance_ms = model.value_at("hosts", "hosts", "sweep_ms", size.hosts)
+    refresh_ms = model.value_at("hosts", "hosts", "look_round_ms", size.hosts)
+    periodic_ms = refresh_ms * REFRESHES_A_SECOND + maintenance_ms * MAINTENANCE_A_SECOND
+    return [
+        CapacityFigure(
+            name="list of hosts, memory",
+            calculation=format_product(memory.slope * KIB, "KiB", size.hosts, "hosts"),
+            total=model.value_at("hosts", "hosts", "memory_mb", size.hosts),
+            unit="MB",
+            source="hosts",
+            kind=FigureKind.MEASURED,
+            mechanism="`EndpointList.by_name`, `Fleet.known`",
+            budget=size.control_memory_mb,
+        ),
+        CapacityFigure(
+            name="list of hosts, look round and sweep",
+            calculation=f"{format_value(refresh_ms)} ms x {REFRESHES_A_SECOND:g}/s + "
+            f"{format_value(maintenance_ms)} ms x {MAINTENANCE_A_SECOND:g}/s",
+            total=periodic_ms / MS_A_SECOND_PER_PERCENT,
+            unit="% of a core",
+            source="hosts",
+            kind=FigureKind.MEASURED,
+            mechanism="`Fleet.look_round`, `GatewayStateMachine.maintain`, whole list each time",
+            budget=size.control_core_percent,
+        ),
+    ]
+
+
+def endpoint_update_figures(model: CapacityModel) -> list[CapacityFigure]:
+    """Endpoint updates: on an ordinary day, in a release, the full list, and the watch's bytes."""
+    size = model.size
+    update_ms = model.value_at("hosts", "hosts", "change_ms", size.hosts)
+    return [
+        CapacityFigure(
+            name="changes of hosts",
+            calculation=format_product(update_ms, "ms", size.endpoint_updates_a_day, "changes a day"),
+            total=update_ms * size.endpoint_updates_a_second / MS_A_SECOND_PER_PERCENT,
+            unit="% of a core",
+            source="hosts",
+            kind=FigureKind.MEASURED,
+            mechanism="watch, `Fleet.roster`",
+            budget=size.control_core_percent,
+        ),
+        CapacityFigure(
+            name=f"changes of hosts in a release of all within {RELEASE_S / 60:g} minutes",
+            calculation=f"{format_value(update_ms)} ms x {format_value(UPDATES_A_RESTART)} lists x "
+            f"{format_value(size.hosts)} hosts",
+            total=update_ms * UPDATES_A_RESTART * size.hosts / RELEASE_S / MS_A_SECOND_PER_PERCENT,
+            unit="% of a core",
+            source="hosts",
+            kind=FigureKind.MEASURED,
+            mechanism="each change goes over all hosts (`Fleet.roster`); "
+            "lists that name several at once cost one",
+            budget=size.control_core_percent,
+        ),
+        full_list_figure(model),
+        watch_bytes_figure(model),
+    ]
+
+
+def full_list_figure(model: CapacityModel) -> CapacityFigure:
+    """One turn of the event loop for a full list."""
+    hosts = model.size.hosts
+    apply_ms = model.value_at("hosts", "hosts", "take_in_ms", hosts)
+    full_list_ms = apply_ms + model.value_at("hosts", "hosts", "read_ms", hosts)
+    return CapacityFigure(
+        name="whole list, one turn of the loop",
+        calculation=format_product(full_list_ms / hosts, "ms", hosts, "hosts"),
+        total=full_list_ms,
+        unit="ms",
+        source="hosts",
+        kind=FigureKind.MEASURED,
+        mechanism="only at a start or where the watch is reset",
+    )
+
+
+def watch_bytes_figure(model: CapacityModel) -> CapacityFigure:
+    """Bytes of a gateway's watch on discovery: heartbeats and updates."""
+    size = model.size
+    fleets = model.results.fleets
+    update_bytes = fleets[-1].change_bytes if fleets else nan
+    return CapacityFigure(
+        name="watch on discovery, bytes",
+        calculation=f"{WATCH_LINE_BYTES:g} B/s + {format_value(update_bytes)} B x "
+        f"{format_value(size.endpoint_updates_a_day)} a day",
+        total=WATCH_LINE_BYTES + update_bytes * size.endpoint_updates_a_second,
+        unit="B/s",
+        source="fleets",
+        kind=FigureKind.MEASURED,
+        mechanism="changes only",
+        budget=size.control_bytes_a_second,
+    )
+
+
+def plan_figures(model: CapacityModel) -> list[CapacityFigure]:
+    """Memory of the plans and of the quota accounts in use."""
+    size = model.size
+    memory = model.fit("plans", "plans", "memory_mb")
+    account_bytes = model.value_at("plans", "plans", "book_bytes", size.plans)
+    accounts = size.requests_a_gateway * ACCOUNT_LIFE_S
+    return [
+        CapacityFigure(
+            name="plans, memory",
+            calculation=format_product(memory.slope * KIB, "KiB", size.plans, "plans"),
+            total=model.value_at("plans", "plans", "memory_mb", size.plans),
+            unit="MB",
+            source="plans",
+            kind=FigureKind.MEASURED,
+            mechanism="`InFlightRequests.plans`",
+            budget=size.control_memory_mb,
+        ),
+        CapacityFigure(
+            name="books of customers in use, memory",
+            calculation=format_product(
+                account_bytes, "B", accounts, "books, if each request is another customer's"
+            ),
+            total=account_bytes * accounts / KIB**2,
+            unit="MB",
+            source="plans",
+            kind=FigureKind.RECKONED,
+            mechanism="`Gateway.book`, dropped at rest",
+            budget=size.control_memory_mb,
+        ),
+    ]
+
+
+def platform_file_figures(model: CapacityModel) -> list[CapacityFigure]:
+    """The platform's file: processor time and bytes if it were read whole at each change."""
+    size = model.size
+    read_ms = model.value_at("plans", "plans", "read_ms", size.plans)
+    file_bytes = model.value_at("plans", "plans", "file_bytes", size.plans)
+    return [
+        CapacityFigure(
+            name="the platform's file, read whole at each change",
+            calculation=format_product(read_ms, "ms", size.changes_a_day, "a day"),
+            total=read_ms * size.changes_a_second / MS_A_SECOND_PER_PERCENT,
+            unit="% of a core",
+            source="plans",
+            kind=FigureKind.MEASURED,
+            mechanism="SIGHUP takes addresses only; a change needs a restart",
+            budget=size.control_core_percent,
+        ),
+        CapacityFigure(
+            name="the platform's file, one turn of the loop",
+            calculation=format_product(read_ms / size.plans, "ms", size.plans, "plans"),
+            total=read_ms,
+            unit="ms",
+            source="plans",
+            kind=FigureKind.MEASURED,
+            mechanism="at a start",
+        ),
+        CapacityFigure(
+            name="the platform's file, bytes if sent at each change",
+            calculation=format_product(file_bytes, "B", size.changes_a_day, "a day"),
+            total=file_bytes * size.changes_a_second,
+            unit="B/s",
+            source="plans",
+            kind=FigureKind.MEASURED,
+            mechanism="none",
+            budget=size.control_bytes_a_second,
+        ),
+    ]
+
+
+def membership_figures(model: CapacityModel) -> list[CapacityFigure]:
+    """Bytes and processor time of the membership protocol."""
+    size = model.size
+    sent_bytes = model.value_at("view", "gateways", "bytes_a_second", size.gateways)
+    cpu_ms = model.value_at("view", "gateways", "cpu_ms_a_second", size.gateways)
+    messages = model.value_at("view", "gateways", "messages_a_second", size.gateways)
+    return [
+        CapacityFigure(
+            name="view of the fleet, bytes sent and received",
+            calculation=f"2 x {format_value(messages)} datagrams/s of "
+            f"{format_value(sent_bytes / messages)} B, whatever the count",
+            total=2.0 * sent_bytes,
+            unit="B/s",
+            source="view",
+            kind=FigureKind.SIMULATED,
+            mechanism="`fleet/`, off in `run`",
+            budget=size.control_bytes_a_second,
+        ),
+        CapacityFigure(
+            name="view of the fleet, processor",
+            calculation=format_product(cpu_ms, "ms/s", 1, "gateway"),
+            total=cpu_ms / MS_A_SECOND_PER_PERCENT,
+            unit="% of a core",
+            source="view",
+            kind=FigureKind.SIMULATED,
+            mechanism="`fleet/`, off in `run`",
+            budget=size.control_core_percent,
+        ),
+    ]
+
+
+def request_figures(model: CapacityModel) -> list[CapacityFigure]:
+    """Processor time and latency of requests, and the counter calls that they make; none without a measured
+    load with counting."""
+    size = model.size
+    with_counting = [one for one in model.results.requests if one.counting]
+    if not with_counting:
+        return []
+    cost = with_counting[-1]
+    rate = size.requests_a_gateway
+    return [
+        CapacityFigure(
+            name="requests, processor",
+            calculation=format_product(cost.cpu_us, "us", rate, "requests/s"),
+            total=cost.cpu_us * rate / US_A_SECOND_PER_PERCENT,
+            unit="% of a core",
+            source="requests",
+            kind=FigureKind.MEASURED,
+            mechanism="one process on one core",
+            budget=100.0,
+        ),
+        CapacityFigure(
+            name="added to a request, p99",
+            calculation=f"p99 {format_value(cost.p99_ms)} ms through, "
+            f"{format_value(cost.direct_p99_ms)} ms direct, "
+            f"{format_value(cost.hosts)} hosts, {format_value(rate)}/s",
+            total=cost.p99_ms - cost.direct_p99_ms,
+            unit="ms",
+            source="requests",
+            kind=FigureKind.MEASURED,
+            mechanism="counter's budget, connections kept",
+            budget=size.added_p99_ms,
+        ),
+        *counter_call_figures(model),
+    ]
+
+
+def counter_call_figures(model: CapacityModel) -> list[CapacityFigure]:
+    """Processor time and bytes of the calls to the counter, if they count as control traffic."""
+    size = model.size
+    rate = size.requests_a_gateway
+    counting_us = mean_counting_us(model)
+    call = model.results.calls[-1]
+    call_bytes = call.call_bytes + call.answer_bytes + 2.0 * SEGMENT_BYTES
+    return [
+        CapacityFigure(
+            name="calls to the counter, processor, if they are control",
+            calculation=f"{format_product(counting_us, 'us', rate, 'calls/s')} "
+            "(with less without counting, mean over hosts)",
+            total=counting_us * rate / US_A_SECOND_PER_PERCENT,
+            unit="% of a core",
+            source="requests",
+            kind=FigureKind.MEASURED,
+            mechanism="one call a request",
+            budget=size.control_core_percent,
+        ),
+        CapacityFigure(
+            name="calls to the counter, bytes, if they are control",
+            calculation=format_product(call_bytes, "B", rate, "calls/s, a segment each way"),
+            total=call_bytes * rate,
+            unit="B/s",
+            source="calls",
+            kind=FigureKind.RECKONED,
+            mechanism="one call a request",
+            budget=size.control_bytes_a_second,
+        ),
+    ]
+
+
+def mean_counting_us(model: CapacityModel) -> float:
+    """Processor time that counting adds to a request, us, the mean over all counts of hosts; nan where only
+    one of the two was measured."""
+    counted = [cost.cpu_us for cost in model.results.requests if cost.counting]
+    uncounted = [cost.cpu_us for cost in model.results.requests if not cost.counting]
+    if not counted or not uncounted:
+        return nan
+    return sum(counted) / len(counted) - sum(uncounted) / len(uncounted)
--- a/granitedock/lab/scale/plots.py
+++ b/granitedock/lab/scale/plots.py
@@ -3,46 +3,64 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 import matplotlib
 
 matplotlib.use("Agg")
 
-from matplotlib import pyplot  # noqa: E402
+from matplotlib import pyplot  # noqa: E402 - the backend is chosen before
 
-from granitedock.lab.scale.results import Results  # noqa: E402
+from granitedock.lab.scale.results import Cost, Results  # noqa: E402 - the backend is chosen before
 
-SHAPE = (8.0, 5.0)
+FIGURE_INCHES = (8.0, 5.0)
+DOTS_AN_INCH = 90
 
 
-def drawn(path: Path, rows: Sequence[Any], count: str, costs: Sequence[str], unit: str) -> Path:
+@dataclass(frozen=True, slots=True)
+class Plot:
+    """One plot: some costs of a kind by its count, with the unit of the costs' axis."""
+
+    name: str
+    kind: str
+    count: str
+    costs: tuple[str, ...]
+    unit: str
+
+
+PLOTS = (
+    Plot("hosts", "hosts", "hosts", ("read_ms", "take_in_ms", "change_ms", "look_round_ms"), "ms"),
+    Plot("plans", "plans", "plans", ("read_ms", "decode_ms"), "ms"),
+    Plot("view", "view", "gateways", ("messages_a_second", "bytes_a_second"), "a second"),
+    Plot("fleet", "fleets", "gateways", ("first_list_s", "change_p50_s", "change_worst_s"), "s"),
+)
+
+
+def draw_plot(path: Path, plot: Plot, measurements: Sequence[Cost]) -> None:
     """Costs by count, both axes logarithmic, so that a straight line of slope one is linear growth."""
-    figure, axes = pyplot.subplots(figsize=SHAPE)
-    for cost in costs:
-        points = [(getattr(row, count), getattr(row, cost)) for row in rows if getattr(row, cost) > 0]
+    figure, axes = pyplot.subplots(figsize=FIGURE_INCHES)
+    for cost in plot.costs:
+        points = [
+            (getattr(one, plot.count), getattr(one, cost)) for one in measurements if getattr(one, cost) > 0
+        ]
         axes.plot(*zip(*points, strict=True), marker="o", label=cost.replace("_", " "))
-    axes.set(xscale="log", yscale="log", xlabel=count.replace("_", " "), ylabel=unit)
+    axes.set(xscale="log", yscale="log", xlabel=plot.count.replace("_", " "), ylabel=plot.unit)
     axes.grid(True, which="both", alpha=0.3)
     axes.legend()
     figure.tight_layout()
-    figure.savefig(path, dpi=90)
+    figure.savefig(path, dpi=DOTS_AN_INCH)
     pyplot.close(figure)
-    return path
 
 
-def draw(results: Results, folder: Path) -> list[Path]:
-    """All plots that the results have rows for; the files made."""
+def draw_plots(results: Results, folder: Path) -> list[Path]:
+    """Draw all plots that the results have at least two measurements for; the files written."""
     folder.mkdir(parents=True, exist_ok=True)
-    cases = [
-        ("hosts", results.hosts, "hosts", ("read_ms", "take_in_ms", "change_ms", "look_round_ms"), "ms"),
-        ("plans", results.plans, "plans", ("read_ms", "decode_ms"), "ms"),
-        ("view", results.view, "gateways", ("messages_a_second", "bytes_a_second"), "a second"),
-        ("fleet", results.fleets, "gateways", ("first_list_s", "change_p50_s", "change_worst_s"), "s"),
-    ]
-    return [
-        drawn(folder / f"scale-{name}.png", rows, count, costs, unit)
-        for name, rows, count, costs, unit in cases
-        if len(rows) > 1
-    ]
+    paths = []
+    for plot in PLOTS:
+        measurements = results.measurements(plot.kind)
+        if len(measurements) > 1:
+            path = folder / f"scale-{plot.name}.png"
+            draw_plot(path, plot, measurements)
+            paths.append(path)
+    return paths
--- a/granitedock/lab/scale/sizes.py
+++ b/granitedock/lab/scale/sizes.py
@@ -6,8 +6,10 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 SECONDS_A_DAY = 86_400.0
+UPDATES_A_RESTART = 3  # endpoint updates that a host's restart makes: draining, gone, back
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,12 +36,38 @@
 
     @property
     def requests_a_gateway(self) -> float:
+        """Requests a second at one gateway."""
         return self.requests_a_second / self.gateways
 
     @property
     def changes_a_second(self) -> float:
+        """Changes of the configuration a second, the day's mean."""
         return self.changes_a_day / SECONDS_A_DAY
 
+    @property
+    def endpoint_updates_a_day(self) -> float:
+        """Endpoint updates that the day's restarts of hosts make."""
+        return self.restarts_a_day * UPDATES_A_RESTART
+
+    @property
+    def endpoint_updates_a_second(self) -> float:
+        """The same a second, the day's mean."""
+        return self.endpoint_updates_a_day / SECONDS_A_DAY
+
+    @property
+    def control_core_percent(self) -> float:
+        """A gateway's budget of processor time for control, % of a core."""
+        return 100.0 * self.control_core
+
+
+class ConfigurationCase(NamedTuple):
+    """Sizes of one measurement of the configuration service."""
+
+    gateways: int
+    plans: int
+    hosts: int
+    control_processes: int
+
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
@@ -55,7 +83,7 @@
     view_seconds: float
     hollow_gateways: tuple[int, ...]
     hollow_hosts: int
-    configuration: tuple[tuple[int, int, int, int], ...]  # gateways, plans, hosts, control processes
+    configuration: tuple[ConfigurationCase, ...]
 
 
 FULL = Sizes(
@@ -69,7 +97,11 @@
     view_seconds=10.0,
     hollow_gateways=(50, 125, 250, 500),
     hollow_hosts=7_900,
-    configuration=((125, 21_000, 7_900, 4), (250, 21_000, 7_900, 1), (500, 21_000, 7_900, 4)),
+    configuration=(
+        ConfigurationCase(gateways=125, plans=21_000, hosts=7_900, control_processes=4),
+        ConfigurationCase(gateways=250, plans=21_000, hosts=7_900, control_processes=1),
+        ConfigurationCase(gateways=500, plans=21_000, hosts=7_900, control_processes=4),
+    ),
 )
 QUICK = Sizes(
     hosts=(500, 2_000, 4_000, 7_900),
@@ -82,5 +114,5 @@
     view_seconds=3.0,
     hollow_gateways=(50,),
     hollow_hosts=500,
-    configuration=((20, 1_000, 50, 2),),
+    configuration=(ConfigurationCase(gateways=20, plans=1_000, hosts=50, control_processes=2),),
 )
--- a/granitedock/lab/scale/tables.py
+++ b/granitedock/lab/scale/tables.py
@@ -5,26 +5,17 @@
 import re
 from collections.abc import Iterable, Sequence
 from dataclasses import fields
-from typing import Any
 
+from granitedock.lab.scale.growth import growth_form
 from granitedock.lab.scale.probe import ScaleError
-from granitedock.lab.scale.results import Results, form
+from granitedock.lab.scale.results import Cost, Results
 
 SECTION = re.compile(r"(<!-- scale:([a-z-]+) -->\n).*?(<!-- /scale -->)", re.DOTALL)
-TITLES = {
-    "hosts": "per host, one gateway",
-    "plans": "per plan, one gateway",
-    "view": "the view of the fleet, simulated wire",
-    "requests": "requests at one gateway",
-    "calls": "calls to one counter stand-in",
-    "fleets": "hollow gateways on one machine",
-    "documents": "the configuration's document",
-    "configuration": "hollow gateways that follow control processes",
-}
-
-
-def figure(value: Any) -> str:
-    """A number with the digits that mean something."""
+SECTION_KINDS = ("hosts", "plans", "view", "requests", "calls", "fleets", "documents", "configuration")
+
+
+def format_value(value: object) -> str:
+    """A cell's text; a number has the digits that are significant."""
     if isinstance(value, bool):
         return "yes" if value else "no"
     if not isinstance(value, float):
@@ -39,56 +30,70 @@
     return f"{value:.3g}" if size else "0"
 
 
-def table(heads: Iterable[str], rows: Iterable[Iterable[Any]]) -> str:
-    """A Markdown table."""
+def markdown_table(heads: Iterable[str], rows: Iterable[Iterable[object]]) -> str:
+    """A Markdown table with its closing line feed."""
     heads = list(heads)
     lines = [f"| {' | '.join(heads)} |", f"|{' --- |' * len(heads)}"]
-    lines += [f"| {' | '.join(map(figure, row))} |" for row in rows]
+    lines += [f"| {' | '.join(map(format_value, row))} |" for row in rows]
     return "\n".join(lines) + "\n"
 
 
-def words(name: str) -> str:
+def column_head(field_name: str) -> str:
     """A field's name as a table's head."""
-    return name.replace("_a_second", "/s").replace("_", " ")
+    return field_name.replace("_a_second", "/s").replace("_", " ")
 
 
-def measured(rows: Sequence[Any]) -> str:
-    """All fields of the rows, a line each, with how each grows by the first field behind."""
-    if not rows:
+def measurement_table(measurements: Sequence[Cost]) -> str:
+    """All fields of the measurements, a line each, followed by how each grows with the first field."""
+    if not measurements:
         return "Not measured in this run.\n"
-    names = [one.name for one in fields(rows[0])]
-    body = [[getattr(row, name) for name in names] for row in rows]
-    shown = table(map(words, names), body)
+    first = measurements[0]
+    names = [one.name for one in fields(first)]
+    rows = [[getattr(one, name) for name in names] for one in measurements]
+    table = markdown_table(map(column_head, names), rows)
     count = names[0]
-    if len({getattr(row, count) for row in rows}) != len(rows) or len(rows) < 2:
-        return shown
-    grows = [f"{words(name)}: {form(rows, count, name)}" for name in names[1:] if numeric(rows[0], name)]
-    return shown + "\nBy " + words(count) + ": " + "; ".join(grows) + ".\n"
-
-
-def numeric(row: Any, name: str) -> bool:
-    value = getattr(row, name)
+    distinct_counts = {getattr(one, count) for one in measurements}
+    if len(distinct_counts) != len(measurements) or len(measurements) < 2:
+        return table
+    growth = [
+        f"{column_head(name)}: {growth_form(measurements, count, name)}"
+        for name in names[1:]
+        if is_number(getattr(first, name))
+    ]
+    return f"{table}\nBy {column_head(count)}: {'; '.join(growth)}.\n"
+
+
+def is_number(value: object) -> bool:
+    """Whether this is a number and no flag."""
     return isinstance(value, int | float) and not isinstance(value, bool)
 
 
-def sections(results: Results) -> dict[str, str]:
-    """The measured tables by name."""
+def machine_text(results: Results) -> str:
+    """Where and when the measurements were taken, and which are missing."""
     machine = results.machine
-    said = (
+    text = (
         f"{machine.cores} cores, Python {machine.python}; load {machine.load_before:.1f} before and "
         f"{machine.load_after:.1f} after{', quick sizes' if results.quick else ''}.\n"
     )
     if results.not_taken:
-        said += "\nNot taken in that run: " + "; ".join(results.not_taken) + ".\n"
+        text += "\nNot taken in that run: " + "; ".join(results.not_taken) + ".\n"
     if results.taken_later:
-        said += "\nMeasured again by themselves after it: " + ", ".join(results.taken_later) + ".\n"
-    return {"machine": said} | {kind: measured(getattr(results, kind)) for kind in TITLES}
+        text += "\nMeasured again by themselves after it: " + ", ".join(results.taken_later) + ".\n"
+    return text
+
+
+def measurement_sections(results: Results) -> dict[str, str]:
+    """The page's sections of measurements by name."""
+    sections = {"machine": machine_text(results)}
+    for kind in SECTION_KINDS:
+        sections[kind] = measurement_table(results.measurements(kind))
+    return sections
 
 
-def filled(page: str, made: dict[str, str], name: str) -> str:
-    """The page with each `<!-- scale:NAME -->` section made anew. Raises ScaleError for a name that is not
-    made, `name` being the page's file."""
-    missing = sorted({found for _, found, _ in SECTION.findall(page)} - made.keys())
+def fill_page(page: str, sections: dict[str, str], file_name: str) -> str:
+    """The page with the text of each `<!-- scale:NAME -->` section replaced. Raises ScaleError, naming the
+    page's file, for a section that is not in `sections`."""
+    missing = sorted({name for _, name, _ in SECTION.findall(page)} - sections.keys())
     if missing:
-        raise ScaleError(f"{name}: no such section of figures: {', '.join(missing)}")
-    return SECTION.sub(lambda found: f"{found[1]}\n{made[found[2]]}\n{found[3]}", page)
+        raise ScaleError(f"{file_name}: no such section of figures: {', '.join(missing)}")
+    return SECTION.sub(lambda match: f"{match[1]}\n{sections[match[2]]}\n{match[3]}", page)
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -102,17 +102,17 @@
 
 
 def read_capacity(path):
-    from granitedock.lab.scale.results import read
+    from granitedock.lab.scale.results import read_results
 
-    return read(path)
+    return read_results(path)
 
 
 def capacity_figures(results):
     """Each role's figures: [total, budget] at the operators' size, as their shortest decimal text."""
-    from granitedock.lab.scale.capacity import role_rows
+    from granitedock.lab.scale.capacity import role_figures
     from granitedock.lab.scale.sizes import OperatorSize
 
-    rows = role_rows(results, OperatorSize())
+    rows = role_figures(results, OperatorSize())
     return {role: [[repr(row.total), repr(row.budget)] for row in found] for role, found in rows.items()}
 
 
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -8,12 +8,13 @@
 
 from granitedock import platform_file as told
 from granitedock.lab.scale import calls, command, documents, fleet, hosts, plans, requests, view
-from granitedock.lab.scale.capacity import capacity_sections, over_budget, role_rows
+from granitedock.lab.scale.capacity import capacity_sections, over_budget, role_figures
+from granitedock.lab.scale.growth import fit_line, growth_form
 from granitedock.lab.scale.platform import host_list, platform_file
 from granitedock.lab.scale.probe import ScaleError, cpu_ms
-from granitedock.lab.scale.results import Machine, Results, form, read, slope
+from granitedock.lab.scale.results import Machine, Results, read_results
 from granitedock.lab.scale.sizes import FULL, OperatorSize
-from granitedock.lab.scale.tables import filled
+from granitedock.lab.scale.tables import fill_page
 from granitedock.service.discovery_protocol import parse_endpoint_list
 
 
@@ -35,9 +36,9 @@
 
 def test_a_list_of_hosts_grows_in_line_and_a_change_of_it_has_the_same_size_at_any_count():
     rows = [hosts.measure(count) for count in (50, 200, 800)]
-    assert form(rows, "hosts", "list_bytes") == "linear"
-    assert form(rows, "hosts", "change_bytes") == "flat"
-    assert form(rows, "hosts", "memory_mb") == "linear"
+    assert growth_form(rows, "hosts", "list_bytes") == "linear"
+    assert growth_form(rows, "hosts", "change_bytes") == "flat"
+    assert growth_form(rows, "hosts", "memory_mb") == "linear"
     taken = [
         steps(lambda count=count: hosts.filled(parse_endpoint_list(host_list(count)))) / count
         for count in (200, 800)
@@ -47,8 +48,8 @@
 
 def test_the_platforms_file_takes_steps_and_memory_in_line_with_its_plans():
     rows = [plans.measure(count) for count in (200, 400, 800)]
-    assert form(rows, "plans", "file_bytes") == "linear"
-    assert form(rows, "plans", "memory_mb") == "linear"
+    assert growth_form(rows, "plans", "file_bytes") == "linear"
+    assert growth_form(rows, "plans", "memory_mb") == "linear"
     files = {count: platform_file(count) for count in (200, 800)}
     checked = [steps(lambda file=file: told.validation_errors(file)) / count for count, file in files.items()]
     assert checked[1] < 1.2 * checked[0]
@@ -56,8 +57,8 @@
 
 def test_a_change_of_the_document_has_the_same_size_at_any_count_and_a_snapshot_grows_in_line():
     rows = [documents.measure(count) for count in (200, 800)]
-    assert form(rows, "plans", "snapshot_bytes") == "linear"
-    assert form(rows, "plans", "memory_mb") == "linear"
+    assert growth_form(rows, "plans", "snapshot_bytes") == "linear"
+    assert growth_form(rows, "plans", "memory_mb") == "linear"
 
 
 def test_names_that_stand_twice_are_looked_for_in_one_pass_over_the_plans():
@@ -71,8 +72,8 @@
 
 def test_the_views_load_of_a_gateway_does_not_grow_with_the_fleet():
     rows = [view.measure(count, 2.0) for count in (40, 120)]
-    assert form(rows, "gateways", "messages_a_second") == "flat"
-    assert form(rows, "gateways", "bytes_a_second") == "flat"
+    assert growth_form(rows, "gateways", "messages_a_second") == "flat"
+    assert growth_form(rows, "gateways", "bytes_a_second") == "flat"
 
 
 def test_hollow_gateways_over_real_sockets_all_get_the_list_and_each_change_in_a_few_bytes(monkeypatch):
@@ -97,19 +98,19 @@
 
 def test_slopes_are_read_off_and_a_page_is_filled_by_name():
     rows = [plans.PlanCost(count, 10 * count + 5, 1.0, 1.0, 1.0, 1.0) for count in (1, 2, 5)]
-    line = slope(rows, "plans", "file_bytes")
-    assert (round(line.each, 6), round(line.besides, 6)) == (10, 5)
+    line = fit_line(rows, "plans", "file_bytes")
+    assert (round(line.slope, 6), round(line.intercept, 6)) == (10, 5)
     page = "a\n<!-- scale:hosts -->\nold\n<!-- /scale -->\nb\n"
-    assert filled(page, {"hosts": "new"}, "p.md") == "a\n<!-- scale:hosts -->\n\nnew\n<!-- /scale -->\nb\n"
+    assert fill_page(page, {"hosts": "new"}, "p.md") == "a\n<!-- scale:hosts -->\n\nnew\n<!-- /scale -->\nb\n"
     with pytest.raises(ScaleError, match=r"p\.md: no such section of figures: hosts"):
-        filled(page, {}, "p.md")
+        fill_page(page, {}, "p.md")
 
 
 def test_results_that_are_none_are_named_with_their_file(tmp_path):
     path = tmp_path / "scale.json"
     path.write_text('{"machine": {}}')
     with pytest.raises(ScaleError, match=r"scale\.json: no results of lab scale"):
-        read(path)
+        read_results(path)
 
 
 def made_up_results():
@@ -128,15 +129,15 @@
 
 def test_a_change_in_force_is_what_is_missing_first_and_figures_are_slope_by_count(tmp_path):
     results = made_up_results()
-    over = over_budget(role_rows(results, OperatorSize()))
-    assert over[0].what.startswith("a change in force") and isinf(over[0].factor)
-    assert any(row.what.startswith("calls a second to one counter") and row.factor == 2.0 for row in over)
+    over = over_budget(role_figures(results, OperatorSize()))
+    assert over[0].name.startswith("a change in force") and isinf(over[0].factor)
+    assert any(row.name.startswith("calls a second to one counter") and row.factor == 2.0 for row in over)
     made = capacity_sections(results, OperatorSize())
     assert "| never |" in made["role-control"]
     assert "100.0 us x 160.0 calls/s" in made["role-gateway"]
     assert "7,900 hosts | 7.9 MB" in made["role-gateway"]
     results.write(tmp_path / "scale.json")
-    assert read(tmp_path / "scale.json") == results
+    assert read_results(tmp_path / "scale.json") == results
 
 
 def test_the_operators_size_is_told_a_gateway_and_a_second():
