--- a/granitedock/commands/laboratory.py
+++ b/granitedock/commands/laboratory.py
@@ -103,7 +103,7 @@
     """Measure what hosts, plans, gateways, requests, calls and changes cost, up to the operators' size; keeps
     one JSON and makes the tables of docs/CAPACITY.md. Exits with 1 if a measurement could not be taken."""
     from granitedock.lab.scale import command, results
-    from granitedock.lab.scale.probe import ScaleError
+    from granitedock.lab.scale.errors import ScaleError
 
     try:
         if show_only:
--- a/granitedock/lab/scale/calls.py
+++ b/granitedock/lab/scale/calls.py
@@ -9,7 +9,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from granitedock.lab.scale.probe import ScaleError, process_cpu_s
+from granitedock.lab.scale.errors import ScaleError
+from granitedock.lab.scale.probe import process_cpu_s
 from granitedock.lab.scale.requests import process, worded
 from granitedock.service.counter_protocol import encode_call
 
--- a/granitedock/lab/scale/command.py
+++ b/granitedock/lab/scale/command.py
@@ -11,7 +11,8 @@
 
 from granitedock.lab.scale import calls, configuration, documents, fleet, hosts, plans, requests, tables, view
 from granitedock.lab.scale.capacity import capacity_sections
-from granitedock.lab.scale.probe import ScaleError, alone
+from granitedock.lab.scale.errors import ScaleError
+from granitedock.lab.scale.probe import run_in_fresh_process
 from granitedock.lab.scale.results import Machine, Results, read_results
 from granitedock.lab.scale.sizes import FULL, QUICK, OperatorSize, Sizes
 
@@ -48,7 +49,7 @@
         for case in cases:
             self.say(f"{kind}: {', '.join(str(part) for part in case)}")
             try:
-                rows.append(alone(measure, *case))
+                rows.append(run_in_fresh_process(measure, *case))
             except (ScaleError, OSError) as fault:
                 self.not_taken.append(f"{kind} at {', '.join(str(part) for part in case)} ({fault})")
         return rows
--- a/granitedock/lab/scale/configuration.py
+++ b/granitedock/lab/scale/configuration.py
@@ -17,9 +17,10 @@
 
 from granitedock.configuration import control_client
 from granitedock.configuration.http_records import ControlStatusRecord
+from granitedock.lab.scale.errors import ScaleError
 from granitedock.lab.scale.fleet import HollowFleet, Usage, commanded, hollow_fleet
 from granitedock.lab.scale.platform import platform_file
-from granitedock.lab.scale.probe import ScaleError, memory_mb, process_cpu_s, quantile
+from granitedock.lab.scale.probe import memory_mb, process_cpu_s, quantile
 
 CLUSTER = "lab"
 CONTROLS = 4
--- a/granitedock/lab/scale/documents.py
+++ b/granitedock/lab/scale/documents.py
@@ -1,5 +1,4 @@
-"""What the configuration's document costs a gateway and a control process per plan; in one process, no
-sockets."""
+"""What the configuration's document costs a gateway and a control process per plan; no sockets."""
 
 from __future__ import annotations
 
@@ -14,18 +13,20 @@
 from granitedock.configuration.document_store import DocumentStore
 from granitedock.configuration.gateway_applier import GatewayApplier
 from granitedock.configuration.message_codec import decode
-from granitedock.configuration.messages import Page, SnapshotBegins
+from granitedock.configuration.messages import Page, SnapshotBegins, SnapshotEnds
 from granitedock.configuration.replicated_document import ReplicatedDocument
-from granitedock.lab.scale.hosts import state_machine
-from granitedock.lab.scale.platform import platform_file, settings
+from granitedock.lab.scale.hosts import build_state_machine
+from granitedock.lab.scale.platform import platform_file, platform_settings
 from granitedock.lab.scale.probe import MIB, allocated_bytes, cpu_ms
 
 NOW_MS = 1e12
+CLUSTER = "lab"
+SOURCE = "made up"  # who made the changes, for the document's history
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentCost:
-    """At so many plans: bytes of a whole snapshot; processor ms to make it at control, and to take it in at a
+    """At so many plans: bytes of a snapshot; processor ms to make it at control, and to apply it at a
     gateway; the longest turn of the gateway's loop for one of its lines, ms; MiB of the document at a
     gateway; ms to open the store, to apply one change at control (with its disk), and to apply it at a
     gateway."""
@@ -41,67 +42,94 @@
     gateway_change_ms: float
 
 
-def fresh_document() -> ReplicatedDocument:
-    """A gateway that has only the platform's file."""
-    return ReplicatedDocument(GatewayApplier(state_machine(platform_file()), lambda: NOW_MS))
+@dataclass(frozen=True, slots=True)
+class ChangeTimes:
+    """Elapsed ms of one change at control, with its disk, and at a gateway."""
+
+    control_ms: float
+    gateway_ms: float
+
 
+def new_document() -> ReplicatedDocument:
+    """The document of a gateway that has only the platform's file."""
+    return ReplicatedDocument(GatewayApplier(build_state_machine(platform_file()), lambda: NOW_MS))
 
-def taken_in(document: ReplicatedDocument, lines: list[bytes]) -> float:
-    """All lines of a snapshot; the ms of the longest."""
+
+def apply_snapshot(document: ReplicatedDocument, lines: list[bytes]) -> float:
+    """Apply all lines of a snapshot; the elapsed ms of the longest."""
     longest = 0.0
     for line in lines:
-        began = time.perf_counter()
-        message = decode(line)
-        if isinstance(message, SnapshotBegins):
-            document.begin_snapshot()
-        elif isinstance(message, Page):
-            document.add_page(message.edit)
-        else:
-            document.end_snapshot(message.version, message.digest)
-        longest = max(longest, time.perf_counter() - began)
+        started_at = time.perf_counter()
+        apply_line(document, line)
+        longest = max(longest, time.perf_counter() - started_at)
     return longest * 1000.0
 
 
-def held(lines: list[bytes]) -> ReplicatedDocument:
-    document = fresh_document()
-    taken_in(document, lines)
+def apply_line(document: ReplicatedDocument, line: bytes) -> None:
+    """Apply one line of a snapshot. Raises TypeError for another message."""
+    message = decode(line)
+    if isinstance(message, SnapshotBegins):
+        document.begin_snapshot()
+    elif isinstance(message, Page):
+        document.add_page(message.edit)
+    elif isinstance(message, SnapshotEnds):
+        document.end_snapshot(message.version, message.digest)
+    else:
+        raise TypeError(message)
+
+
+def document_of(lines: list[bytes]) -> ReplicatedDocument:
+    """A gateway's document that has applied this snapshot."""
+    document = new_document()
+    apply_snapshot(document, lines)
     return document
 
 
+def measure_change(control: ControlNode, document: ReplicatedDocument) -> ChangeTimes:
+    """One plan's change, applied at control and then at a gateway."""
+    plan = {"Name": "tenant-00000", "Refill": 33, "MostAtOnce": 66}
+    change = change_from_record({"base": 1, "plans": {"upsert": [plan]}}, SOURCE)
+    started_at = time.perf_counter()
+    versioned_change = control.apply(change, SOURCE)
+    control_ms = (time.perf_counter() - started_at) * 1000.0
+    started_at = time.perf_counter()
+    document.apply_change(versioned_change)
+    gateway_ms = (time.perf_counter() - started_at) * 1000.0
+    return ChangeTimes(control_ms, gateway_ms)
+
+
+def measure_open_ms(path: Path) -> float:
+    """Processor ms to load the document from its store."""
+    contents: Contents[bytes] = Contents(ControlNode.make_value)
+    store = DocumentStore(path, CLUSTER)
+    open_ms = cpu_ms(lambda: store.load(contents), 1)
+    store.close()
+    return open_ms
+
+
 def measure(count: int) -> DocumentCost:
     """One document of `count` plans."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "control.db"
-        control = ControlNode(DocumentStore(path, "lab"), True, lambda: 0.0, lambda followers: None)
-        control.import_settings(settings(count), "made up")
+        control = ControlNode(DocumentStore(path, CLUSTER), True, lambda: 0.0, lambda _followers: None)
+        control.import_settings(platform_settings(count), SOURCE)
         lines = control.snapshot_lines()
         make_ms = cpu_ms(control.snapshot_lines)
-        take_in_ms = cpu_ms(lambda: held(lines))
-        longest = min(taken_in(fresh_document(), lines) for _ in range(3))
-        empty = allocated_bytes(fresh_document)
-        memory = (allocated_bytes(lambda: held(lines)) - empty) / MIB
-        document = held(lines)
-        plan = {"Name": "tenant-00000", "Refill": 33, "MostAtOnce": 66}
-        change = change_from_record({"base": 1, "plans": {"upsert": [plan]}}, "made up")
-        began = time.perf_counter()
-        made = control.apply(change, "made up")
-        control_change_ms = (time.perf_counter() - began) * 1000.0
-        began = time.perf_counter()
-        document.apply_change(made)
-        gateway_change_ms = (time.perf_counter() - began) * 1000.0
+        apply_ms = cpu_ms(lambda: document_of(lines))
+        longest_turn_ms = min(apply_snapshot(new_document(), lines) for _ in range(3))
+        empty_bytes = allocated_bytes(new_document)
+        document_bytes = allocated_bytes(lambda: document_of(lines)) - empty_bytes
+        change_times = measure_change(control, document_of(lines))
         control.store.close()
-        again: Contents[bytes] = Contents(ControlNode.make_value)
-        store = DocumentStore(path, "lab")
-        open_ms = cpu_ms(lambda: store.load(again), 1)
-        store.close()
+        open_ms = measure_open_ms(path)
     return DocumentCost(
         plans=count,
         snapshot_bytes=sum(map(len, lines)),
         make_ms=make_ms,
-        take_in_ms=take_in_ms,
-        longest_turn_ms=longest,
-        memory_mb=memory,
+        take_in_ms=apply_ms,
+        longest_turn_ms=longest_turn_ms,
+        memory_mb=document_bytes / MIB,
         open_ms=open_ms,
-        control_change_ms=control_change_ms,
-        gateway_change_ms=gateway_change_ms,
+        control_change_ms=change_times.control_ms,
+        gateway_change_ms=change_times.gateway_ms,
     )
--- a/granitedock/lab/scale/fleet.py
+++ b/granitedock/lab/scale/fleet.py
@@ -14,7 +14,8 @@
 import orjson
 
 from granitedock.lab.hollow import GatewayState, HollowOrder, HollowStatus
-from granitedock.lab.scale.probe import ScaleError, quantile
+from granitedock.lab.scale.errors import ScaleError
+from granitedock.lab.scale.probe import quantile
 
 PROCESSES = 10
 FIRST_NET, NETS = 200, 50
--- a/granitedock/lab/scale/hosts.py
+++ b/granitedock/lab/scale/hosts.py
@@ -1,23 +1,30 @@
-"""What one gateway pays per host: the list, a change of it, the periodic work and memory."""
+"""What one gateway pays per host: the endpoint list, an update of it, the periodic work and memory."""
 
 from __future__ import annotations
 
 from collections import Counter
+from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any
 
 import orjson
 
-from granitedock.lab.scale.platform import host_list, instance, platform_file
+from granitedock.lab.scale.platform import TERMINATING, full_list_record, host_record, platform_file
 from granitedock.lab.scale.probe import MIB, allocated_bytes, cpu_ms
 from granitedock.service.discovery_protocol import EndpointListUpdate, parse_endpoint_list
 from granitedock.service.dispatcher import GatewayParameters, GatewayStateMachine
 from granitedock.service.limits import Limits
 
+STARTED_AT_MS = 1e12
+SEED = 7
+
 
 @dataclass(frozen=True, slots=True)
 class HostCost:
-    """At so many hosts: bytes of a whole list, processor ms, MiB."""
+    """At so many hosts: bytes of a full list and of an update of one host, processor ms, MiB.
+
+    `read_ms` decodes the full list and `take_in_ms` applies it; `change_ms` decodes and applies an update;
+    `sweep_ms` is one periodic maintenance, `look_round_ms` one refresh of the load balancer."""
 
     hosts: int
     list_bytes: int
@@ -30,53 +37,60 @@
     memory_mb: float
 
 
-class Silent:
+class DiscardingEffects:
     """I/O and event log of a state machine whose effects nobody carries out."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
 
-    def event(self, event: str, **figures: Any) -> None:
-        """Nobody reads it here."""
+    def event(self, event: str, /, **figures: Any) -> None:
+        """Drop the line."""
 
-    def __getattr__(self, name: str) -> Any:
+    def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *_: None
 
 
-def state_machine(told: dict[str, Any]) -> GatewayStateMachine:
-    """A gateway's state machine that has spoken with nobody yet."""
-    silent = Silent()
-    limits = Limits.from_platform_file(told)
-    return GatewayStateMachine(GatewayParameters(1e12, limits, told["settings"], 7, None, silent, silent))
+def build_state_machine(platform_record: dict[str, Any]) -> GatewayStateMachine:
+    """A gateway's state machine by the platform's file, before any input."""
+    effects = DiscardingEffects()
+    limits = Limits.from_platform_file(platform_record)
+    parameters = GatewayParameters(
+        STARTED_AT_MS, limits, platform_record["settings"], SEED, None, effects, effects
+    )
+    return GatewayStateMachine(parameters)
 
 
-def filled(whole: EndpointListUpdate) -> GatewayStateMachine:
-    """A gateway's state machine that has taken this list in."""
-    machine = state_machine(platform_file())
-    machine.endpoints.update(whole)
-    return machine
+def state_machine_with(endpoints: EndpointListUpdate) -> GatewayStateMachine:
+    """A gateway's state machine that has applied this endpoint list."""
+    state_machine = build_state_machine(platform_file())
+    state_machine.endpoints.update(endpoints)
+    return state_machine
 
 
 def measure(count: int) -> HostCost:
-    """One gateway that takes in a list of `count` hosts and then one change of it."""
-    line = orjson.dumps(host_list(count))
-    change = orjson.dumps(
-        {"generation": 2, "reset": False, "instances": [instance(0, lifecycle="terminating")]}
-    )
-    machine = state_machine(platform_file())
-    read_ms = cpu_ms(lambda: parse_endpoint_list(orjson.loads(line)))
-    whole = parse_endpoint_list(orjson.loads(line))
-    take_in_ms = cpu_ms(lambda: machine.endpoints.update(whole), 1)
-    memory = allocated_bytes(lambda: filled(whole)) / MIB
-    change_ms = cpu_ms(lambda: machine.endpoints.update(parse_endpoint_list(orjson.loads(change))))
-    sweep_ms = cpu_ms(machine.maintain)
-    load_balancer = machine.policy.load_balancer
-
-    def look_round() -> None:
+    """One gateway that applies a full list of `count` hosts and then one update of it."""
+    list_line = orjson.dumps(full_list_record(count))
+    update_line = orjson.dumps({"generation": 2, "reset": False, "instances": [host_record(0, TERMINATING)]})
+    state_machine = build_state_machine(platform_file())
+    load_balancer = state_machine.policy.load_balancer
+    decode_ms = cpu_ms(lambda: parse_endpoint_list(orjson.loads(list_line)))
+    full_list = parse_endpoint_list(orjson.loads(list_line))
+
+    def apply_update() -> None:
+        state_machine.endpoints.update(parse_endpoint_list(orjson.loads(update_line)))
+
+    def refresh() -> None:
         load_balancer.refresh_at = load_balancer.now
         load_balancer.refresh_if_due()
 
-    look_round_ms = cpu_ms(look_round)
     return HostCost(
-        count, len(line), read_ms, take_in_ms, len(change), change_ms, sweep_ms, look_round_ms, memory
+        hosts=count,
+        list_bytes=len(list_line),
+        read_ms=decode_ms,
+        take_in_ms=cpu_ms(lambda: state_machine.endpoints.update(full_list), 1),
+        memory_mb=allocated_bytes(lambda: state_machine_with(full_list)) / MIB,
+        change_bytes=len(update_line),
+        change_ms=cpu_ms(apply_update),
+        sweep_ms=cpu_ms(state_machine.maintain),
+        look_round_ms=cpu_ms(refresh),
     )
--- a/granitedock/lab/scale/plans.py
+++ b/granitedock/lab/scale/plans.py
@@ -1,4 +1,4 @@
-"""What one gateway pays per plan: the platform's file, memory, and a customer's book in use."""
+"""What one gateway pays per plan: the platform's file, memory, and a customer's quota account."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from granitedock.policy.quota_account import QuotaAccount
 from granitedock.policy.types import Customer
 
-BOOKS = 10_000
+ACCOUNTS = 10_000
 
 
 @dataclass(frozen=True, slots=True)
 class PlanCost:
-    """At so many plans: bytes of the platform's file, processor ms to read and check it, MiB of the plans,
-    and bytes of one customer's book."""
+    """At so many plans: bytes of the platform's file, processor ms to read and check it, and to decode its
+    plans, MiB of the plans, and bytes of one customer's quota account."""
 
     plans: int
     file_bytes: int
@@ -36,11 +36,20 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "gateway.json"
         path.write_bytes(orjson.dumps(platform_file(count)))
-        size = path.stat().st_size
+        file_bytes = path.stat().st_size
         read_ms = cpu_ms(lambda: load(path), 2)
-        told = load(path)
-    decode_ms = cpu_ms(lambda: platform_settings.plans(told["settings"]))
-    kept = allocated_bytes(lambda: {plan.name: plan for plan in platform_settings.plans(told["settings"])})
-    plan = platform_settings.plans(told["settings"])[0]
-    accounts = allocated_bytes(lambda: [Customer(n, QuotaAccount(plan, 3, 0.0)) for n in range(BOOKS)])
-    return PlanCost(count, size, read_ms, decode_ms, kept / MIB, accounts / BOOKS)
+        settings = load(path)["settings"]
+    decode_ms = cpu_ms(lambda: platform_settings.plans(settings))
+    plans_bytes = allocated_bytes(lambda: {plan.name: plan for plan in platform_settings.plans(settings)})
+    plan = platform_settings.plans(settings)[0]
+    accounts_bytes = allocated_bytes(
+        lambda: [Customer(number, QuotaAccount(plan, 3, 0.0)) for number in range(ACCOUNTS)]
+    )
+    return PlanCost(
+        plans=count,
+        file_bytes=file_bytes,
+        read_ms=read_ms,
+        decode_ms=decode_ms,
+        memory_mb=plans_bytes / MIB,
+        book_bytes=accounts_bytes / ACCOUNTS,
+    )
--- a/granitedock/lab/scale/probe.py
+++ b/granitedock/lab/scale/probe.py
@@ -9,42 +9,44 @@
 from collections.abc import Callable, Sequence
 from concurrent.futures import ProcessPoolExecutor
 from multiprocessing import get_context
-from typing import Any
+from pathlib import Path
+from typing import ParamSpec, TypeVar
 
-PAGE = os.sysconf("SC_PAGE_SIZE")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
 MIB = 1024.0 * 1024.0
+USER_TICKS_FIELD = 11  # of /proc/PID/stat, behind the command's name
+SYSTEM_TICKS_FIELD = 12
 
+Parameters = ParamSpec("Parameters")
+Measurement = TypeVar("Measurement")
 
-class ScaleError(RuntimeError):
-    """A measurement that could not be taken; its text says which and why."""
 
-
-def cpu_ms(act: Callable[[], Any], times: int = 3) -> float:
-    """The least processor time of this process for `act`, in ms, of so many calls."""
+def cpu_ms(action: Callable[[], object], calls: int = 3) -> float:
+    """The least processor time of this process for one call of `action`, in ms."""
     least = float("inf")
-    for _ in range(times):
-        began = time.process_time()
-        act()
-        least = min(least, time.process_time() - began)
+    for _ in range(calls):
+        started_at = time.process_time()
+        action()
+        least = min(least, time.process_time() - started_at)
     return least * 1000.0
 
 
 def memory_mb(pid: int | str = "self") -> float:
     """Resident memory of a process, in MiB."""
-    with open(f"/proc/{pid}/statm", "rb") as statm:
-        return int(statm.read().split()[1]) * PAGE / MIB
+    resident_pages = int(Path(f"/proc/{pid}/statm").read_bytes().split()[1])
+    return resident_pages * PAGE_BYTES / MIB
 
 
-def allocated_bytes(make: Callable[[], Any]) -> float:
-    """Bytes of Python objects that `make` leaves behind with what it gives."""
+def allocated_bytes(make: Callable[[], object]) -> float:
+    """Bytes of Python objects that `make` leaves behind, with its result."""
     gc.collect()
     tracemalloc.start()
     try:
-        kept = make()
+        result = make()
         gc.collect()
         size = tracemalloc.get_traced_memory()[0]
-        del kept
+        del result
         return float(size)
     finally:
         tracemalloc.stop()
@@ -52,20 +54,21 @@
 
 def process_cpu_s(pid: int) -> float:
     """Processor time that a process has used, user and system, in seconds."""
-    with open(f"/proc/{pid}/stat", "rb") as stat:
-        fields = stat.read().rpartition(b")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS_A_SECOND
+    fields = Path(f"/proc/{pid}/stat").read_bytes().rpartition(b")")[2].split()
+    return (int(fields[USER_TICKS_FIELD]) + int(fields[SYSTEM_TICKS_FIELD])) / TICKS_A_SECOND
 
 
-def quantile(values: Sequence[float], part: float) -> float:
-    """The value that so large a part of the values do not exceed; not a number without values."""
+def quantile(values: Sequence[float], fraction: float) -> float:
+    """The value that this fraction of the values does not exceed; nan without values."""
     if not values:
         return float("nan")
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
-def alone(measure: Callable[..., Any], *what: Any) -> Any:
-    """What `measure` gives in a fresh process, so that no measurement sees another's memory."""
+def run_in_fresh_process(
+    measure: Callable[Parameters, Measurement], *args: Parameters.args, **kwargs: Parameters.kwargs
+) -> Measurement:
+    """The result of `measure` in a process of its own, so that no measurement sees another's memory."""
     with ProcessPoolExecutor(1, get_context("spawn")) as pool:
-        return pool.submit(measure, *what).result()
+        return pool.submit(measure, *args, **kwargs).result()
--- a/granitedock/lab/scale/requests.py
+++ b/granitedock/lab/scale/requests.py
@@ -21,8 +21,9 @@
 from granitedock.commands.queries import query_gateway
 from granitedock.lab.load.generator import LoadGenerator
 from granitedock.lab.load.request_record import RequestRecord
-from granitedock.lab.scale.platform import settings
-from granitedock.lab.scale.probe import ScaleError, memory_mb, process_cpu_s, quantile
+from granitedock.lab.scale.errors import ScaleError
+from granitedock.lab.scale.platform import platform_settings
+from granitedock.lab.scale.probe import memory_mb, process_cpu_s, quantile
 from granitedock.lab.scenario import Scenario, parse
 
 ZONE_HOSTS = 500  # of one zone in a scenario at most
@@ -166,7 +167,7 @@
                     "discovery": discovery,
                     "counter": counter,
                     "seed": "07",
-                    "settings": settings(counting=counting),
+                    "settings": platform_settings(counting=counting),
                 }
                 with gateway(folder, told) as running:
                     return costs(world, running, told["listen"], list(addresses.values()), counting, seconds)
--- a/granitedock/lab/scale/results.py
+++ b/granitedock/lab/scale/results.py
@@ -12,10 +12,10 @@
 from granitedock.lab.scale.calls import CallCost
 from granitedock.lab.scale.configuration import ConfigurationCost
 from granitedock.lab.scale.documents import DocumentCost
+from granitedock.lab.scale.errors import ResultsFileError
 from granitedock.lab.scale.fleet import FleetCost
 from granitedock.lab.scale.hosts import HostCost
 from granitedock.lab.scale.plans import PlanCost
-from granitedock.lab.scale.probe import ScaleError
 from granitedock.lab.scale.requests import RequestCost
 from granitedock.lab.scale.view import ViewCost
 
@@ -75,13 +75,13 @@
 
 
 def read_results(path: Path) -> Results:
-    """Results that were written before. Raises ScaleError, which names the file and what is wrong."""
+    """Results that were written before. Raises ResultsFileError."""
     try:
         return decode_results(orjson.loads(path.read_bytes()))
     except OSError as error:
-        raise ScaleError(f"{path}: cannot be read: {error.strerror}") from None
+        raise ResultsFileError.unreadable(path, error) from None
     except (orjson.JSONDecodeError, TypeError, KeyError, AttributeError) as error:
-        raise ScaleError(f"{path}: no results of lab scale: {type(error).__name__}: {error}") from None
+        raise ResultsFileError.malformed(path, error) from None
 
 
 def decode_results(record: dict[str, Any]) -> Results:
--- a/granitedock/lab/scale/roster.py
+++ b/granitedock/lab/scale/roster.py
@@ -20,7 +20,7 @@
 
 from granitedock.lab.emulators.discovery import WatchConnection
 from granitedock.lab.emulators.process import listen_on_loopback, run_until_sigterm
-from granitedock.lab.scale.platform import host_list, instance
+from granitedock.lab.scale.platform import full_list_record, host_record
 
 HEARTBEAT_S = 1.0
 
@@ -33,7 +33,7 @@
         self.generation, self.silent = 1, False
         self.draining: set[int] = set()
         self.watches: set[WatchConnection] = set()
-        self.last_list = orjson.dumps(host_list(hosts))
+        self.last_list = orjson.dumps(full_list_record(hosts))
         self.port: Any = None
 
     def listen(self) -> str:
@@ -57,8 +57,8 @@
         self.generation += 1
         numbers = [(self.generation * 131 + n) % self.hosts for n in range(count)]
         self.draining.symmetric_difference_update(numbers)
-        changed = [instance(number, lifecycle=self.lifecycle(number)) for number in numbers]
-        whole = [instance(number, lifecycle=self.lifecycle(number)) for number in range(self.hosts)]
+        changed = [host_record(number, self.lifecycle(number)) for number in numbers]
+        whole = [host_record(number, self.lifecycle(number)) for number in range(self.hosts)]
         self.last_list = orjson.dumps({"generation": self.generation, "reset": True, "instances": whole})
         told = {"generation": self.generation, "reset": False, "instances": changed}
         self.write(orjson.dumps(told) + b"\n")
--- a/granitedock/lab/scale/tables.py
+++ b/granitedock/lab/scale/tables.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import fields
 
+from granitedock.lab.scale.errors import PageError
 from granitedock.lab.scale.growth import growth_form
-from granitedock.lab.scale.probe import ScaleError
 from granitedock.lab.scale.results import Cost, Results
 
 SECTION = re.compile(r"(<!-- scale:([a-z-]+) -->\n).*?(<!-- /scale -->)", re.DOTALL)
@@ -91,9 +91,9 @@
 
 
 def fill_page(page: str, sections: dict[str, str], file_name: str) -> str:
-    """The page with the text of each `<!-- scale:NAME -->` section replaced. Raises ScaleError, naming the
+    """The page with the text of each `<!-- scale:NAME -->` section replaced. Raises PageError, naming the
     page's file, for a section that is not in `sections`."""
     missing = sorted({name for _, name, _ in SECTION.findall(page)} - sections.keys())
     if missing:
-        raise ScaleError(f"{file_name}: no such section of figures: {', '.join(missing)}")
+        raise PageError.unknown_sections(file_name, missing)
     return SECTION.sub(lambda match: f"{match[1]}\n{sections[match[2]]}\n{match[3]}", page)
--- a/granitedock/lab/scale/view.py
+++ b/granitedock/lab/scale/view.py
@@ -1,4 +1,4 @@
-"""What the view of the fleet costs a gateway per gateway, on the simulated wire (`lab/fleetsim.py`)."""
+"""What the membership protocol costs a gateway by the fleet's size, on the simulated wire."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 from granitedock.lab.fleetsim import World
 
 SETTLE_MS = 2000.0
+SEED = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,15 +23,21 @@
 
 
 def measure(count: int, seconds: float) -> ViewCost:
-    """`count` views that know each other, for so many simulated seconds."""
-    world = World(count, seed=3, known=True, measured=True)
+    """`count` gateways that know each other, for so many simulated seconds."""
+    world = World(count, seed=SEED, known=True, measured=True)
     world.run(SETTLE_MS)
     for node in world.nodes:
-        node.sent = node.sent_bytes = 0
-    began = time.process_time()
+        node.sent = 0
+        node.sent_bytes = 0
+    started_at = time.process_time()
     world.run(seconds * 1000.0)
-    cpu_ms = (time.process_time() - began) * 1000.0
-    part = 1.0 / (count * seconds)
-    sent = sum(node.sent for node in world.nodes)
+    cpu_ms = (time.process_time() - started_at) * 1000.0
+    share = 1.0 / (count * seconds)
+    messages = sum(node.sent for node in world.nodes)
     volume = sum(node.sent_bytes for node in world.nodes)
-    return ViewCost(count, sent * part, volume * part, cpu_ms * part)
+    return ViewCost(
+        gateways=count,
+        messages_a_second=messages * share,
+        bytes_a_second=volume * share,
+        cpu_ms_a_second=cpu_ms * share,
+    )
--- a/tests/configuration/test_control_node.py
+++ b/tests/configuration/test_control_node.py
@@ -8,7 +8,7 @@
 from granitedock.configuration.document import Section
 from granitedock.configuration.errors import ChangeRejectedError, NotWriterError, VersionConflictError
 from granitedock.configuration.settings import ControlFile
-from granitedock.lab.scale.platform import settings as platform_settings
+from granitedock.lab.scale.platform import platform_settings
 
 
 def test_a_change_makes_exactly_one_version_and_a_refused_one_none(tmp_path):
--- a/tests/configuration/test_follower.py
+++ b/tests/configuration/test_follower.py
@@ -8,7 +8,7 @@
 from granitedock.configuration.follower_timing import address_order
 from granitedock.configuration.message_codec import encode
 from granitedock.configuration.messages import Resend
-from granitedock.lab.scale.platform import settings as platform_settings
+from granitedock.lab.scale.platform import platform_settings
 
 
 def test_a_follower_takes_the_whole_document_and_then_each_change(writer):
--- a/tests/configuration/test_gateway_attachment.py
+++ b/tests/configuration/test_gateway_attachment.py
@@ -11,7 +11,7 @@
 from granitedock.configuration.message_codec import decode
 from granitedock.configuration.messages import Page, SnapshotBegins
 from granitedock.configuration.settings import GatewayFile
-from granitedock.lab.scale.hosts import state_machine
+from granitedock.lab.scale.hosts import build_state_machine
 from granitedock.lab.scale.platform import platform_file
 
 
@@ -39,7 +39,7 @@
     settings = platform_file()
     gateway = GatewayStub()
     file = GatewayFile(enabled=True, cluster="lab", control=["127.0.0.1:1"], copy_file=str(copy))
-    attachment = GatewayAttachment(file, "g1", state_machine(settings), gateway, lambda: 1e12, gateway)
+    attachment = GatewayAttachment(file, "g1", build_state_machine(settings), gateway, lambda: 1e12, gateway)
     attachment.copy = LocalCopy(copy, "lab", attachment.copy_write_failed)
     return attachment, gateway
 
--- a/tests/helpers/configuration_helpers.py
+++ b/tests/helpers/configuration_helpers.py
@@ -8,7 +8,7 @@
 from granitedock.configuration.follower import Follower, FollowerSettings
 from granitedock.configuration.messages import Resend
 from granitedock.configuration.replicated_document import ReplicatedDocument
-from granitedock.lab.scale.platform import settings as platform_settings
+from granitedock.lab.scale.platform import platform_settings
 
 PLAN = {"Name": "gold", "Refill": 50, "MostAtOnce": 100}
 CLASS = {"Name": "read", "Repeat": "safe", "TargetMs": 1000, "GiveUpMs": 4000}
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -9,9 +9,10 @@
 from granitedock import platform_file as told
 from granitedock.lab.scale import calls, command, documents, fleet, hosts, plans, requests, view
 from granitedock.lab.scale.capacity import capacity_sections, over_budget, role_figures
+from granitedock.lab.scale.errors import ScaleError
 from granitedock.lab.scale.growth import fit_line, growth_form
-from granitedock.lab.scale.platform import host_list, platform_file
-from granitedock.lab.scale.probe import ScaleError, cpu_ms
+from granitedock.lab.scale.platform import full_list_record, platform_file
+from granitedock.lab.scale.probe import cpu_ms
 from granitedock.lab.scale.results import Machine, Results, read_results
 from granitedock.lab.scale.sizes import FULL, OperatorSize
 from granitedock.lab.scale.tables import fill_page
@@ -40,7 +41,8 @@
     assert growth_form(rows, "hosts", "change_bytes") == "flat"
     assert growth_form(rows, "hosts", "memory_mb") == "linear"
     taken = [
-        steps(lambda count=count: hosts.filled(parse_endpoint_list(host_list(count)))) / count
+        steps(lambda count=count: hosts.state_machine_with(parse_endpoint_list(full_list_record(count))))
+        / count
         for count in (200, 800)
     ]
     assert taken[1] < 1.5 * taken[0]
