--- a/granitedock/lab/hollow.py
+++ b/granitedock/lab/hollow.py
@@ -20,8 +20,8 @@
 from twisted.internet import reactor as default_reactor
 
 from granitedock.lab.emulators.process import run_until_sigterm
+from granitedock.lab.scale.command_server import serve_commands as commanded
 from granitedock.lab.scale.platform import platform_file
-from granitedock.lab.scale.roster import commanded
 from granitedock.service.connector import Connector
 from granitedock.service.discovery_protocol import DiscoveryWatchProtocol
 from granitedock.service.dispatcher import GatewayParameters, GatewayStateMachine
--- a/granitedock/lab/scale/configuration.py
+++ b/granitedock/lab/scale/configuration.py
@@ -1,128 +1,30 @@
-"""What the configuration service costs: hollow gateways that follow real control processes on loopback.
-
-One writer and replicas of it, each a process of its own; the gateways spread over all of them."""
+"""What the configuration service costs: hollow gateways that follow real control processes on loopback."""
 
 from __future__ import annotations
 
-import subprocess
-import sys
-import tempfile
 import time
-from collections.abc import Iterator
-from contextlib import ExitStack, contextmanager
 from dataclasses import dataclass
-from pathlib import Path
 
 import orjson
 
 from granitedock.configuration import control_client
-from granitedock.configuration.http_records import ControlStatusRecord
-from granitedock.lab.scale.errors import ScaleError
-from granitedock.lab.scale.fleet import HollowFleet, Usage, commanded, hollow_fleet
-from granitedock.lab.scale.platform import platform_file
-from granitedock.lab.scale.probe import memory_mb, process_cpu_s, quantile
+from granitedock.lab.hollow import GatewayState
+from granitedock.lab.scale.child_processes import ENDPOINT_LIST_EMULATOR, command_process
+from granitedock.lab.scale.control_processes import ANSWER_S, CLUSTER, RunningControl, control_processes
+from granitedock.lab.scale.hollow_fleet import FleetUsage, HollowFleet, UsageInterval, hollow_fleet
+from granitedock.lab.scale.probe import memory_mb, quantile
 
-CLUSTER = "lab"
 CONTROLS = 4
-CHANGES, CHANGE_EVERY_S = 20, 1.0
+CHANGES = 20
+CHANGE_EVERY_S = 1.0
 REST_S = 5.0
-START_S = 60.0
-ANSWER_S = 20.0
-
-
-@dataclass(slots=True)
-class ControlRunning:
-    """One control process of a measurement."""
-
-    process: subprocess.Popen
-    address: str
-    folder: Path
-    name: str
-
-    def cpu_s(self) -> float:
-        return process_cpu_s(self.process.pid)
-
-    def status(self) -> ControlStatusRecord:
-        return control_client.status(self.address, ANSWER_S)
-
-
-def started(folder: Path, name: str, follow: list[str], platform: Path | None) -> ControlRunning:
-    """A control process that listens. Raises ScaleError."""
-    file = folder / f"{name}.toml"
-    lines = {"name": name, "cluster": CLUSTER, "listen": "127.0.0.1:0", "store": str(folder / f"{name}.db")}
-    told = [f"{key} = {orjson.dumps(value).decode()}" for key, value in lines.items()]
-    file.write_text("\n".join([*told, f"follow = {orjson.dumps(follow).decode()}"]))
-    command = [sys.executable, "-m", "granitedock", "control", "--config", str(file)]
-    if platform is not None:
-        command += ["--import", str(platform)]
-    with open(folder / f"{name}.log", "wb") as log:
-        process = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=log)
-    address = process.stdout.readline().decode().strip()
-    if not address:
-        process.wait()
-        raise ScaleError(f"control {name} did not start: {(folder / f'{name}.log').read_text()[-500:]}")
-    return ControlRunning(process, address, folder, name)
-
-
-@contextmanager
-def controls(plans: int, count: int) -> Iterator[list[ControlRunning]]:
-    """A writer with so many plans, and `count - 1` replicas that have them too."""
-    with tempfile.TemporaryDirectory() as made, ExitStack() as ends:
-        folder = Path(made)
-        platform = folder / "platform.json"
-        platform.write_bytes(orjson.dumps(platform_file(plans)))
-        running = [started(folder, "writer", [], platform)]
-        ends.callback(ended, running)
-        for n in range(1, count):
-            running.append(started(folder, f"replica-{n}", [running[0].address], None))
-        wait_version(running, running[0].status()["version"])
-        yield running
-
-
-def ended(running: list[ControlRunning]) -> None:
-    for one in running:
-        one.process.kill()
-        one.process.wait()
-        one.process.stdout.close()
-
-
-def wait_version(running: list[ControlRunning], version: int) -> None:
-    """Until all control processes have this version. Raises ScaleError."""
-    ends = time.monotonic() + START_S
-    while any(one.status()["version"] < version for one in running):
-        if time.monotonic() > ends:
-            raise ScaleError(f"not all control processes had version {version} in {START_S:g} s")
-        time.sleep(0.05)
-
-
-def plan_change(base: int, number: int) -> bytes:
-    """A change of one tenant's plan."""
-    plan = {"Name": f"tenant-{number:05d}", "Refill": 30.0 + base % 50, "MostAtOnce": 60.0}
-    return orjson.dumps({"base": base, "plans": {"upsert": [plan]}})
-
-
-def applied(writer: ControlRunning, fleet: HollowFleet, count: int, every_s: float) -> list[float]:
-    """Change one plan after another; the seconds until each gateway had each version."""
-    told_at: dict[str, float] = {}
-    version = writer.status()["version"]
-    for n in range(count):
-        told_at[str(version + 1)] = time.monotonic()
-        version = control_client.apply(writer.address, plan_change(version, n), ANSWER_S)["version"]
-        time.sleep(every_s)
-    fleet.wait(lambda state: state.version >= version)
-    return [
-        state.version_at[number] - at
-        for state in fleet.gateways()
-        for number, at in told_at.items()
-        if number in state.version_at
-    ]
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationCost:
     """So many hollow gateways that follow `controls` control processes, with so many plans and hosts.
 
-    `fresh_s`: until all of a fleet that starts at once had a whole snapshot, from the first one's dial;
+    `fresh_s`: until all of a fleet that starts at once had a snapshot, from the first one's connecting;
     `rest`: a gateway's part of a core and of a control process's, and bytes a second, while nothing changes;
     changes of one plan each at `changes_a_second`: seconds until each gateway had them, bytes and processor
     ms of a gateway a change, the loop's hold-up for one change and for the end of a snapshot (ms); processor
@@ -150,96 +52,174 @@
     control_memory_mb: float
 
 
-def watch_bytes(fleet: HollowFleet) -> int:
-    """Bytes of the configuration watches of all gateways, both ways."""
-    counts = [state.counts for state in fleet.gateways()]
-    return sum(one.get(f"configuration_bytes_{way}", 0) for one in counts for way in ("in", "out"))
+@dataclass(frozen=True, slots=True)
+class StartMeasurement:
+    """A start of all gateways at once: each one's state when all had the first snapshot, seconds until then,
+    processor seconds of the busiest control process, bytes of a snapshot at a gateway."""
 
+    states: list[GatewayState]
+    elapsed_s: float
+    control_cpu_s: float
+    snapshot_bytes: float
 
-def busiest(running: list[ControlRunning], before: list[float]) -> float:
-    """The most processor seconds that one control process used since."""
-    return max(one.cpu_s() - cpu for one, cpu in zip(running, before, strict=True))
+    @property
+    def snapshot_hold_ms(self) -> float:
+        """The p99 of the loop's hold-up for the end of a snapshot."""
+        return quantile([state.counts["replace_us"] / 1000.0 for state in self.states], 0.99)
 
 
-def measure(gateways: int, plans: int, hosts: int, count: int = CONTROLS) -> ConfigurationCost:
-    """A fleet that starts at once, rests, and hears of changes."""
-    with (
-        commanded("granitedock.lab.scale.roster", str(hosts)) as roster,
-        controls(plans, count) as running,
-    ):
-        addresses = tuple(one.address for one in running)
-        cpu_before = [one.cpu_s() for one in running]
-        with hollow_fleet(gateways, roster.said, False, addresses, CLUSTER) as fleet:
-            fleet.wait(lambda state: state.version >= 1)
-            states = fleet.gateways()
-            had = [state.version_at["1"] for state in states]
-            fresh_cpu = busiest(running, cpu_before)
-            snapshot_bytes = watch_bytes(fleet) / gateways
-            fleet.wait(lambda state: state.list_version >= 1)
-            time.sleep(REST_S)  # the start's work is over
-            rest_before, bytes_before = Usage.of(fleet.statuses()), watch_bytes(fleet)
-            control_before = [one.cpu_s() for one in running]
-            time.sleep(REST_S)
-            rest_after, bytes_after = Usage.of(fleet.statuses()), watch_bytes(fleet)
-            control_rest = busiest(running, control_before)
-            lasted = rest_after.at - rest_before.at
-            rest_bytes = (bytes_after - bytes_before) / lasted / gateways
-            rest_cpu = (rest_after.cpu_s - rest_before.cpu_s) / lasted
-            waits, change = changed(running, fleet, rest_cpu, rest_bytes)
-            began = min(state.started_at for state in states)
-            return ConfigurationCost(
-                gateways=gateways,
-                controls=count,
-                plans=plans,
-                hosts=hosts,
-                fresh_s=max(had) - began,
-                fresh_control_cpu_s=fresh_cpu,
-                snapshot_bytes=snapshot_bytes,
-                rest_core=rest_cpu / gateways,
-                rest_control_core=control_rest / lasted,
-                rest_bytes_a_second=rest_bytes,
-                changes_a_second=change.rate,
-                change_p50_s=quantile(waits, 0.5),
-                change_p99_s=quantile(waits, 0.99),
-                change_worst_s=max(waits),
-                change_bytes=change.bytes,
-                change_cpu_ms=change.cpu_ms,
-                change_hold_ms=change.hold_ms,
-                snapshot_hold_ms=quantile([state.counts["replace_us"] / 1000.0 for state in states], 0.99),
-                change_control_cpu_ms=change.control_cpu_ms,
-                control_memory_mb=max(memory_mb(one.process.pid) for one in running),
-            )
+@dataclass(frozen=True, slots=True)
+class RestMeasurement:
+    """While nothing changes: the fleet's part of a core, a gateway's bytes a second, and the part of a core
+    of the busiest control process."""
+
+    fleet_core: float
+    bytes_a_second: float
+    control_core: float
 
 
 @dataclass(frozen=True, slots=True)
-class ChangeCost:
-    """Of one change: a gateway's bytes, processor ms and hold-up of its loop, and control's processor ms."""
+class ChangeMeasurement:
+    """Changes a second, seconds until each gateway had each; of one change, a gateway's bytes, processor ms
+    and hold-up of its loop (ms), and processor ms of the busiest control process."""
 
     rate: float
-    bytes: float
+    delays_s: list[float]
+    gateway_bytes: float
     cpu_ms: float
     hold_ms: float
     control_cpu_ms: float
 
 
-def changed(
-    running: list[ControlRunning], fleet: HollowFleet, rest_cpu: float, rest_bytes: float
-) -> tuple[list[float], ChangeCost]:
-    """Changes one after another; what they took beyond the fleet's rest (processor s and bytes a second)."""
-    gateways = fleet.count
-    before, bytes_before = Usage.of(fleet.statuses()), watch_bytes(fleet)
-    control_before = [one.cpu_s() for one in running]
-    began = time.monotonic()
-    waits = applied(running[0], fleet, CHANGES, CHANGE_EVERY_S)
-    rate = CHANGES / (time.monotonic() - began)
-    control_cpu = busiest(running, control_before)
-    after, bytes_after = Usage.of(fleet.statuses()), watch_bytes(fleet)
-    lasted, many = after.at - before.at, CHANGES * gateways
-    held = sum(state.counts.get("apply_us", 0) for state in fleet.gateways())
-    return waits, ChangeCost(
-        rate=rate,
-        bytes=(bytes_after - bytes_before - rest_bytes * lasted * gateways) / many,
-        cpu_ms=max(0.0, after.cpu_s - before.cpu_s - rest_cpu * lasted) * 1000.0 / many,
-        hold_ms=held / 1000.0 / many,
-        control_cpu_ms=control_cpu * 1000.0 / CHANGES,
+class ConfigurationMeasurement:
+    """One fleet that follows control processes, measured step by step."""
+
+    def __init__(self, fleet: HollowFleet, running: list[RunningControl]) -> None:
+        self.fleet = fleet
+        self.running = running
+
+    def watch_bytes(self) -> int:
+        """Bytes of the configuration watches of all gateways, both ways."""
+        counts = [state.counts for state in self.fleet.gateways()]
+        return sum(one.get(f"configuration_bytes_{way}", 0) for one in counts for way in ("in", "out"))
+
+    def control_cpu_s(self) -> list[float]:
+        """Processor seconds that each control process has used."""
+        return [control.cpu_s() for control in self.running]
+
+    def max_control_cpu_s(self, before: list[float]) -> float:
+        """The most processor seconds that one control process used since."""
+        return max(control.cpu_s() - cpu_s for control, cpu_s in zip(self.running, before, strict=True))
+
+    def measure_start(self, control_cpu_before: list[float]) -> StartMeasurement:
+        """Wait until all gateways have the first snapshot and the endpoint list."""
+        self.fleet.wait_until(lambda state: state.version >= 1)
+        states = self.fleet.gateways()
+        last_snapshot_at = max(state.version_at["1"] for state in states)
+        control_cpu_s = self.max_control_cpu_s(control_cpu_before)
+        snapshot_bytes = self.watch_bytes() / self.fleet.count
+        self.fleet.wait_until(lambda state: state.list_version >= 1)
+        first_start = min(state.started_at for state in states)
+        return StartMeasurement(states, last_snapshot_at - first_start, control_cpu_s, snapshot_bytes)
+
+    def measure_rest(self) -> RestMeasurement:
+        """What is used while nothing changes."""
+        time.sleep(REST_S)  # the start's work is over
+        before = FleetUsage.take(self.fleet)
+        bytes_before = self.watch_bytes()
+        control_cpu_before = self.control_cpu_s()
+        time.sleep(REST_S)
+        usage = UsageInterval(before, FleetUsage.take(self.fleet))
+        bytes_after = self.watch_bytes()
+        control_cpu_s = self.max_control_cpu_s(control_cpu_before)
+        return RestMeasurement(
+            fleet_core=usage.cpu_s / usage.elapsed_s,
+            bytes_a_second=(bytes_after - bytes_before) / usage.elapsed_s / self.fleet.count,
+            control_core=control_cpu_s / usage.elapsed_s,
+        )
+
+    def measure_changes(self, rest: RestMeasurement) -> ChangeMeasurement:
+        """Changes one after another; what they cost beyond the fleet's rest."""
+        before = FleetUsage.take(self.fleet)
+        bytes_before = self.watch_bytes()
+        control_cpu_before = self.control_cpu_s()
+        started_at = time.monotonic()
+        delays_s = apply_changes(self.running[0], self.fleet)
+        rate = CHANGES / (time.monotonic() - started_at)
+        control_cpu_s = self.max_control_cpu_s(control_cpu_before)
+        usage = UsageInterval(before, FleetUsage.take(self.fleet))
+        bytes_after = self.watch_bytes()
+        applications = CHANGES * self.fleet.count
+        hold_us = sum(state.counts.get("apply_us", 0) for state in self.fleet.gateways())
+        rest_bytes = rest.bytes_a_second * usage.elapsed_s * self.fleet.count
+        rest_cpu_s = rest.fleet_core * usage.elapsed_s
+        return ChangeMeasurement(
+            rate=rate,
+            delays_s=delays_s,
+            gateway_bytes=(bytes_after - bytes_before - rest_bytes) / applications,
+            cpu_ms=max(0.0, usage.cpu_s - rest_cpu_s) * 1000.0 / applications,
+            hold_ms=hold_us / 1000.0 / applications,
+            control_cpu_ms=control_cpu_s * 1000.0 / CHANGES,
+        )
+
+
+def plan_change_body(base: int, number: int) -> bytes:
+    """A change of one tenant's plan, as control's HTTP takes it."""
+    plan = {"Name": f"tenant-{number:05d}", "Refill": 30.0 + base % 50, "MostAtOnce": 60.0}
+    return orjson.dumps({"base": base, "plans": {"upsert": [plan]}})
+
+
+def apply_changes(writer: RunningControl, fleet: HollowFleet) -> list[float]:
+    """Change one plan after another; the seconds until each gateway had each version."""
+    sent_at: dict[str, float] = {}
+    version = writer.status()["version"]
+    for number in range(CHANGES):
+        sent_at[str(version + 1)] = time.monotonic()
+        body = plan_change_body(version, number)
+        version = control_client.apply(writer.address, body, ANSWER_S)["version"]
+        time.sleep(CHANGE_EVERY_S)
+    fleet.wait_until(lambda state: state.version >= version)
+    return [
+        state.version_at[number] - at
+        for state in fleet.gateways()
+        for number, at in sent_at.items()
+        if number in state.version_at
+    ]
+
+
+def measure(gateways: int, plans: int, hosts: int, controls: int = CONTROLS) -> ConfigurationCost:
+    """A fleet that starts at once, rests, and follows changes."""
+    with (
+        command_process(ENDPOINT_LIST_EMULATOR, str(hosts)) as emulator,
+        control_processes(plans, controls) as running,
+    ):
+        addresses = tuple(control.address for control in running)
+        control_cpu_before = [control.cpu_s() for control in running]
+        with hollow_fleet(gateways, emulator.announcement, False, addresses, CLUSTER) as fleet:
+            measurement = ConfigurationMeasurement(fleet, running)
+            start = measurement.measure_start(control_cpu_before)
+            rest = measurement.measure_rest()
+            changes = measurement.measure_changes(rest)
+            control_memory_mb = max(memory_mb(control.process.pid) for control in running)
+    return ConfigurationCost(
+        gateways=gateways,
+        controls=controls,
+        plans=plans,
+        hosts=hosts,
+        fresh_s=start.elapsed_s,
+        fresh_control_cpu_s=start.control_cpu_s,
+        snapshot_bytes=start.snapshot_bytes,
+        rest_core=rest.fleet_core / gateways,
+        rest_control_core=rest.control_core,
+        rest_bytes_a_second=rest.bytes_a_second,
+        changes_a_second=changes.rate,
+        change_p50_s=quantile(changes.delays_s, 0.5),
+        change_p99_s=quantile(changes.delays_s, 0.99),
+        change_worst_s=max(changes.delays_s),
+        change_bytes=changes.gateway_bytes,
+        change_cpu_ms=changes.cpu_ms,
+        change_hold_ms=changes.hold_ms,
+        snapshot_hold_ms=start.snapshot_hold_ms,
+        change_control_cpu_ms=changes.control_cpu_ms,
+        control_memory_mb=control_memory_mb,
     )
--- /dev/null
+++ b/granitedock/lab/scale/endpoint_list_emulator.py
@@ -0,0 +1,102 @@
+"""A discovery emulator at fleet size: thousands of hosts, hundreds of watches, full lists and updates.
+
+The wire is that of `lab/emulators/discovery.py`. A new watch gets the full list; later updates go out as
+lists that name only what changed (`"reset": false`). A silent emulator leaves its watches open and writes
+nothing.
+
+Run as `python -m granitedock.lab.scale.endpoint_list_emulator HOSTS`: prints its address as one JSON line,
+takes one JSON command a line on standard input (`{"change": N}`, `{"silent": true}`) and answers each with
+one JSON line: the list's generation, watches open and processor seconds used."""
+
+from __future__ import annotations
+
+import sys
+import time
+from typing import TYPE_CHECKING, Any
+
+import orjson
+
+from granitedock.lab.emulators.discovery import WatchConnection
+from granitedock.lab.emulators.process import LOOPBACK, listen_on_loopback, run_until_sigterm
+from granitedock.lab.reactor import REACTOR
+from granitedock.lab.scale.command_server import serve_commands
+from granitedock.lab.scale.platform import IN_SERVICE, TERMINATING, full_list_record, host_record
+
+if TYPE_CHECKING:
+    from twisted.internet.interfaces import IListeningPort
+    from twisted.internet.posixbase import PosixReactorBase
+
+HEARTBEAT_S = 1.0
+UPDATE_STRIDE = 131  # hosts between the first ones of two updates, so that each update has other hosts
+
+
+class EndpointListEmulator:
+    """The endpoint list and the watches that follow it."""
+
+    def __init__(self, hosts: int, reactor: PosixReactorBase = REACTOR) -> None:
+        self.reactor = reactor
+        self.hosts = hosts
+        self.generation = 1
+        self.silent = False
+        self.draining: set[int] = set()
+        self.watches: set[WatchConnection] = set()
+        self.last_list: bytes = orjson.dumps(full_list_record(hosts))
+        self.port: IListeningPort | None = None
+
+    def listen(self) -> str:
+        """Listen on a free port of loopback; returns the address."""
+        self.port, number = listen_on_loopback(self.reactor, 0, lambda: WatchConnection(self))
+        self.reactor.callLater(HEARTBEAT_S, self.write_heartbeat)
+        return f"{LOOPBACK}:{number}"
+
+    def record_written(self, line: bytes) -> None:
+        """A list is written to a new watch: nothing is recorded here."""
+
+    def write_heartbeat(self) -> None:
+        """Write an empty line to each watch, each `HEARTBEAT_S`."""
+        self.write_to_all(b"\n")
+        self.reactor.callLater(HEARTBEAT_S, self.write_heartbeat)
+
+    def write_to_all(self, line: bytes) -> None:
+        """Write a line to each watch, unless the emulator is silent."""
+        if self.silent:
+            return
+        for watch in list(self.watches):
+            watch.write(line)
+
+    def update_hosts(self, count: int) -> None:
+        """So many hosts begin to drain, or end it; one update with just these goes to each watch."""
+        self.generation += 1
+        numbers = [(self.generation * UPDATE_STRIDE + n) % self.hosts for n in range(count)]
+        self.draining.symmetric_difference_update(numbers)
+        self.last_list = self.encode_list(True, range(self.hosts))
+        self.write_to_all(self.encode_list(False, numbers) + b"\n")
+
+    def encode_list(self, complete: bool, numbers: range | list[int]) -> bytes:
+        """The hosts of these numbers as a list of the present generation."""
+        instances = [host_record(number, self.lifecycle(number)) for number in numbers]
+        return orjson.dumps({"generation": self.generation, "reset": complete, "instances": instances})
+
+    def lifecycle(self, number: int) -> str:
+        """A host's lifecycle on the wire."""
+        return TERMINATING if number in self.draining else IN_SERVICE
+
+    def handle_command(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Carry one command out; the emulator's state afterwards."""
+        if "change" in command:
+            self.update_hosts(command["change"])
+        if "silent" in command:
+            self.silent = command["silent"]
+        return {"generation": self.generation, "watches": len(self.watches), "cpu_s": time.process_time()}
+
+
+def main(argv: list[str]) -> int:
+    """Run the emulator until SIGTERM or the end of its input."""
+    emulator = EndpointListEmulator(int(argv[1]))
+    address = emulator.listen()
+    serve_commands(REACTOR, emulator.handle_command)
+    return run_until_sigterm(address)
+
+
+if __name__ == "__main__":
+    sys.exit(main(sys.argv))
--- a/tests/configuration/test_configuration_processes.py
+++ b/tests/configuration/test_configuration_processes.py
@@ -18,8 +18,14 @@
 from granitedock.lab.faults.link_faults import CUT, NO_FAULT, LinkFaults
 from granitedock.lab.faults.tcp_proxy import TcpProxy
 from granitedock.lab.reactor import on_reactor
-from granitedock.lab.scale.configuration import CLUSTER, controls, started, wait_version
-from granitedock.lab.scale.fleet import commanded, hollow_fleet
+from granitedock.lab.scale.child_processes import ENDPOINT_LIST_EMULATOR, command_process
+from granitedock.lab.scale.control_processes import (
+    CLUSTER,
+    control_processes,
+    start_control,
+    wait_for_version,
+)
+from granitedock.lab.scale.hollow_fleet import hollow_fleet
 
 WITHIN_S = 20.0
 PLAN = {"Name": "p", "Refill": 1000, "MostAtOnce": 1000}
@@ -79,7 +85,7 @@
 
 
 def test_a_change_is_in_force_between_requests_and_one_in_hand_keeps_its_plan(tmp_path):
-    with controls(3, 1) as (writer,), gateway(tmp_path, [writer.address]) as live:
+    with control_processes(3, 1) as (writer,), gateway(tmp_path, [writer.address]) as live:
         has(live, 1)
         assert "tenant-00001" in live.state_machine.requests.plans
         first, second = live.client(), live.client()
@@ -100,7 +106,7 @@
 
 def test_a_gateway_goes_on_and_starts_again_without_control_by_what_it_last_had(tmp_path):
     copy = str(tmp_path / "g.copy")
-    with controls(3, 1) as (writer,):
+    with control_processes(3, 1) as (writer,):
         with gateway(tmp_path, [writer.address], copy_file=copy) as live:
             has(live, 1)
             control_client.apply(writer.address, change(1, [PLAN | {"Name": "new"}]), 5.0)
@@ -119,7 +125,10 @@
 def test_a_copy_that_is_torn_is_named_and_the_gateway_starts_without_it(tmp_path):
     copy = tmp_path / "g.copy"
     copy.write_bytes(b"no store at all" * 100)
-    with controls(2, 1) as (writer,), gateway(tmp_path, [writer.address], copy_file=str(copy)) as live:
+    with (
+        control_processes(2, 1) as (writer,),
+        gateway(tmp_path, [writer.address], copy_file=str(copy)) as live,
+    ):
         refused = [figures for event, figures in live.events if event == "configuration copy rejected"]
         assert refused and str(copy) in refused[0]["why"]
         has(live, 1)
@@ -149,7 +158,7 @@
     monkeypatch.setattr(line_framing, "MOST_LINE_BYTES", 1 << 20)
     monkeypatch.setattr(line_framing.LineBuffer.__init__, "__defaults__", (1 << 20,))
     strange = Server()
-    with controls(2, 1) as (writer,), gateway(tmp_path, [strange.address, writer.address]) as live:
+    with control_processes(2, 1) as (writer,), gateway(tmp_path, [strange.address, writer.address]) as live:
         peers = []
 
         def answered():
@@ -180,11 +189,11 @@
     as long as the story likes: all that grows with the time is the back-off, which is at its longest."""
     link_faults = LinkFaults(1)
     ways = [("replica", "writer"), ("writer", "replica")]
-    with controls(3, 1) as (writer,):
+    with control_processes(3, 1) as (writer,):
         wire = on_reactor(TcpProxy, reactor, link_faults, "replica", "writer", "127.0.0.1:0", writer.address)
-        replica = started(tmp_path, "replica", [wire.address], None)
+        replica = start_control(tmp_path, "replica", [wire.address], None)
         try:
-            wait_version([replica], 1)
+            wait_for_version([replica], 1)
             with gateway(tmp_path, [replica.address]) as live:
                 has(live, 1)
                 on_reactor(link_faults.set, CUT, ways)
@@ -194,9 +203,9 @@
                 # Cut off: the replica has given its connection up and dials again and again, in vain.
                 until(live, lambda: replica.status()["following"]["counts"]["dials"] >= 4)
                 assert live.configuration.document.version == 1
-                fresh = started(tmp_path, "late", [replica.address], None)
+                fresh = start_control(tmp_path, "late", [replica.address], None)
                 try:
-                    wait_version([fresh], 1)  # served from the replica's own store
+                    wait_for_version([fresh], 1)  # served from the replica's own store
                 finally:
                     fresh.process.kill()
                     fresh.process.wait()
@@ -215,17 +224,19 @@
 
 def test_followers_of_a_control_process_that_is_killed_go_on_with_the_rest(tmp_path):
     with (
-        commanded("granitedock.lab.scale.roster", "10") as roster,
-        controls(20, 3) as running,
-        hollow_fleet(12, roster.said, False, tuple(one.address for one in running), CLUSTER) as fleet,
+        command_process(ENDPOINT_LIST_EMULATOR, "10") as emulator,
+        control_processes(20, 3) as running,
+        hollow_fleet(
+            12, emulator.announcement, False, tuple(one.address for one in running), CLUSTER
+        ) as fleet,
     ):
-        fleet.wait(lambda state: state.version == 1)
+        fleet.wait_until(lambda state: state.version == 1)
         writer, lost, kept = running
         had = {one["name"] for one in lost.status()["followers"]}
         assert had  # by the gateways' own orders, which hang on the addresses: some follow each with any luck
         lost.process.kill()
         control_client.apply(writer.address, change(1, [PLAN]), 5.0)
-        fleet.wait(lambda state: state.version == 2)
+        fleet.wait_until(lambda state: state.version == 2)
         now = {one["name"] for other in (writer, kept) for one in other.status()["followers"]}
         assert had <= now
         digests = {state.digest for state in fleet.gateways()}
@@ -239,7 +250,7 @@
 def test_the_commands_check_apply_show_and_tell_who_lags(tmp_path):
     file = tmp_path / "change.json"
     file.write_bytes(change(1, [PLAN | {"Name": "gold"}]))
-    with controls(3, 2) as (writer, replica):
+    with control_processes(3, 2) as (writer, replica):
         assert "1 entries on version 1" in run("config", "check", str(file)).output
         refused = run("config", "apply", str(file), "--to", replica.address)
         assert refused.exit_code == 1 and "is a replica" in refused.output
@@ -248,7 +259,7 @@
         )
         again = run("config", "apply", str(file), "--to", writer.address)
         assert again.exit_code == 1 and "the present version is 2, not 1" in again.output
-        wait_version([replica], 2)
+        wait_for_version([replica], 2)
         shown = json.loads(run("config", "show", replica.address, "--plan", "gold").output)
         assert shown == PLAN | {"Name": "gold", "WindowMs": 2000.0}
         assert "no plan 'silver'" in run("config", "show", replica.address, "--plan", "silver").output
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -7,7 +7,7 @@
 import pytest
 
 from granitedock import platform_file as told
-from granitedock.lab.scale import calls, command, documents, fleet, hosts, plans, requests, view
+from granitedock.lab.scale import calls, command, documents, fleet, hollow_fleet, hosts, plans, requests, view
 from granitedock.lab.scale.capacity import capacity_sections, over_budget, role_figures
 from granitedock.lab.scale.errors import ScaleError
 from granitedock.lab.scale.growth import fit_line, growth_form
@@ -79,7 +79,7 @@
 
 
 def test_hollow_gateways_over_real_sockets_all_get_the_list_and_each_change_in_a_few_bytes(monkeypatch):
-    monkeypatch.setattr(fleet, "PROCESSES", 2)
+    monkeypatch.setattr(hollow_fleet, "PROCESSES", 2)
     monkeypatch.setattr(fleet, "REST_S", 0.5)
     monkeypatch.setattr(fleet, "CHANGES", 3)
     monkeypatch.setattr(fleet, "CHANGE_EVERY_S", 0.1)
