--- a/granitedock/commands/laboratory.py
+++ b/granitedock/commands/laboratory.py
@@ -107,10 +107,10 @@
 
     try:
         if show_only:
-            command.shown(results.read_results(output), page, plots, click.echo)
+            command.show_results(results.read_results(output), page, plots, click.echo)
             return
         output.parent.mkdir(parents=True, exist_ok=True)
-        raise SystemExit(command.scale(quick, output, page, plots, kind, click.echo))
+        raise SystemExit(command.run_scale(quick, output, page, plots, kind, click.echo))
     except ScaleError as error:
         raise click.ClickException(str(error)) from None
 
--- a/granitedock/lab/scale/__init__.py
+++ b/granitedock/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale measurements: what a gateway and its parties cost per host, plan, gateway, request and change."""
+"""Scale measurements: what a gateway and its peers cost per host, plan, gateway, request and change."""
--- a/granitedock/lab/scale/calls.py
+++ b/granitedock/lab/scale/calls.py
@@ -1,4 +1,4 @@
-"""What calls to the counter cost: how many one core of the stand-in bears, and the bytes of a call."""
+"""What calls to the counter cost: how many one core of the emulator bears, and the bytes of a call."""
 
 from __future__ import annotations
 
@@ -6,22 +6,32 @@
 import socket
 import tempfile
 import time
+from collections.abc import Iterator
+from contextlib import ExitStack
 from dataclasses import dataclass
+from itertools import cycle, islice
 from pathlib import Path
 
-from granitedock.lab.scale.errors import ScaleError
+from granitedock.lab.scale.child_processes import emulator_process
+from granitedock.lab.scale.errors import MachineLimitError
+from granitedock.lab.scale.gateway_process import COUNTER_EMULATOR
+from granitedock.lab.scale.load_scenarios import emulator_scenario_text
 from granitedock.lab.scale.probe import process_cpu_s
-from granitedock.lab.scale.requests import process, worded
 from granitedock.service.counter_protocol import encode_call
 
 LIFE_MS = 12_000.0
 IN_FLIGHT = 4  # calls on a connection that wait for answers
 NAMES = 21_000
+NAME_STRIDE = 17
+LONGEST_NAME = 2**62
+CONNECT_S = 10.0
+RECEIVE_BYTES = 65_536
+TYPICAL_ANSWER = b"$6\r\n123456\r\n"
 
 
 @dataclass(frozen=True, slots=True)
 class CallCost:
-    """Calls a second that the stand-in answered on so many connections, its processor time a call, and the
+    """Calls a second that the emulator answered on so many connections, its processor time a call, and the
     bytes of a call both ways, without headers of the network."""
 
     connections: int
@@ -31,50 +41,55 @@
     answer_bytes: int
 
 
-def connected(address: str, count: int) -> list[socket.socket]:
-    """So many connections to the counter. Raises ScaleError where the machine has no room for them."""
+def open_connections(address: str, count: int) -> list[socket.socket]:
+    """So many connections to the counter. Raises MachineLimitError where they cannot be opened."""
     host, _, port = address.rpartition(":")
     try:
-        return [socket.create_connection((host, int(port)), timeout=10.0) for _ in range(count)]
-    except OSError as fault:
-        raise ScaleError(f"{count} connections to the counter: {fault}") from None
+        return [socket.create_connection((host, int(port)), timeout=CONNECT_S) for _ in range(count)]
+    except OSError as error:
+        raise MachineLimitError.connections(count, error) from None
 
 
-def pumped(lines: list[socket.socket], seconds: float) -> int:
-    """Keep `IN_FLIGHT` calls out on each connection for so long; the answers that came."""
-    selector = selectors.DefaultSelector()
-    calls = [encode_call(17 * number, 1.0, LIFE_MS) for number in range(NAMES)]
-    sent = answered = 0
-    for line in lines:
-        line.sendall(b"".join(calls[(sent + n) % NAMES] for n in range(IN_FLIGHT)))
-        sent += IN_FLIGHT
-        selector.register(line, selectors.EVENT_READ)
-    ends = time.monotonic() + seconds
-    while time.monotonic() < ends:
-        for key, _ in selector.select(0.1):
-            came = key.fileobj.recv(65536).count(b"$")
-            answered += came
-            key.fileobj.sendall(b"".join(calls[(sent + n) % NAMES] for n in range(came)))
-            sent += came
-    selector.close()
+def next_calls(calls: Iterator[bytes], count: int) -> bytes:
+    """The next calls as one piece of bytes."""
+    return b"".join(islice(calls, count))
+
+
+def exchange_calls(connections: list[socket.socket], seconds: float) -> int:
+    """Keep `IN_FLIGHT` calls in flight on each connection for so long; the number of answers."""
+    calls = cycle([encode_call(NAME_STRIDE * number, 1.0, LIFE_MS) for number in range(NAMES)])
+    answered = 0
+    with selectors.DefaultSelector() as selector:
+        for connection in connections:
+            connection.sendall(next_calls(calls, IN_FLIGHT))
+            selector.register(connection, selectors.EVENT_READ, data=connection)
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline:
+            for key, _ in selector.select(0.1):
+                answers = key.data.recv(RECEIVE_BYTES).count(b"$")
+                answered += answers
+                key.data.sendall(next_calls(calls, answers))
     return answered
 
 
 def measure(connections: int, seconds: float) -> CallCost:
-    """One counter stand-in, called as fast as it answers."""
+    """One counter emulator, called as fast as it answers."""
     with tempfile.TemporaryDirectory() as folder:
-        scene = Path(folder) / "scenario.toml"
-        scene.write_text(worded(1))
-        with process("granitedock.lab.emulators.counter", str(scene)) as (counter, address):
-            lines = connected(address, connections)
-            try:
-                began, cpu = time.monotonic(), process_cpu_s(counter.pid)
-                answered = pumped(lines, seconds)
-                lasted, cpu = time.monotonic() - began, process_cpu_s(counter.pid) - cpu
-            finally:
-                for line in lines:
-                    line.close()
-    call = len(encode_call(2**62, 1.0, LIFE_MS))
+        scenario_path = Path(folder) / "scenario.toml"
+        scenario_path.write_text(emulator_scenario_text(1))
+        with emulator_process(COUNTER_EMULATOR, str(scenario_path)) as counter, ExitStack() as opened:
+            sockets = open_connections(counter.announcement, connections)
+            for connection in sockets:
+                opened.enter_context(connection)
+            started_at = time.monotonic()
+            cpu_before = process_cpu_s(counter.pid)
+            answered = exchange_calls(sockets, seconds)
+            elapsed_s = time.monotonic() - started_at
+            cpu_s = process_cpu_s(counter.pid) - cpu_before
     return CallCost(
-        connections, answered / lasted, 1e6 * cpu / max(1, answered), call, len(b"$6\r\n123456\r\n")
+        connections=connections,
+        calls_a_second=answered / elapsed_s,
+        counter_cpu_us=1e6 * cpu_s / max(1, answered),
+        call_bytes=len(encode_call(LONGEST_NAME, 1.0, LIFE_MS)),
+        answer_bytes=len(TYPICAL_ANSWER),
     )
--- a/granitedock/lab/scale/command.py
+++ b/granitedock/lab/scale/command.py
@@ -7,127 +7,97 @@
 import resource
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
-from granitedock.lab.scale import calls, configuration, documents, fleet, hosts, plans, requests, tables, view
 from granitedock.lab.scale.capacity import capacity_sections
-from granitedock.lab.scale.errors import ScaleError
-from granitedock.lab.scale.probe import run_in_fresh_process
+from granitedock.lab.scale.errors import MachineLimitError, PageError
+from granitedock.lab.scale.measurement_run import MeasurementRun
 from granitedock.lab.scale.results import Machine, Results, read_results
 from granitedock.lab.scale.sizes import FULL, QUICK, OperatorSize, Sizes
+from granitedock.lab.scale.tables import fill_page, measurement_sections
 
 SPARE_DESCRIPTORS = 200
-MEMORY_PART = 0.5  # of the machine's, at most
-MB_A_HOLLOW_GATEWAY = 24.0  # reckoned with some to spare, for the check before the start
-SERVERS = 2  # descriptors that one listening host costs the emulator
+MAX_MEMORY_SHARE = 0.5  # of the machine's
+MB_A_HOLLOW_GATEWAY = 24.0  # estimated with some to spare, for the check before the start
+DESCRIPTORS_A_HOST = 2  # that one listening host costs the emulator
 
+Echo = Callable[[str], None]
 
-def checked(sizes: Sizes) -> None:
-    """Guards the machine: sizes that do not fit are refused before anything starts. Raises ScaleError."""
-    descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0] - SPARE_DESCRIPTORS
-    wanted = max(
-        SERVERS * max(sizes.request_hosts), max(sizes.counter_connections), max(sizes.hollow_gateways)
-    )
-    if wanted > descriptors:
-        raise ScaleError(f"sizes need {wanted:,} descriptors, and a process may have {descriptors:,}")
+
+def check_sizes(sizes: Sizes) -> None:
+    """Guards the machine: sizes that do not fit are refused before anything starts. Raises
+    MachineLimitError."""
+    available = resource.getrlimit(resource.RLIMIT_NOFILE)[0] - SPARE_DESCRIPTORS
+    hollow_gateways = max(sizes.hollow_gateways)
+    needed = max(DESCRIPTORS_A_HOST * max(sizes.request_hosts), *sizes.counter_connections, hollow_gateways)
+    if needed > available:
+        raise MachineLimitError.descriptors(needed, available)
     total_mb = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") / 2**20
-    need_mb = MB_A_HOLLOW_GATEWAY * max(sizes.hollow_gateways)
-    if need_mb > MEMORY_PART * total_mb:
-        raise ScaleError(f"sizes need some {need_mb:,.0f} MB, and half of the memory is {total_mb / 2:,.0f}")
-
-
-class Run:
-    """One run of all measurements; what fails is named and the rest goes on."""
-
-    def __init__(self, sizes: Sizes, size: OperatorSize, say: Callable[[str], None]) -> None:
-        self.sizes, self.size, self.say = sizes, size, say
-        self.not_taken: list[str] = []
-
-    def each(self, kind: str, measure: Callable[..., Any], cases: list[tuple]) -> list[Any]:
-        """The measurement at each case, each in a process of its own."""
-        rows = []
-        for case in cases:
-            self.say(f"{kind}: {', '.join(str(part) for part in case)}")
-            try:
-                rows.append(run_in_fresh_process(measure, *case))
-            except (ScaleError, OSError) as fault:
-                self.not_taken.append(f"{kind} at {', '.join(str(part) for part in case)} ({fault})")
-        return rows
-
-    def kinds(self) -> dict[str, tuple[Callable[..., Any], list[tuple]]]:
-        """Each kind's measurement and cases."""
-        sizes, rate = self.sizes, self.size.requests_a_gateway
-        seconds = sizes.request_seconds
-        request_cases = [(count, on, rate, seconds) for count in sizes.request_hosts for on in (False, True)]
-        return {
-            "hosts": (hosts.measure, [(count,) for count in sizes.hosts]),
-            "plans": (plans.measure, [(count,) for count in sizes.plans]),
-            "view": (view.measure, [(count, sizes.view_seconds) for count in sizes.gateways]),
-            "calls": (calls.measure, [(n, sizes.counter_seconds) for n in sizes.counter_connections]),
-            "requests": (requests.measure, request_cases),
-            "fleets": (fleet.measure, [(n, sizes.hollow_hosts, True) for n in sizes.hollow_gateways]),
-            "documents": (documents.measure, [(count,) for count in sizes.plans]),
-            "configuration": (configuration.measure, list(sizes.configuration)),
-        }
-
-    def results(self, quick: bool) -> Results:
-        """All kinds, one after another."""
-        before = os.getloadavg()[0]
-        found = {kind: self.each(kind, *what) for kind, what in self.kinds().items()}
-        cores = os.cpu_count() or 1
-        machine = Machine(cores, platform.python_version(), before, os.getloadavg()[0])
-        return Results(quick=quick, machine=machine, not_taken=self.not_taken, **found)
-
-    def again(self, results: Results, kind: str) -> None:
-        """One kind measured anew, in the place of what the results have of it. Raises ScaleError."""
-        kinds = self.kinds()
-        if kind not in kinds:
-            raise ScaleError(f"no such kind: {kind}; one of {', '.join(kinds)}")
-        setattr(results, kind, self.each(kind, *kinds[kind]))
-        kept = [line for line in results.not_taken if not line.startswith(f"{kind} at ")]
-        results.not_taken = kept + self.not_taken
-        results.taken_later.append(kind)
-
-
-def scale(
-    quick: bool,
-    out: Path,
-    page: Path | None,
-    plots: Path | None,
-    only: str | None,
-    say: Callable[[str], None],
+    needed_mb = MB_A_HOLLOW_GATEWAY * hollow_gateways
+    if needed_mb > MAX_MEMORY_SHARE * total_mb:
+        raise MachineLimitError.memory(needed_mb, total_mb)
+
+
+def measure_all(run: MeasurementRun, quick: bool) -> Results:
+    """All kinds, one after another."""
+    load_before = os.getloadavg()[0]
+    costs = run.measure_all()
+    machine = Machine(
+        cores=os.cpu_count() or 1,
+        python=platform.python_version(),
+        load_before=load_before,
+        load_after=os.getloadavg()[0],
+    )
+    return Results(quick=quick, machine=machine, not_taken=run.not_taken, **costs)
+
+
+def measure_again(run: MeasurementRun, results: Results, kind: str) -> None:
+    """Measure one kind anew, in the place of what the results have of it. Raises UnknownKindError."""
+    setattr(results, kind, run.measure_kind(kind))
+    kept = [line for line in results.not_taken if not line.startswith(f"{kind} at ")]
+    results.not_taken = kept + run.not_taken
+    results.taken_later.append(kind)
+
+
+def run_scale(
+    quick: bool, output: Path, page: Path | None, plots: Path | None, kind: str | None, echo: Echo
 ) -> int:
-    """Measure, then write `out` (JSON), the tables into `page` and the plots into the folder `plots`; 0 if
-    every measurement could be taken, else 1. With `only`, one kind of what `out` holds is measured anew.
-    Raises ScaleError."""
+    """Measure, then write `output` (JSON), the tables into `page` and the plots into the folder `plots`; 0 if
+    every measurement could be taken, else 1. With `kind`, only this kind of what `output` holds is measured
+    anew. Raises ScaleError."""
     sizes = QUICK if quick else FULL
-    checked(sizes)
-    run = Run(sizes, OperatorSize(), say)
-    if only is None:
-        results = run.results(quick)
+    check_sizes(sizes)
+    run = MeasurementRun(sizes, OperatorSize(), echo)
+    if kind is None:
+        results = measure_all(run, quick)
     else:
-        results = read_results(out)
-        run.again(results, only)
-    results.write(out)
-    shown(results, page, plots, say)
+        results = read_results(output)
+        measure_again(run, results, kind)
+    results.write(output)
+    show_results(results, page, plots, echo)
     for line in results.not_taken:
-        say(f"NOT TAKEN {line}")
+        echo(f"NOT TAKEN {line}")
     return 1 if results.not_taken else 0
 
 
-def shown(results: Results, page: Path | None, plots: Path | None, say: Callable[[str], None]) -> None:
-    """Tables to the page or, without one, to `say`; plots where a folder is named. Raises ScaleError."""
-    made = tables.measurement_sections(results) | capacity_sections(results, OperatorSize())
+def show_results(results: Results, page: Path | None, plots: Path | None, echo: Echo) -> None:
+    """Write the tables to the page or, without one, to `echo`, and the plots into a folder where one is
+    named. Raises ScaleError."""
+    sections = measurement_sections(results) | capacity_sections(results, OperatorSize())
     if page is not None:
-        try:
-            page.write_text(tables.fill_page(page.read_text(), made, str(page)))
-        except OSError as fault:
-            raise ScaleError(f"{page}: {fault.strerror}") from None
+        write_page(page, sections)
     else:
-        for name, text in made.items():
-            say(f"## {name}\n\n{text}")
+        for name, text in sections.items():
+            echo(f"## {name}\n\n{text}")
     if plots is not None:
         from granitedock.lab.scale.plots import draw_plots
 
         for path in draw_plots(results, plots):
-            say(f"plot in {path}")
+            echo(f"plot in {path}")
+
+
+def write_page(page: Path, sections: dict[str, str]) -> None:
+    """Replace the page's sections. Raises PageError."""
+    try:
+        page.write_text(fill_page(page.read_text(), sections, str(page)))
+    except OSError as error:
+        raise PageError.unwritable(page, error) from None
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -91,9 +91,9 @@
 
 def test_sizes_beyond_the_machine_start_nothing(monkeypatch):
     with pytest.raises(ScaleError, match="descriptors"):
-        command.checked(replace(FULL, counter_connections=(10**9,)))
+        command.check_sizes(replace(FULL, counter_connections=(10**9,)))
     with pytest.raises(ScaleError, match="MB"):
-        command.checked(
+        command.check_sizes(
             replace(FULL, hollow_gateways=(10_000,), counter_connections=(4,), request_hosts=(1,))
         )
 
