--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -1,10 +1,10 @@
-"""What the load tool itself bears, against gateways that answer everything at once.
+"""What the load generator itself bears, against gateways that answer everything at once.
 
-    .venv/bin/python benchmarks/load_tool.py ceiling   # offered more and more: what leaves in time
-    .venv/bin/python benchmarks/load_tool.py cost      # 2,000 tasks a second over 1 to 8 gateways
+    .venv/bin/python benchmarks/load_tool.py ceiling   # offered more and more: what is sent in time
+    .venv/bin/python benchmarks/load_tool.py cost      # 2,000 requests a second over 1 to 8 gateways
 
-The stand-in gateways are processes that answer each task with a value; nothing else is measured. Late is how
-long after its drawn time a task left, so that a tool that cannot keep up shows it. Tables are Markdown.
+The emulated gateways are processes that answer each request with a value; nothing else is measured. Tables go
+to standard output as Markdown.
 """
 
 from __future__ import annotations
@@ -12,101 +12,144 @@
 import multiprocessing
 import sys
 import time
+from collections.abc import Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from granitedock.lab.load.generator import LoadGenerator  # noqa: E402
-from granitedock.lab.load.verification import violations  # noqa: E402
-from granitedock.lab.scenario import parse  # noqa: E402
+from granitedock.lab.load.generator import LoadGenerator  # noqa: E402 - the path is set before
+from granitedock.lab.load.observations import RequestOutcome  # noqa: E402 - the path is set before
+from granitedock.lab.load.verification import violations  # noqa: E402 - the path is set before
+from granitedock.lab.scenario import Scenario, parse  # noqa: E402 - the path is set before
+
+if TYPE_CHECKING:
+    from multiprocessing.queues import Queue
 
 SECONDS = 5.0
+START_S = 20.0
+CUSTOMERS = 4
+CEILING_RATES = (1000, 2000, 4000, 5000, 6000, 8000, 10_000, 12_000)
+COST_RATE = 2000
+COST_GATEWAYS = (1, 2, 4, 8)
+HEADS = "offered a second | left a second | part | p99, ms | CPU of the tool | rule 1 broken |"
+
 
+@dataclass(frozen=True, slots=True)
+class LoadResult:
+    """One load: requests sent a second, and as a part of the offered ones; p99 of the answers, ms; the part
+    of a core that the generator used; violations of rule 1."""
 
-def echo(said) -> None:
-    """A gateway that answers at once."""
-    from twisted.internet import reactor
+    sent_a_second: float
+    sent_share: float
+    p99_ms: float
+    core_share: float
+    violations: int
+
+    def cells(self) -> str:
+        """The columns behind the offered rate."""
+        return (
+            f"{self.sent_a_second:,.0f} | {self.sent_share:.2f} | {self.p99_ms:.1f} | "
+            f"{self.core_share:.0%} | {self.violations}"
+        )
+
+
+def run_gateway(addresses: Queue[str]) -> None:
+    """A gateway that answers at once; puts its address into the queue and runs until it is terminated."""
     from twisted.internet.protocol import Factory
 
+    from granitedock.lab.reactor import REACTOR
     from granitedock.service.resp import RespReceiver
 
-    class Link(RespReceiver):
+    class ImmediateAnswer(RespReceiver):
+        """Answers each value."""
+
         def __init__(self) -> None:
             super().__init__(1024, 64 * 1024, 68 * 1024, 64, 4)
 
-        def value_received(self, value, parts) -> None:
+        def value_received(self, _value: object, _parts: object) -> None:
+            """Answer."""
             self.send(b"$2\r\nok\r\n")
 
-    port = reactor.listenTCP(0, Factory.forProtocol(Link), interface="127.0.0.1")
-    said.put(f"127.0.0.1:{port.getHost().port}")
-    reactor.run()
+    port = REACTOR.listenTCP(0, Factory.forProtocol(ImmediateAnswer), interface="127.0.0.1")
+    addresses.put(f"127.0.0.1:{port.getHost().port}")
+    REACTOR.run()
+
+
+@contextmanager
+def gateway_processes(count: int) -> Iterator[list[str]]:
+    """Run so many emulated gateways until the block ends; their addresses."""
+    context = multiprocessing.get_context("spawn")
+    addresses: Queue[str] = context.Queue()
+    processes = [context.Process(target=run_gateway, args=(addresses,), daemon=True) for _ in range(count)]
+    for process in processes:
+        process.start()
+    try:
+        yield [addresses.get(timeout=START_S) for _ in processes]
+    finally:
+        for process in processes:
+            process.terminate()
+            process.join()
 
 
-def scenario(rate: float, gateways: int):
+def load_scenario(rate: float, gateways: int) -> Scenario:
+    """So many requests a second of four customers, each over all gateways."""
     clients = "".join(
-        f'[[clients]]\ncustomer = {n}\nproduct = "read"\nplan = "p"\nrate = {rate / 4}\n'
+        f'[[clients]]\ncustomer = {customer}\nproduct = "read"\nplan = "p"\nrate = {rate / CUSTOMERS}\n'
         f"spread = {gateways}\nleft_ms = 1000\n"
-        for n in range(4)
+        for customer in range(CUSTOMERS)
     )
     hosts = '[[fleet.zones]]\nname = "east"\nhosts = 1\n'
     return parse(f"length_s = {SECONDS}\n[fleet]\ngateways = {gateways}\n{hosts}{clients}")
 
 
-def measured(rate: float, gateways: int):
-    """(tasks left a second, of those offered, p99 of the answer in ms, CPU of this process, broken)."""
-    context = multiprocessing.get_context("spawn")
-    said = context.Queue()
-    doubles = [context.Process(target=echo, args=(said,), daemon=True) for _ in range(gateways)]
-    for double in doubles:
-        double.start()
-    try:
-        load = LoadGenerator(scenario(rate, gateways), [said.get(timeout=20) for _ in doubles])
+def measure(rate: float, gateways: int) -> LoadResult:
+    """One load of `SECONDS`."""
+    with gateway_processes(gateways) as addresses:
+        load = LoadGenerator(load_scenario(rate, gateways), addresses)
         load.start()
-        cpu, began = time.process_time(), time.monotonic()
+        cpu_before = time.process_time()
+        started_at = time.monotonic()
         time.sleep(SECONDS)
-        cpu, lasted = time.process_time() - cpu, time.monotonic() - began
-        left = len(load.records)
+        cpu_s = time.process_time() - cpu_before
+        elapsed_s = time.monotonic() - started_at
+        sent = len(load.records)
         load.stop()
-        waits = sorted(row.latency_ms for row in load.records if row.outcome == "done")
-        return (
-            left / lasted,
-            left / lasted / rate,
-            waits[int(len(waits) * 0.99)],
-            cpu / lasted,
-            len(violations(load)),
+        latencies = sorted(
+            record.latency_ms for record in load.records if record.outcome == RequestOutcome.DONE
+        )
+        return LoadResult(
+            sent_a_second=sent / elapsed_s,
+            sent_share=sent / elapsed_s / rate,
+            p99_ms=latencies[int(len(latencies) * 0.99)],
+            core_share=cpu_s / elapsed_s,
+            violations=len(violations(load)),
         )
-    finally:
-        for double in doubles:
-            double.terminate()
-            double.join()
 
 
 @click.group()
 def main() -> None:
-    """Measurements of the load tool."""
-
-
-HEADS = "offered a second | left a second | part | p99, ms | CPU of the tool | rule 1 broken |"
+    """Measurements of the load generator."""
 
 
 @main.command()
 def ceiling() -> None:
-    """One gateway, more and more tasks."""
+    """One gateway, more and more requests."""
     click.echo(f"| {HEADS}\n| --- | --- | --- | --- | --- | --- |")
-    for rate in (1000, 2000, 4000, 5000, 6000, 8000, 10_000, 12_000):
-        left, part, p99, cpu, wrong = measured(rate, 1)
-        click.echo(f"| {rate:,} | {left:,.0f} | {part:.2f} | {p99:.1f} | {cpu:.0%} | {wrong} |")
+    for rate in CEILING_RATES:
+        click.echo(f"| {rate:,} | {measure(rate, 1).cells()} |")
 
 
 @main.command()
 def cost() -> None:
-    """The same tasks over more gateways."""
+    """The same requests over more gateways."""
     click.echo(f"| gateways | {HEADS}\n| --- | --- | --- | --- | --- | --- | --- |")
-    for gateways in (1, 2, 4, 8):
-        left, part, p99, cpu, wrong = measured(2000, gateways)
-        click.echo(f"| {gateways} | 2,000 | {left:,.0f} | {part:.2f} | {p99:.1f} | {cpu:.0%} | {wrong} |")
+    for gateways in COST_GATEWAYS:
+        click.echo(f"| {gateways} | {COST_RATE:,} | {measure(COST_RATE, gateways).cells()} |")
 
 
 if __name__ == "__main__":
