--- a/granitedock/commands/laboratory.py
+++ b/granitedock/commands/laboratory.py
@@ -103,14 +103,14 @@
     """Measure what hosts, plans, gateways, requests, calls and changes cost, up to the operators' size; keeps
     one JSON and makes the tables of docs/CAPACITY.md. Exits with 1 if a measurement could not be taken."""
     from granitedock.lab.scale import command, results
-    from granitedock.lab.scale.probe import ScaleError
+    from granitedock.lab.scale.errors import ScaleError
 
     try:
         if show_only:
-            command.shown(results.read(output), page, plots, click.echo)
+            command.show_results(results.read_results(output), page, plots, click.echo)
             return
         output.parent.mkdir(parents=True, exist_ok=True)
-        raise SystemExit(command.scale(quick, output, page, plots, kind, click.echo))
+        raise SystemExit(command.run_scale(quick, output, page, plots, kind, click.echo))
     except ScaleError as error:
         raise click.ClickException(str(error)) from None
 
--- a/granitedock/lab/hollow/__main__.py
+++ b/granitedock/lab/hollow/__main__.py
@@ -16,7 +16,7 @@
 from granitedock.lab.hollow.gateway import HollowGateway
 from granitedock.lab.hollow.messages import HollowOrder, HollowStatus
 from granitedock.lab.reactor import REACTOR
-from granitedock.lab.scale.roster import commanded
+from granitedock.lab.scale.command_server import serve_commands
 
 START_SPREAD_S = 0.5  # the gateways of one process start within so long
 STATUS_COMMAND = "status"
@@ -53,7 +53,7 @@
 def main() -> int:
     """Run until SIGTERM, or the end of standard input."""
     gc.disable()  # a collection would look through all the gateways of this process; a real one has one
-    commanded(REACTOR, HollowProcess(REACTOR).handle_command)
+    serve_commands(REACTOR, HollowProcess(REACTOR).handle_command)
     return run_until_sigterm("ready")
 
 
