--- a/granitedock/__init__.py
+++ b/granitedock/__init__.py
@@ -4,6 +4,6 @@
 
 __version__ = "0.1.0"
 
-# When this process began, in Unix milliseconds: what a client sent us while we were still starting may have
-# waited for us since then, and its time ran all the while.
-BEGAN_MS = time.time() * 1000.0
+# Start time of this process, in Unix milliseconds. A request that a client sends while the process starts may
+# have waited since this time, and its deadline runs meanwhile.
+STARTED_AT_MS = time.time() * 1000.0
--- a/granitedock/__main__.py
+++ b/granitedock/__main__.py
@@ -12,7 +12,7 @@
 QUERIES = "granitedock.commands.queries"
 CONTROL = "granitedock.commands.control"
 LABORATORY = "granitedock.commands.laboratory"
-COMMANDS = {  # name on the command line: (module, attribute)
+COMMANDS = {  # Name on the command line: (module, attribute).
     "serve": (GATEWAY, "serve"),
     "check": (GATEWAY, "check"),
     "counters": (QUERIES, "counters"),
@@ -30,14 +30,14 @@
 
 
 class LazyGroup(click.Group):
-    """A group that imports a command's module when it is called, so that a start imports only its own."""
+    """A group that imports a command's module when the command runs, so that a start imports no other."""
 
-    def list_commands(self, context: click.Context) -> list[str]:  # noqa: ARG002 - click calls it with one
-        """The names of all commands, without importing them."""
+    def list_commands(self, context: click.Context) -> list[str]:  # noqa: ARG002 - click passes a context
+        """Return the names of all commands without importing their modules."""
         return sorted([*COMMANDS, *self.commands])
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
-        """The command of this name, imported now, or None if there is none."""
+        """Import and return the command of this name, or return None if there is none."""
         if name not in COMMANDS:
             return super().get_command(context, name)
         module, attribute = COMMANDS[name]
--- a/granitedock/errors.py
+++ b/granitedock/errors.py
@@ -1,5 +1,5 @@
-"""The base of all errors that granitedock raises."""
+"""The base class of all errors that granitedock raises."""
 
 
 class GranitedockError(Exception):
-    """An error of granitedock's own; its text says what was wrong and where."""
+    """Base class of granitedock's own errors; the text states what is wrong and where."""
--- a/granitedock/gateway_process.py
+++ b/granitedock/gateway_process.py
@@ -13,7 +13,7 @@
 from twisted.internet.main import installReactor
 from twisted.logger import globalLogBeginner
 
-from granitedock import BEGAN_MS
+from granitedock import STARTED_AT_MS
 from granitedock.platform_file import PlatformFileError, load
 from granitedock.service.clock import Clock
 from granitedock.service.gateway_service import GatewayService
@@ -81,7 +81,7 @@
     if not may_talk(settings):
         service.log.event("membership disabled", why="the settings do not let gateways talk to each other")
         return None
-    link = MembershipServices(file, service.name, settings, int(BEGAN_MS), service.reactor, service.log)
+    link = MembershipServices(file, service.name, settings, int(STARTED_AT_MS), service.reactor, service.log)
     service.effects.exit_hooks.append(link.leave)
     state_machine.commands.status_commands[b"FLEET"] = link.show_members
     state_machine.policy.rate_limiter.membership = link.transport
@@ -121,7 +121,7 @@
     pending: list[int] = []
     for number in SIGNALS:
         signal.signal(number, lambda number, _frame: pending.append(number))
-    reactor = GatewayReactor(TimerQueue(Clock()), BEGAN_MS)
+    reactor = GatewayReactor(TimerQueue(Clock()), STARTED_AT_MS)
     installReactor(reactor)
     try:
         gateway = build_gateway(path, reactor, membership_file, operators_path, configuration_file)
--- a/granitedock/platform_file.py
+++ b/granitedock/platform_file.py
@@ -1,7 +1,7 @@
-"""The file that the platform hands a gateway: its form, and how it is read.
+"""The platform file, which the platform provides to a gateway: its fields, and how it is loaded.
 
-Read at the start and on SIGHUP; an error is reported as FILE: FIELD: WHAT. It must never fill in a value or
-decide by one.
+A gateway loads it at the start and on SIGHUP. An error has the form `FILE: FIELD: REASON`. This module only
+validates: it must never fill in a value, or make a decision that depends on one.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from granitedock.errors import GranitedockError
 from granitedock.field_rules import (
     ADDRESS,
-    FLAG,
-    LIST,
-    NUMBER,
+    BOOLEAN,
+    HEX_SEED,
+    NON_EMPTY_STRING,
+    NON_NEGATIVE_NUMBER,
     OBJECT,
+    OBJECT_LIST,
     OPTIONAL_ADDRESS,
-    POSITIVE,
-    SEED,
-    TEXT,
-    WHOLE,
+    POSITIVE_NUMBER,
+    WHOLE_NUMBER,
     list_errors,
     one_of,
     optional,
@@ -34,47 +34,51 @@
 
 
 class PlatformFileError(GranitedockError, ValueError):
-    """A file that can't be served by; its text names the file and each field that is wrong."""
+    """A platform file that a gateway cannot use; the text names the file and the rejected fields."""
 
 
 CLASS_RULES = [
-    *required(TEXT, "Name"),
+    *required(NON_EMPTY_STRING, "Name"),
     *required(one_of("safe", "keyed", "unsafe"), "Repeat"),
     *optional(one_of("all", "zone", "cell"), "DedupScope"),
-    *required(POSITIVE, "TargetMs", "GiveUpMs"),
-    *optional(NUMBER, "WindowMs", "Worth", "LateWorth"),
-    *optional(FLAG, "Stream"),
+    *required(POSITIVE_NUMBER, "TargetMs", "GiveUpMs"),
+    *optional(NON_NEGATIVE_NUMBER, "WindowMs", "Worth", "LateWorth"),
+    *optional(BOOLEAN, "Stream"),
 ]
 PLAN_RULES = [
-    *required(TEXT, "Name"),
-    *optional(NUMBER, "Refill", "MostAtOnce", "Concurrency", "WorthFactor", "OverWorth", "ExcessCost"),
-    *optional(NUMBER, "CeilingRate", "CeilingBurst", "Tolerance"),
+    *required(NON_EMPTY_STRING, "Name"),
+    *optional(
+        NON_NEGATIVE_NUMBER, "Refill", "MostAtOnce", "Concurrency", "WorthFactor", "OverWorth", "ExcessCost"
+    ),
+    *optional(NON_NEGATIVE_NUMBER, "CeilingRate", "CeilingBurst", "Tolerance"),
 ]
 FILE_RULES = [
-    *required(TEXT, "name"),
+    *required(NON_EMPTY_STRING, "name"),
     *required(ADDRESS, "listen", "discovery"),
     *optional(OPTIONAL_ADDRESS, "counter"),
-    *required(SEED, "seed"),
+    *required(HEX_SEED, "seed"),
     *optional(OBJECT, "limits", "known"),
     *required(OBJECT, "settings"),
 ]
-LIMIT_RULES = optional(POSITIVE, "memory_mb", "sockets")
+LIMIT_RULES = optional(POSITIVE_NUMBER, "memory_mb", "sockets")
 SETTING_RULES = [
-    *optional(WHOLE, "Me", "Balancers"),
-    *required(LIST, "Lanes", "Tariffs"),
+    *optional(WHOLE_NUMBER, "Me", "Balancers"),
+    *required(OBJECT_LIST, "Lanes", "Tariffs"),
     *required(OBJECT, "Allowed", "Safety"),
     *optional(OBJECT, "Specifics"),
 ]
 ALLOWED_RULES = [
-    *optional(NUMBER, "MaxAttempts", "MaxRetryAfterMs", "ConnIdleMs", "ConnectTimeoutMs", "MostHeld"),
-    *optional(FLAG, "Cancel", "SecondCopies", "RetryAfter", "Probes", "MayTell"),
+    *optional(
+        NON_NEGATIVE_NUMBER, "MaxAttempts", "MaxRetryAfterMs", "ConnIdleMs", "ConnectTimeoutMs", "MostHeld"
+    ),
+    *optional(BOOLEAN, "Cancel", "SecondCopies", "RetryAfter", "Probes", "MayTell"),
 ]
-SAFETY_RULES = optional(NUMBER, "ColdFrom", "ColdMs", "OverloadFactor", "TipAfterMs")
-SPECIFIC_RULES = [*optional(NUMBER, "MaxUnits"), *optional(FLAG, "Counter", "TruedUp")]
+SAFETY_RULES = optional(NON_NEGATIVE_NUMBER, "ColdFrom", "ColdMs", "OverloadFactor", "TipAfterMs")
+SPECIFIC_RULES = [*optional(NON_NEGATIVE_NUMBER, "MaxUnits"), *optional(BOOLEAN, "Counter", "TruedUp")]
 
 
 def validation_errors(document: Any) -> list[str]:
-    """What is wrong with the file's object, `FIELD: WHAT`; nothing where it can be served by."""
+    """Return the errors in the decoded file, each as `FIELD: REASON`; the list is empty if it is valid."""
     if type(document) is not dict:
         return ["(whole file): an object is wanted"]
     settings = document.get("settings")
@@ -92,7 +96,10 @@
 
 
 def load(path: str | Path) -> dict[str, Any]:
-    """Read and check the file; its object as decoded. Raises PlatformFileError."""
+    """Load and validate the file.
+
+    Returns the decoded object, and raises PlatformFileError if the file cannot be read or is not valid.
+    """
     try:
         document = orjson.loads(Path(path).read_bytes())
     except OSError as error:
@@ -102,13 +109,13 @@
         message = f"{path}: not JSON: {error}"
         raise PlatformFileError(message) from None
     if errors := validation_errors(document):
-        raise PlatformFileError(report(path, errors))
+        raise PlatformFileError(error_summary(path, errors))
     return document
 
 
-def report(path: str | Path, errors: list[str]) -> str:
-    """The errors in a line, each with the file's name; the first few, and how many more there are."""
-    text = "; ".join(f"{path}: {error}" for error in errors[:MAX_REPORTED_ERRORS])
+def error_summary(path: str | Path, errors: list[str]) -> str:
+    """Return one line with the first errors, each after the path, and the count of those left out."""
+    summary = "; ".join(f"{path}: {error}" for error in errors[:MAX_REPORTED_ERRORS])
     if len(errors) > MAX_REPORTED_ERRORS:
-        text += f"; and {len(errors) - MAX_REPORTED_ERRORS} more"
-    return text
+        summary += f"; and {len(errors) - MAX_REPORTED_ERRORS} more"
+    return summary
--- a/granitedock/platform_settings.py
+++ b/granitedock/platform_settings.py
@@ -1,6 +1,6 @@
-"""A gateway's settings, decoded into the policy's types, for the simulator's adapter and for the service.
+"""Decoding of the platform's settings into the policy's types, for the service and the simulator's adapter.
 
-The record's keys are the platform's words; they stay here.
+The keys of the records are the platform's names; only this module translates them.
 """
 
 from __future__ import annotations
@@ -20,55 +20,58 @@
     SlowStart,
 )
 
-Record = dict[str, Any]  # a JSON object of the platform's
+Record = dict[str, Any]  # A JSON object of the platform's settings.
 
 IDEMPOTENCY = {
     "safe": Idempotency.IDEMPOTENT,
     "keyed": Idempotency.KEYED,
     "unsafe": Idempotency.NON_IDEMPOTENT,
 }
-PER_MS = 0.001
+SECONDS_PER_MS = 0.001
 
 
-def number(record: Record, key: str) -> float:
-    """A number of the record; absent and null read as 0."""
+def number_or_zero(record: Record, key: str) -> float:
+    """Return the number at a key of the record, or 0 if it is absent or null."""
     value = record.get(key)
     return 0.0 if value is None else float(value)
 
 
 def request_class(record: Record) -> RequestClass:
-    """A request class of the settings."""
+    """Decode one request class."""
     return RequestClass(
         name=record["Name"],
         idempotency=IDEMPOTENCY[record["Repeat"]],
         idempotency_scope=IdempotencyScope(record.get("DedupScope") or "all"),
-        idempotency_window_ms=number(record, "WindowMs"),
-        latency_objective_ms=number(record, "TargetMs"),
-        deadline_ms=number(record, "GiveUpMs"),
-        priority_weight=number(record, "Worth"),
-        late_priority_weight=number(record, "LateWorth"),
+        idempotency_window_ms=number_or_zero(record, "WindowMs"),
+        latency_objective_ms=number_or_zero(record, "TargetMs"),
+        deadline_ms=number_or_zero(record, "GiveUpMs"),
+        priority_weight=number_or_zero(record, "Worth"),
+        late_priority_weight=number_or_zero(record, "LateWorth"),
         stream=bool(record.get("Stream")),
     )
 
 
 def request_classes(settings: Record) -> list[RequestClass]:
-    """All request classes of the settings."""
+    """Decode all request classes of the settings."""
     return [request_class(record) for record in settings["Lanes"]]
 
 
 def plan(record: Record, window_ms: float = 0.0) -> Plan:
-    """A plan of the settings; numbers that are absent or null read as 0. Written without further calls, as a
-    deployment has some ten thousands. `window_ms` as in `Plan`."""
+    """Decode one plan; a number that is absent or null is read as 0.
+
+    `window_ms` has the meaning it has in `Plan`. The fields are read without a call of
+    `number_or_zero` for each, because a deployment has tens of thousands of plans.
+    """
     field = record.get
     return Plan(
         name=record["Name"],
-        rate=float(field("Refill") or 0.0) * PER_MS,
+        rate=float(field("Refill") or 0.0) * SECONDS_PER_MS,
         burst=float(field("MostAtOnce") or 0.0),
         max_in_flight=int(field("Concurrency") or 0.0),
         priority_factor=float(field("WorthFactor") or 0.0),
         over_quota_weight=float(field("OverWorth") or 0.0),
         over_quota_cost=float(field("ExcessCost") or 0.0),
-        ceiling_rate=float(field("CeilingRate") or 0.0) * PER_MS,
+        ceiling_rate=float(field("CeilingRate") or 0.0) * SECONDS_PER_MS,
         ceiling_burst=float(field("CeilingBurst") or 0.0),
         ceiling_slack=float(field("Tolerance") or 0.0),
         window_ms=window_ms,
@@ -76,47 +79,49 @@
 
 
 def plans(settings: Record) -> list[Plan]:
-    """All plans of the settings."""
+    """Decode all plans of the settings."""
     return [plan(record) for record in settings["Tariffs"]]
 
 
 def permitted_features(settings: Record) -> PermittedFeatures:
-    """What the deployment allows a gateway to do."""
+    """Decode the features that the deployment permits a gateway to use."""
     allowed = settings["Allowed"]
     return PermittedFeatures(
-        max_attempts=int(number(allowed, "MaxAttempts")),
+        max_attempts=int(number_or_zero(allowed, "MaxAttempts")),
         hedged_requests=bool(allowed.get("SecondCopies")),
         cancel=bool(allowed.get("Cancel")),
         retry_after=bool(allowed.get("RetryAfter")),
-        max_retry_after_ms=number(allowed, "MaxRetryAfterMs"),
+        max_retry_after_ms=number_or_zero(allowed, "MaxRetryAfterMs"),
     )
 
 
 def slow_start(settings: Record) -> SlowStart:
-    """What hosts that have just started can do."""
+    """Decode the capacity of hosts that have just started, and what overloads them."""
     safety = settings["Safety"]
     return SlowStart(
-        initial_capacity_share=number(safety, "ColdFrom"),
-        warm_up_ms=number(safety, "ColdMs"),
-        overload_factor=number(safety, "OverloadFactor"),
-        overload_interval_ms=number(safety, "TipAfterMs"),
+        initial_capacity_share=number_or_zero(safety, "ColdFrom"),
+        warm_up_ms=number_or_zero(safety, "ColdMs"),
+        overload_factor=number_or_zero(safety, "OverloadFactor"),
+        overload_interval_ms=number_or_zero(safety, "TipAfterMs"),
     )
 
 
 def identity(seed: int, settings: Record) -> GatewayIdentity:
-    """The gateway's own number, among how many."""
-    return GatewayIdentity(seed, int(number(settings, "Me")), max(1, int(number(settings, "Balancers"))))
+    """Return the gateway's identity: its seed, its number, and the number of gateways, at least 1."""
+    return GatewayIdentity(
+        seed, int(number_or_zero(settings, "Me")), max(1, int(number_or_zero(settings, "Balancers")))
+    )
 
 
 def has_counter(settings: Record) -> bool:
-    """Whether the deployment has a counter."""
+    """Return whether the deployment has a counter."""
     return bool((settings.get("Specifics") or {}).get("Counter"))
 
 
 def gateway(
     effects: EffectHandler, now: float, seed: int, settings: Record, classes: list[RequestClass]
 ) -> Gateway:
-    """The decisions of one gateway; it keeps the list of request classes."""
+    """Create the policy of one gateway, which keeps a reference to the list of request classes."""
     return Gateway(
         effects,
         now,
--- a/granitedock/state_table.py
+++ b/granitedock/state_table.py
@@ -1,7 +1,7 @@
-"""State machines as tables: a state and an event give the next state and the effect to run.
+"""State machines as transition tables.
 
-A table maps (state, event) to (next state, effect); the effect is the name of a method, or None. Used by the
-policy, the service and the configuration service. No I/O.
+A table maps (state, event) to (next state, effect). The effect is the name of a method to call, or None. The
+policy, the service and the configuration service share this module; it performs no I/O.
 """
 
 from __future__ import annotations
@@ -12,19 +12,22 @@
 
 
 class StateEnum(Enum):
-    """States and events. Members hash by identity: Enum's own hash is slow, and each request reads tables."""
+    """Base class of states and events.
+
+    Members hash by identity, because Enum's own hash is slow and every request looks up rows in tables.
+    """
 
     __hash__ = object.__hash__
 
 
-Table = Mapping[tuple[Any, Any], tuple[Any, str | None]]
+TransitionTable = Mapping[tuple[Any, Any], tuple[Any, str | None]]
 
 
-def advance(table: Table, machine: Any, event: Any, effects: Any) -> None:
-    """Apply `event` to `machine.state`, and each event that an effect returns, until one returns None.
+def advance(table: TransitionTable, machine: Any, event: Any, effects: Any) -> None:
+    """Apply an event to `machine.state`, then each event that an effect returns, until one returns None.
 
-    `effects` has the methods that the table names; each is called with `machine`. An event that has no row
-    in the present state is ignored.
+    `effects` has the methods that the table names; each is called with `machine`. An event without a row for
+    the current state is ignored, and ends the sequence.
     """
     while event is not None:
         row = table.get((machine.state, event))
