--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,19 +1,20 @@
-"""Hooks for all tests: known failures, the order and grouping of tests with real processes, shared fixtures.
+"""Hooks for all tests: known failures, order and grouping of tests with real processes, and shared fixtures.
 
-KNOWN-RED.txt at the root lists tests that are known to fail, a line each: `tests/test_x.py::test_y | cause |
-issue`. They must fail, and nothing else may. The run ends with a usage error where there are more than three,
-a line is not of that form, or a name is none that was collected; a listed test that passes has failed.
+KNOWN-RED.txt at the root lists the tests that are known to fail, one per line, in the form
+`tests/test_x.py::test_y | cause | issue`. Each listed test must fail, and no other test may. A listed test
+that passes counts as a failure. The run ends with a usage error if more than three tests are listed, if a
+line is not of this form, or if a name is not that of a collected test.
 """
 
 import pytest
 
 KNOWN_FAILURES = "KNOWN-RED.txt"
 MAX_KNOWN_FAILURES = 3
-FIELDS = 3  # of a line: test, cause, issue
+FIELDS_PER_LINE = 3  # Test, cause, issue.
 
-# Tests with fleets of real gateway processes measure shares over seconds of real time. In a run over several
-# processes each group is run by one of them, one test after another, so that at most as many fleets as there
-# are groups run at once. These tests begin first, as they take the longest.
+# Tests with fleets of real gateway processes measure shares over seconds of real time. In a run with several
+# workers, one worker runs all tests of a group, one after another, so that no more fleets run at once than
+# there are groups. These tests start first, because they take the longest.
 FLEET_GROUPS = {
     "test_quota_sharing_processes.py": ("fleets-1", "fleets-2"),
     "test_outlier_detection_processes.py": ("fleets-3",),
@@ -24,13 +25,13 @@
 
 
 def read_known_failures(path):
-    """(test, cause, issue) of each line of the list. Raises pytest.UsageError."""
+    """Return (test, cause, issue) of each line of the list; raises pytest.UsageError for a malformed list."""
     rows = []
     for number, line in enumerate(path.read_text().splitlines() if path.exists() else (), 1):
         if not line.strip() or line.startswith("#"):
             continue
         fields = [field.strip() for field in line.split("|")]
-        if len(fields) != FIELDS or not all(fields):
+        if len(fields) != FIELDS_PER_LINE or not all(fields):
             raise pytest.UsageError(f"{path.name}:{number}: not of the form TEST | CAUSE | ISSUE")
         rows.append(tuple(fields))
     if len(rows) > MAX_KNOWN_FAILURES:
@@ -41,13 +42,13 @@
 
 
 def pytest_configure(config):
-    """Guards a run over several processes, whose own could not end it with a usage error."""
+    """Check the list before any worker starts, because a usage error in a worker would not end the run."""
     read_known_failures(config.rootpath / KNOWN_FAILURES)
 
 
-@pytest.hookimpl(tryfirst=True)  # before any selection by words, which drops tests
+@pytest.hookimpl(tryfirst=True)  # Before a selection by keyword drops tests.
 def pytest_collection_modifyitems(config, items):
-    """Group the tests with fleets and put them first; expect the known failures to fail."""
+    """Move the tests with fleets to the front, assign them to groups, and mark the known failures."""
     items.sort(key=lambda item: item.path.name not in FLEET_GROUPS)
     for number, item in enumerate(items):
         if groups := FLEET_GROUPS.get(item.path.name):
@@ -56,9 +57,10 @@
 
 
 def expect_known_failures(config, items):
-    """Mark each listed test as a strict expected failure. Raises pytest.UsageError for one that is unknown.
+    """Mark each listed test as a strict expected failure; raises pytest.UsageError for an unknown test.
 
-    A run of single tests, or one that did not collect the listed test's file, says nothing of it.
+    A listed test that is not collected is not an error in a run of single tests, or in a run that does not
+    collect the test's existing file, because such a run does not show whether the test exists.
     """
     path = config.rootpath / KNOWN_FAILURES
     items_by_name = {item.nodeid: item for item in items}
--- a/tests/golden/test_golden_names.py
+++ b/tests/golden/test_golden_names.py
@@ -1,8 +1,8 @@
-"""Names that operators use, as the text of tests/data/README.md has them.
+"""Names that operators use, compared with the recordings that tests/data/README.md describes.
 
-They are counters, metrics, the command line and the keys of files. Counters are looked for in the program's
-text by the form of their increment, so that a rename of a module or a variable changes nothing here, and a
-rename of a counter is found.
+These are counters, metrics, the command line and the keys of files. Guards against a rename in the program
+that breaks an operator's dashboards, scripts or files. Counters are identified in the source by the form of
+their increment, so that a renamed module or variable has no effect here and a renamed counter fails.
 """
 
 import ast
@@ -16,10 +16,10 @@
 
 DATA = Path(__file__).parents[1] / "data"
 PROGRAM = Path(__file__).parents[2] / "granitedock"
-APART = ("lab", "model", "benchlink")  # no part of a gateway or control process
+EXCLUDED_FOLDERS = ("lab", "model", "benchlink")  # Not part of a gateway or control process.
 
 
-# The program's own objects.
+# Access to the program's objects.
 
 
 def command_line():
@@ -28,22 +28,22 @@
     return main
 
 
-def metrics_text(addresses, ask):
-    """What Prometheus reads of the gateways at these addresses; `ask` gives the reply of each to INFO."""
+def metrics_text(addresses, query):
+    """Return what Prometheus reads; `query` returns the reply to INFO of the gateway at an address."""
     from granitedock.metrics import GatewayCollector, exposition_text
 
-    return exposition_text(GatewayCollector(addresses, ask))
+    return exposition_text(GatewayCollector(addresses, query))
 
 
-def call_endings():
-    """How a forward or a call ends, as the counters' names say it."""
+def outcome_names():
+    """Return the names of the outcomes of an attempt or a counter call, as they appear in counter names."""
     from granitedock.policy.types import Outcome
 
-    return {ending.value for ending in Outcome}
+    return {outcome.value for outcome in Outcome}
 
 
 def file_models():
-    """The form of each operators' file, by its name in deploy/ (the laboratory's: a scenario)."""
+    """Return the model of each operators' file by its name in deploy/, and that of a laboratory scenario."""
     from granitedock.configuration.settings import ControlFile, GatewayFile
     from granitedock.lab.scenario import Scenario
     from granitedock.membership.settings import FleetFile
@@ -59,144 +59,156 @@
 
 
 def load_deployed(name):
-    """Read an operators' file of deploy/ by the program's reader."""
+    """Load an operators' file of deploy/ with the program's loader."""
     from granitedock.configuration import settings
     from granitedock.membership import settings as fleet
     from granitedock.service import operator_settings as operators
 
-    readers = {
+    loaders = {
         "gateway.toml": operators.load,
         "fleet.toml": fleet.load,
         "configuration.toml": settings.load_gateway,
         "control.toml": settings.load_control,
     }
-    return readers[name](PROGRAM.parent / "deploy" / name)
+    return loaders[name](PROGRAM.parent / "deploy" / name)
 
 
 # Counters.
 
 
-def listed(name):
+def listed_names(name):
     return (DATA / name).read_text().split()
 
 
-def trees():
+def syntax_trees():
     for path in sorted(PROGRAM.rglob("*.py")):
-        if path.relative_to(PROGRAM).parts[0] not in APART:
+        if path.relative_to(PROGRAM).parts[0] not in EXCLUDED_FOLDERS:
             yield ast.parse(path.read_text())
 
 
-def literals():
-    """All text literals of the program."""
-    nodes = (node for tree in trees() for node in ast.walk(tree))
+def string_literals():
+    """Return all string literals of the program."""
+    nodes = (node for tree in syntax_trees() for node in ast.walk(tree))
     return {node.value for node in nodes if isinstance(node, ast.Constant) and isinstance(node.value, str)}
 
 
-def keys(node):
-    """The names that a subscript may stand for; a name that is put together ends with *."""
+def subscript_names(node):
+    """Return the names that a subscript may evaluate to; a concatenated name ends with *."""
     if isinstance(node, ast.Constant) and isinstance(node.value, str):
         return {node.value}
     if isinstance(node, ast.IfExp):
-        return keys(node.body) | keys(node.orelse)
+        return subscript_names(node.body) | subscript_names(node.orelse)
     if isinstance(node, ast.BinOp):
-        return {f"{name}*" for name in keys(node.left)}
+        return {f"{name}*" for name in subscript_names(node.left)}
     return set()
 
 
-def incremented():
-    """The names under which the program counts: a number is added to something[name]."""
-    found = set()
-    for tree in trees():
+def incremented_names():
+    """Return the names of the program's counters: each `name` in an increment `mapping[name] += n`."""
+    counted = set()
+    for tree in syntax_trees():
         for node in ast.walk(tree):
             if isinstance(node, ast.AugAssign) and isinstance(node.target, ast.Subscript):
-                found |= keys(node.target.slice)
-    return found
+                counted |= subscript_names(node.target.slice)
+    return counted
 
 
-def made_of(name, texts):
-    """Whether a text of the program is this name, or two of them together are."""
-    return name in texts or any(name[:at] in texts and name[at:] in texts for at in range(1, len(name)))
+def is_composed_of(name, texts):
+    """Return whether the name is one of the texts, or the concatenation of two of them."""
+    return name in texts or any(
+        name[:split] in texts and name[split:] in texts for split in range(1, len(name))
+    )
 
 
-def test_each_counter_of_info_stands_in_the_programs_text():
-    texts = literals() | call_endings()
-    missing = [name for name in listed("info_counters.txt") if not made_of(name, texts)]
+def test_each_info_counter_occurs_in_the_source():
+    texts = string_literals() | outcome_names()
+    missing = [name for name in listed_names("info_counters.txt") if not is_composed_of(name, texts)]
     assert not missing
 
 
-def test_each_counter_that_control_and_the_views_show_stands_in_the_programs_text():
-    texts = literals()
-    assert not [name for name in listed("other_counters.txt") if name not in texts]
+def test_each_counter_of_control_status_and_the_views_occurs_in_the_source():
+    texts = string_literals()
+    assert not [name for name in listed_names("other_counters.txt") if name not in texts]
 
 
-def test_nothing_is_counted_under_a_name_that_is_not_listed():
-    names = [*listed("info_counters.txt"), *listed("other_counters.txt")]
+def test_no_counter_has_a_name_that_is_not_listed():
+    names = [*listed_names("info_counters.txt"), *listed_names("other_counters.txt")]
     unknown = set()
-    for key in incremented():
-        prefix = key.removesuffix("*")
-        if key not in names and not (key != prefix and any(name.startswith(prefix) for name in names)):
-            unknown.add(key)
+    for counter in incremented_names():
+        prefix = counter.removesuffix("*")
+        if counter not in names and not (
+            counter != prefix and any(name.startswith(prefix) for name in names)
+        ):
+            unknown.add(counter)
     assert not unknown
 
 
-def test_endings_make_the_counters_of_forwards_and_calls():
-    names = listed("info_counters.txt")
+def test_each_outcome_has_a_counter_of_forwards_and_of_calls():
+    names = listed_names("info_counters.txt")
     for prefix in ("forward_", "call_"):
-        assert {prefix + ending for ending in call_endings()} <= set(names)
+        assert {prefix + outcome for outcome in outcome_names()} <= set(names)
 
 
-def test_the_recorded_storys_counters_are_listed():
+def test_counters_of_the_golden_story_are_listed():
     counters = json.loads((DATA / "golden_story.json").read_bytes())["counters"]
-    assert set(counters) <= set(listed("info_counters.txt"))
+    assert set(counters) <= set(listed_names("info_counters.txt"))
 
 
 # Metrics.
 
 
-def test_the_metrics_of_all_counters_are_worded_as_recorded():
-    names = listed("info_counters.txt")
+def test_the_metrics_of_all_counters_have_the_recorded_text():
+    names = listed_names("info_counters.txt")
     reply = "".join(f"{name}:{number}\r\n" for number, name in enumerate(names)).encode()
 
-    def ask(address):
+    def query(address):
         if address == "away:1":
             raise click.ClickException("away")
         return reply
 
-    assert metrics_text(("here:1", "away:1"), ask) == (DATA / "prometheus.txt").read_text()
+    assert metrics_text(("here:1", "away:1"), query) == (DATA / "prometheus.txt").read_text()
 
 
 # The command line.
 
 
-def parameter(one):
-    """What a user may write for one option or argument."""
-    kind = one.type
-    found = {"name": sorted([*one.opts, *one.secondary_opts]), "type": kind.name, "required": one.required}
-    found |= {"kind": one.param_type_name, "multiple": one.multiple, "values": one.nargs}
-    found |= {"flag": bool(getattr(one, "is_flag", False)), "environment": one.envvar}
-    default = one.to_info_dict()["default"]
-    found["default"] = default if isinstance(default, str | int | float | bool | None) else str(default)
-    if isinstance(kind, click.IntRange):
-        found["range"] = [kind.min, kind.max]
-    return found
+def parameter_record(parameter):
+    """Return what a user may write for one option or argument."""
+    value_type = parameter.type
+    record = {
+        "name": sorted([*parameter.opts, *parameter.secondary_opts]),
+        "type": value_type.name,
+        "required": parameter.required,
+    }
+    record |= {
+        "kind": parameter.param_type_name,
+        "multiple": parameter.multiple,
+        "values": parameter.nargs,
+    }
+    record |= {"flag": bool(getattr(parameter, "is_flag", False)), "environment": parameter.envvar}
+    default = parameter.to_info_dict()["default"]
+    record["default"] = default if isinstance(default, str | int | float | bool | None) else str(default)
+    if isinstance(value_type, click.IntRange):
+        record["range"] = [value_type.min, value_type.max]
+    return record
 
 
-def commands(command, name="granitedock"):
-    """Each command under its whole name, with its parameters."""
+def parameters_by_command(command, name="granitedock"):
+    """Return the parameters of a command and all its subcommands, by the full name of each command."""
     context = click.Context(command)
-    found = {name: [parameter(one) for one in command.params]}
+    records = {name: [parameter_record(parameter) for parameter in command.params]}
     if isinstance(command, click.Group):
-        for part in command.list_commands(context):
-            found |= commands(command.get_command(context, part), f"{name} {part}")
-    return found
+        for subcommand in command.list_commands(context):
+            records |= parameters_by_command(command.get_command(context, subcommand), f"{name} {subcommand}")
+    return records
 
 
 def test_the_command_line_has_the_recorded_commands_and_options():
-    assert commands(command_line()) == json.loads((DATA / "command_line.json").read_bytes())
+    assert parameters_by_command(command_line()) == json.loads((DATA / "command_line.json").read_bytes())
 
 
-def test_check_prints_the_recorded_words():
-    """Of a platform file with membership, quota sharing and the configuration service turned on."""
+def test_check_prints_the_recorded_output():
+    """The platform file is checked with membership, quota sharing and the configuration service enabled."""
     arguments = [
         "check",
         "--told",
@@ -212,39 +224,41 @@
 # Operators' files.
 
 
-def resolved(schema, parts):
-    """A JSON schema with its parts in place, without the names of classes and the texts for readers."""
+def resolve_references(schema, definitions):
+    """Return a JSON schema with each reference replaced by its definition, and no titles or descriptions."""
     if isinstance(schema, list):
-        return [resolved(one, parts) for one in schema]
+        return [resolve_references(entry, definitions) for entry in schema]
     if not isinstance(schema, dict):
         return schema
     if "$ref" in schema:
-        part = parts[schema["$ref"].rpartition("/")[2]]
-        return resolved({**part, **{key: value for key, value in schema.items() if key != "$ref"}}, parts)
-    found = {}
+        definition = definitions[schema["$ref"].rpartition("/")[2]]
+        return resolve_references(
+            {**definition, **{key: value for key, value in schema.items() if key != "$ref"}}, definitions
+        )
+    resolved = {}
     for key, value in schema.items():
         if key == "properties":
-            found[key] = {name: resolved(one, parts) for name, one in value.items()}
+            resolved[key] = {name: resolve_references(field, definitions) for name, field in value.items()}
         elif key not in ("title", "description", "$defs"):
-            found[key] = resolved(value, parts)
-    return found
+            resolved[key] = resolve_references(value, definitions)
+    return resolved
 
 
-def file_form(model):
-    """Keys, types, bounds and defaults that a file may hold."""
+def file_schema(model):
+    """Return the keys, types, bounds and defaults of a file."""
     assert issubclass(model, BaseModel)
     schema = model.model_json_schema()
-    return resolved(schema, schema.get("$defs", {}))
+    return resolve_references(schema, schema.get("$defs", {}))
 
 
-FORMS = json.loads((DATA / "settings_files.json").read_bytes())
+FILE_SCHEMAS = json.loads((DATA / "settings_files.json").read_bytes())
 
 
-@pytest.mark.parametrize("name", FORMS)
+@pytest.mark.parametrize("name", FILE_SCHEMAS)
 def test_an_operators_file_has_the_recorded_keys_bounds_and_defaults(name):
-    assert json.loads(json.dumps(file_form(file_models()[name]))) == FORMS[name]
+    assert json.loads(json.dumps(file_schema(file_models()[name]))) == FILE_SCHEMAS[name]
 
 
-@pytest.mark.parametrize("name", [name for name in FORMS if name.endswith(".toml")])
-def test_the_deployed_file_is_read(name):
+@pytest.mark.parametrize("name", [name for name in FILE_SCHEMAS if name.endswith(".toml")])
+def test_the_deployed_file_loads(name):
     load_deployed(name)
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -1,7 +1,9 @@
-"""Files that an earlier text of the program wrote (tests/data/README.md) hold what was put in.
+"""Stored files that an earlier version of the program wrote, read and written by the current one.
 
-Each reader of the program is reached through one helper at the top; all that is compared below it is plain
-values, so that a renamed module changes these helpers only. Files are copied before they are opened.
+tests/data/README.md describes the files. Guards against a changed storage format, which would make the
+program reject or misread the data of a running deployment. One helper at the top wraps each reader and
+writer, and the tests compare plain values, so that a renamed module changes these helpers only. Files are
+copied before they are opened.
 """
 
 import json
@@ -12,14 +14,14 @@
 import pytest
 
 DATA = Path(__file__).parents[1] / "data"
-MAX_UNITS = 2**53 - 1  # the largest number of thousandths of a unit that a row may hold
+MAX_THOUSANDTHS = 2**53 - 1  # The largest number of thousandths of a unit that a row may contain.
 
 
 # The program's readers and writers.
 
 
 def read_quota_snapshot(name, data):
-    """The rows of a quota snapshot of gateway `name`, as tuples."""
+    """Return the rows of a quota snapshot of the gateway `name`, as tuples."""
     from granitedock.quota_sharing.snapshot import unpack
 
     return [astuple(row) for row in unpack(name, data)]
@@ -39,7 +41,7 @@
 
 
 def open_control(path, cluster):
-    """A control process (writer) over the store at `path`; closed by `close_control`."""
+    """Open the store at `path` as a control process (writer); `close_control` closes it."""
     from granitedock.configuration.control_node import ControlNode
     from granitedock.configuration.document_store import DocumentStore
 
@@ -51,12 +53,12 @@
 
 
 def shown_document(control):
-    """The whole document in the operators' words."""
+    """Return the whole document in the form that operators see."""
     return control.document_record()
 
 
 def logged_changes(control):
-    """The log of changes, each as the line that followers get."""
+    """Return the log of changes, each as the line that followers receive."""
     from granitedock.configuration.message_codec import encode
 
     return [json.loads(encode(change)) for change in control.store.changes()]
@@ -66,10 +68,10 @@
     return [json.loads(line) for line in control.snapshot_lines()]
 
 
-def apply_change(control, told):
+def apply_change(control, record):
     from granitedock.configuration.change_codec import change_from_record
 
-    return control.apply(change_from_record(told, "test"), "test")
+    return control.apply(change_from_record(record, "test"), "test")
 
 
 def configuration_error():
@@ -79,7 +81,7 @@
 
 
 def read_configuration_copy(path, cluster):
-    """(entries as (section, record), version, digest) of a gateway's copy."""
+    """Return (entries as (section, record), version, digest) of a gateway's copy."""
     from granitedock.configuration.local_copy import LocalCopy
 
     entries, version, digest = LocalCopy(path, cluster, pytest.fail).read()
@@ -87,7 +89,7 @@
 
 
 def read_run(folder):
-    """(name, length in s, faults, rows as tuples) of a kept laboratory run."""
+    """Return (name, length in s, faults, rows as tuples) of a stored laboratory run."""
     from granitedock.lab.run_storage import read
 
     run = read(folder)
@@ -108,44 +110,46 @@
 
 
 def capacity_figures(results):
-    """Each role's figures: [total, budget] at the operators' size, as their shortest decimal text."""
+    """Return [total, budget] of each role's figures at the operators' size, as their shortest decimals."""
     from granitedock.lab.scale.capacity import role_figures
     from granitedock.lab.scale.sizes import OperatorSize
 
     rows = role_figures(results, OperatorSize())
-    return {role: [[repr(row.total), repr(row.budget)] for row in found] for role, found in rows.items()}
+    return {
+        role: [[repr(row.total), repr(row.budget)] for row in role_rows] for role, role_rows in rows.items()
+    }
 
 
 def replay_trace(path):
-    """(lines said, exit code or the reason why the trace cannot go on) of `check-model --replay`."""
+    """Return (printed lines, exit code or the reason why the replay stops) of `check-model --replay`."""
     from granitedock.model_checking import command
     from granitedock.model_checking.errors import TraceError
 
-    said = []
+    lines = []
     try:
-        return said, str(command.replay(str(path), said.append))
+        return lines, str(command.replay(str(path), lines.append))
     except TraceError as error:
-        return said, str(error).removeprefix(f"{path}: ")
+        return lines, str(error).removeprefix(f"{path}: ")
 
 
-def find_trace(told, path):
-    """Explore the world that is told, as `check-model --trace` does; its exit code."""
+def explore_and_store_trace(world_record, path):
+    """Explore the described world as `check-model --trace` does, and return the exit code."""
     from granitedock.model_checking import command
 
-    return command.check(told, 20_000, 1, str(path), lambda line: None)
+    return command.check(world_record, 20_000, 1, str(path), lambda line: None)
 
 
-def explored(told):
-    """What an exploration of the world that is told comes to: counts of states, moves and ends, and more."""
+def exploration_figures(world_record):
+    """Return the figures of an exploration of the described world, such as its states, moves and ends."""
     from granitedock.model_checking import explore, trace
 
-    found = explore.explore(trace.make_world(told))
+    exploration = explore.explore(trace.make_world(world_record))
     names = ("states", "moves", "ends", "depth", "complete")
-    return {name: getattr(found, name) for name in names} | {"broken": found.violations}
+    return {name: getattr(exploration, name) for name in names} | {"broken": exploration.violations}
 
 
 def planted_faults():
-    """What plants each fault, by the name of its trace."""
+    """Return the function that plants each fault, by the name of the fault's trace."""
     from planted_faults import PLANTED, take_silence_for_proof
 
     return {
@@ -157,11 +161,13 @@
     }
 
 
-# What was put in.
+# The content of the stored files.
 
-QUOTA_ROWS = [  # gateway, its start, customer, window, window in ms, let in, added to the counter since
+# Gateway, start of its process in Unix ms, customer, window, length of the window in ms, and two amounts in
+# thousandths of a unit: admitted, and of these added to the counter since.
+QUOTA_ROWS = [
     ("g0", 1_700_000_000_000, 161, 28333333, 60000, 2500, 500),
-    ("g0", 1_699_999_000_000, 2**33 - 1, 28333334, 60000, MAX_UNITS, 0),
+    ("g0", 1_699_999_000_000, 2**33 - 1, 28333334, 60000, MAX_THOUSANDTHS, 0),
 ]
 READ = {"Name": "read", "Repeat": "safe", "TargetMs": 1000, "GiveUpMs": 4000, "Worth": 1}
 ONCE = {"Name": "once", "Repeat": "unsafe", "TargetMs": 1000, "GiveUpMs": 4000, "Worth": 2}
@@ -199,14 +205,14 @@
     assert write_quota_snapshot("g0", QUOTA_ROWS) == data
 
 
-def test_a_stored_quota_snapshot_is_refused_where_torn_or_of_another_gateway():
+def test_a_quota_snapshot_that_is_corrupt_or_of_another_gateway_is_rejected():
     data = (DATA / "quota_snapshot.bin").read_bytes()
     error = quota_snapshot_error()
     with pytest.raises(error, match="of another gateway: g0"):
         read_quota_snapshot("g1", data)
-    for torn in (data[:-1], b"\0" + data[1:], b""):
+    for corrupt in (data[:-1], b"\0" + data[1:], b""):
         with pytest.raises(error, match="torn: its checksum is another"):
-            read_quota_snapshot("g0", torn)
+            read_quota_snapshot("g0", corrupt)
 
 
 # Control store.
@@ -244,7 +250,7 @@
     close_control(control)
 
 
-def test_a_stored_control_document_takes_a_further_change_and_comes_back_with_it(tmp_path):
+def test_a_stored_control_document_keeps_a_further_change_when_it_is_reopened(tmp_path):
     path = copied(tmp_path, "control_store.db")
     control = open_control(path, "golden")
     apply_change(control, {"base": 3, "plans": {"remove": ["späte Tür"]}, "classes": {"upsert": [ONCE]}})
@@ -257,7 +263,7 @@
     close_control(control)
 
 
-def test_a_stored_control_document_of_another_cluster_is_refused(tmp_path):
+def test_a_stored_control_document_of_another_cluster_is_rejected(tmp_path):
     with pytest.raises(configuration_error(), match="the store of cluster 'golden', not 'other'"):
         open_control(copied(tmp_path, "control_store.db"), "other")
 
@@ -281,7 +287,7 @@
 # A laboratory run.
 
 
-def test_a_kept_laboratory_run_is_read_and_written_byte_for_byte(tmp_path):
+def test_a_stored_laboratory_run_is_read_and_written_byte_for_byte(tmp_path):
     assert read_run(DATA / "run") == ("golden day", 10.0, RUN_FAULTS, RUN_ROWS)
     write_run(tmp_path, "golden day", 10.0, RUN_FAULTS, RUN_ROWS)
     for name in ("run.json", "rows.jsonl"):
@@ -297,9 +303,9 @@
     assert (tmp_path / "capacity.json").read_bytes() == (DATA / "capacity.json").read_bytes()
 
 
-def test_figures_at_the_operators_size_follow_from_the_stored_results_as_before():
-    found = capacity_figures(read_capacity(DATA / "capacity.json"))
-    assert found == json.loads((DATA / "capacity_figures.json").read_bytes())
+def test_stored_capacity_results_give_the_recorded_figures_at_the_operators_size():
+    figures = capacity_figures(read_capacity(DATA / "capacity.json"))
+    assert figures == json.loads((DATA / "capacity_figures.json").read_bytes())
 
 
 # Traces of the model.
@@ -312,17 +318,17 @@
 
 
 @pytest.mark.parametrize("name", TRACES)
-def test_a_stored_trace_ends_as_before_without_the_fault(name):
-    found = replay_trace(DATA / "traces" / f"{name}.json")
-    assert found == (TRACES[name]["sound"], TRACES[name]["sound_end"])
+def test_a_stored_trace_replays_without_the_fault_to_the_recorded_end(name):
+    replayed = replay_trace(DATA / "traces" / f"{name}.json")
+    assert replayed == (TRACES[name]["sound"], TRACES[name]["sound_end"])
 
 
 @pytest.mark.parametrize("name", TRACES)
-def test_the_exploration_finds_and_stores_the_same_trace_again(name, monkeypatch, tmp_path):
+def test_an_exploration_under_the_planted_fault_stores_the_same_trace(name, monkeypatch, tmp_path):
     stored = (DATA / "traces" / f"{name}.json").read_bytes()
-    world = {key: value for key, value in json.loads(stored).items() if key in ("world", "shape")}
+    world_record = {key: value for key, value in json.loads(stored).items() if key in ("world", "shape")}
     planted_faults()[name](monkeypatch)
-    assert find_trace(world, tmp_path / "trace.json") == 1
+    assert explore_and_store_trace(world_record, tmp_path / "trace.json") == 1
     assert (tmp_path / "trace.json").read_bytes() == stored
 
 
@@ -334,5 +340,5 @@
 
 
 @pytest.mark.parametrize("case", EXPLORATIONS, ids=lambda case: json.dumps(case["world"]["shape"]))
-def test_a_small_world_has_as_many_states_moves_and_ends_as_recorded(case):
-    assert explored(case["world"]) == case["found"]
+def test_a_small_world_has_the_recorded_states_moves_and_ends(case):
+    assert exploration_figures(case["world"]) == case["found"]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,8 @@
-"""The list of tests that are known to fail, played with a small suite of its own."""
+"""The list of known failures (KNOWN-RED.txt), exercised with pytest on a small suite in a temporary folder.
+
+Guards against a list that hides failures: a listed test that passes or does not exist, a malformed line, or
+too many lines would otherwise go unnoticed.
+"""
 
 import subprocess
 import sys
@@ -17,18 +21,18 @@
     (tmp_path / "pytest.ini").write_text("[pytest]\ntestpaths = t\n")
     (tmp_path / "KNOWN-RED.txt").write_text("# a comment\n" + "".join(line + "\n" for line in lines))
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
-    done = subprocess.run(command, cwd=tmp_path, capture_output=True, text=True, timeout=60)
-    return done.returncode, done.stdout + done.stderr
+    completed = subprocess.run(command, cwd=tmp_path, capture_output=True, text=True, timeout=60)
+    return completed.returncode, completed.stdout + completed.stderr
 
 
-def test_those_listed_are_passed_over_and_printed_and_any_other_fails_the_run(tmp_path):
-    code, said = run(tmp_path, BAD, WORSE)
-    assert code == 0 and "1 passed, 2 xfailed" in said
-    assert "known red: t/test_it.py::test_bad: no reason (issue 1)" in said
+def test_listed_failures_are_expected_and_printed_and_other_tests_pass(tmp_path):
+    code, output = run(tmp_path, BAD, WORSE)
+    assert code == 0 and "1 passed, 2 xfailed" in output
+    assert "known red: t/test_it.py::test_bad: no reason (issue 1)" in output
 
 
 @pytest.mark.parametrize(
-    "lines, told",
+    "lines, expected",
     [
         ([BAD], "1 failed"),
         ([BAD, WORSE, "t/test_it.py::test_good | passes | 3"], "XPASS(strict)"),
@@ -38,6 +42,6 @@
         ([BAD, WORSE, BAD, WORSE], "4 tests are listed, 3 at most may be"),
     ],
 )
-def test_the_run_fails_where_the_list_does_not_fit(tmp_path, lines, told):
-    code, said = run(tmp_path, *lines)
-    assert code != 0 and told in said
+def test_the_run_fails_when_the_list_does_not_match_the_suite(tmp_path, lines, expected):
+    code, output = run(tmp_path, *lines)
+    assert code != 0 and expected in output
