--- a/granitedock/outlier_detection/detector.py
+++ b/granitedock/outlier_detection/detector.py
@@ -86,7 +86,7 @@
         statistics.attempt_finished(outcome, took_ms, latency_objective_ms, now)
         self._publish(host.name, statistics, now)
 
-    def is_ejected(self, host: Host, risky: bool, now: float) -> bool:
+    def is_ejected(self, host: Host, non_idempotent: bool, now: float) -> bool:
         """See OutlierDetectionPort.
 
         A failing host is half-open for the gateways whose turn it is: they probe it with requests, but not
@@ -96,7 +96,7 @@
         reason = self.ejected.get(host.name)
         if reason is None:
             return False
-        return risky or reason is EjectionReason.DRAINING or not self.has_probe_turn(host.name, now)
+        return non_idempotent or reason is EjectionReason.DRAINING or not self.has_probe_turn(host.name, now)
 
     def may_probe(self, host: Host, now: float) -> bool:
         """See OutlierDetectionPort: in this gateway's turn, or once another gateway had an answer."""
--- a/granitedock/policy/__init__.py
+++ b/granitedock/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of granitedock, and the types by which they are called."""
+"""The decisions of granitedock, and the types with which callers exchange them."""
--- a/granitedock/policy/gateway.py
+++ b/granitedock/policy/gateway.py
@@ -1,10 +1,10 @@
-"""The decisions of one gateway: each request's way from its receipt to its one final answer.
+"""The decisions of one gateway: the path of each request from its receipt to its single final answer.
 
-How it is called: a carrier makes one `Gateway` (`platform_settings.gateway`), sets its clock with
-`advance_clock` before each batch, and calls `update_endpoints`, `handle_request`, `attempt_finished`,
-`response_started`, `client_disconnected`, `counter_call_finished` and `timer_fired`; what is decided goes out
-through the `EffectHandler`. Interface: `granitedock/policy/types.py` and `ports.py`. What is kept of the
-design and what changed: docs/design.md.
+A carrier makes one `Gateway` (`platform_settings.gateway`), sets its clock with `advance_clock` before each
+batch, and calls `update_endpoints`, `handle_request`, `attempt_finished`, `response_started`,
+`client_disconnected`, `counter_call_finished` and `timer_fired`. The `EffectHandler` carries the decisions
+out. The interface is in `granitedock/policy/types.py` and `ports.py`. docs/design.md describes which parts of
+the design are kept and which have changed.
 """
 
 from __future__ import annotations
@@ -15,7 +15,13 @@
 from granitedock.policy.quota_account import QuotaAccount
 from granitedock.policy.rate_limiter import RateLimiter
 from granitedock.policy.request_lifecycle import REQUEST
-from granitedock.policy.retry_rules import Right, may_reject, possible_execution, retry_hosts, retry_right
+from granitedock.policy.retry_rules import (
+    RepeatCondition,
+    first_possible_execution,
+    may_invite_repeat,
+    retry_condition,
+    retry_hosts,
+)
 from granitedock.policy.states import RequestEvent, RequestState
 from granitedock.policy.types import (
     Attempt,
@@ -29,13 +35,12 @@
 )
 from granitedock.state_table import advance
 
-SILENCE_CHECK_MEANS = (
-    3.0  # mean answer times before an attempt at a silent host is cancelled, to be made again
-)
+# Mean answer times after which an attempt at a silent host is cancelled, so that it can be retried.
+SILENCE_CHECK_MULTIPLE = 3.0
 
 
 class Gateway:
-    """One API gateway. Moments are Unix ms."""
+    """One API gateway. All points in time are Unix ms."""
 
     def __init__(self, effects: EffectHandler, now: float, settings: GatewaySettings) -> None:
         self.effects = effects
@@ -48,27 +53,27 @@
     # Inputs.
 
     def advance_clock(self, now: float) -> None:
-        """Come to this moment."""
+        """Set the current time of the gateway and of its parts."""
         self.now = self.breaker.now = self.rate_limiter.now = now
         self.load_balancer.advance_clock(now)
 
     def update_endpoints(self, updates: list[EndpointUpdate], complete: bool) -> None:
-        """Take in updates of the endpoint list; a complete one removes hosts that it does not name."""
+        """Apply updates of the endpoint list; a complete list removes the hosts that it does not name."""
         self.load_balancer.update_endpoints(updates, complete)
 
     def handle_request(self, request: Request) -> None:
-        """A new request."""
+        """Start the lifecycle of a new request."""
         self.rate_limiter.account(request).advance_window(self.now)
         advance(REQUEST, request, RequestEvent.RECEIVED, self)
 
-    def refuse(self, request: Request) -> None:
-        """A new request that is given up undecided, as one never sent."""
+    def reject_unsent(self, request: Request) -> None:
+        """Reject a new request without checking its quota, as one that was never sent."""
         self.rate_limiter.account(request).advance_window(self.now)
         request.state = RequestState.FINISHED
-        self.give_up(request)
+        self.reject_or_fail(request)
 
     def counter_call_finished(self, call: CounterCall, outcome: Outcome, total: float) -> None:
-        """A counter call ended; `total` counts where the outcome is DONE."""
+        """Apply the end of a counter call; `total` is valid only where the outcome is DONE."""
         event = self.rate_limiter.call_finished(call, outcome, total)
         if event is not None and call.request is not None:
             advance(REQUEST, call.request, event, self)
@@ -76,7 +81,11 @@
     def attempt_finished(
         self, attempt: Attempt, outcome: Outcome, took_ms: float, final: bool, units: float, _used: int
     ) -> None:
-        """An attempt ended. `final`: its answer is the request's; `units`, if any, are what it truly cost."""
+        """Apply the end of an attempt.
+
+        `final` means that the answer of the attempt is the answer of the request. `units`, where above 0, is
+        the actual cost of the request, and the counted usage is adjusted to it.
+        """
         request = attempt.request
         attempt.outcome = outcome
         request.in_flight -= 1
@@ -87,44 +96,47 @@
         advance(REQUEST, request, RequestEvent.ANSWERED if final else RequestEvent.LOST, self)
 
     def response_started(self, attempt: Attempt) -> None:
-        """The first bytes of a streamed answer went to the client: nothing else may follow."""
+        """Record that the first bytes of a streamed answer were sent to the client.
+
+        From then on neither a retry nor another answer may follow.
+        """
         advance(REQUEST, attempt.request, RequestEvent.RESPONSE_STARTED, self)
 
     def client_disconnected(self, request: Request) -> None:
-        """Nobody waits for the answer any more."""
+        """Finish a request whose client no longer waits for the answer."""
         advance(REQUEST, request, RequestEvent.CLIENT_GONE, self)
 
-    def timer_fired(self, why: CounterCall | Attempt) -> None:
-        """The budget of a call is up, or an attempt has been in flight for long."""
-        if isinstance(why, Attempt):
-            if why.outcome is None:
-                advance(REQUEST, why.request, RequestEvent.OVERDUE, self)
-        elif self.rate_limiter.call_timed_out(why):
-            advance(REQUEST, why.request, RequestEvent.NO_TOTAL, self)
+    def timer_fired(self, subject: CounterCall | Attempt) -> None:
+        """Handle the end of a counter call's time budget, or the silence check of an attempt."""
+        if isinstance(subject, Attempt):
+            if subject.outcome is None:
+                advance(REQUEST, subject.request, RequestEvent.OVERDUE, self)
+        elif self.rate_limiter.call_timed_out(subject):
+            advance(REQUEST, subject.request, RequestEvent.NO_TOTAL, self)
 
-    # Effects of the table.
+    # Effects named in the `REQUEST` table.
 
     def check_quota(self, request: Request) -> RequestEvent | None:
-        """Ask the counter, if need be."""
+        """Check the quota, and call the counter where the check needs its total."""
         return self.rate_limiter.check(request)
 
-    def local_fallback(self, request: Request) -> RequestEvent:
-        """Decide without the counter."""
+    def apply_local_fallback(self, request: Request) -> RequestEvent:
+        """Decide on the quota without the counter."""
         return self.rate_limiter.local_fallback(request)
 
     def refund(self, request: Request) -> None:
-        """The client left before the request was sent."""
+        """Refund the units of a request whose client left before it was sent."""
         self.rate_limiter.refund(request)
 
     def send_over_quota(self, request: Request) -> RequestEvent:
-        """Beyond the quota a request is sent only where its plan earns more by that than it costs."""
+        """Send a request over quota only where its plan gains more by that than it costs."""
         self.rate_limiter.refund(request)
         if request.plan.over_quota_weight > request.plan.over_quota_cost:
             return self.send(request)
         return RequestEvent.NO_HOST
 
     def send(self, request: Request) -> RequestEvent:
-        """Make the next attempt, where a host is expected to answer in time."""
+        """Send the next attempt, if a host is expected to answer in time and the ceiling has room."""
         account: QuotaAccount = request.customer.account
         load_balancer = self.load_balancer
         counted = self.rate_limiter.is_counted(request)
@@ -142,34 +154,41 @@
         account.in_flight += 1
         load_balancer.attempt_started(attempt)
         self.effects.send_attempt(attempt, self.attempt_deadline(request))
-        self.check_silence_later(attempt)
+        self.schedule_silence_check(attempt)
         return RequestEvent.SENT
 
     def cancel_if_silent(self, request: Request) -> None:
-        """Guards against hosts that hang, vanish or lose answers: none since. Others are only slow."""
+        """Cancel the latest attempt if its host has answered nothing since the attempt was sent.
+
+        Prevents requests from waiting for hosts that hang, vanish or lose answers. A host that has answered
+        since then is only slow: its attempt continues, and the check is scheduled again.
+        """
         attempt = request.attempts[-1]
         retry_budget = self.load_balancer.retry_budget
         if attempt.host.health.answered_at > attempt.sent_at:
-            self.check_silence_later(attempt)
+            self.schedule_silence_check(attempt)
         elif len(request.attempts) < self.permitted.max_attempts and retry_budget.allows_retry(self.now):
             self.effects.cancel(attempt)
 
-    def give_up(self, request: Request) -> None:
-        """The one final answer, at once: a rejection where trying again does no harm, else an error."""
+    def reject_or_fail(self, request: Request) -> None:
+        """Give the single final answer at once.
+
+        The answer is a rejection where a repeat by the client does no harm, and an error otherwise.
+        """
         if not request.attempts:
             self.rate_limiter.refund(request)
-        if may_reject(request, self.now):
+        if may_invite_repeat(request, self.now):
             retry_after_ms = self.retry_after_ms(request) if self.permitted.retry_after else None
             self.effects.reject(request, retry_after_ms)
         else:
             self.effects.fail(request)
 
-    # Parts of them.
+    # Helpers of the effects.
 
     def allowed_hosts(self, request: Request) -> list[Host]:
-        """The ready hosts that may get the request."""
+        """Return the ready hosts to which the next attempt may be sent."""
         hosts = self.load_balancer.ready
-        execution = possible_execution(request)
+        execution = first_possible_execution(request)
         if request.in_flight or not hosts:
             return []
         if execution is not None and not self.load_balancer.retry_budget.allows_retry(self.now):
@@ -179,38 +198,48 @@
         return hosts if execution is None else retry_hosts(request, execution, hosts, self.now)
 
     def new_attempt(self, request: Request, host: Host) -> Attempt:
-        """The next attempt; that of a keyed request which may have run begins in its window, dial and all."""
+        """Create the next attempt.
+
+        If a keyed request may have run, the retry must be sent within the idempotency window, and the time to
+        connect counts towards that window.
+        """
         attempt = Attempt(request, host, self.now, len(host.health.in_flight))
-        execution = possible_execution(request)
-        if execution is not None and retry_right(request) is Right.IN_SCOPE:
+        execution = first_possible_execution(request)
+        if execution is not None and retry_condition(request) is RepeatCondition.IN_SCOPE:
             attempt.send_before = execution.sent_at + request.request_class.idempotency_window_ms
         return attempt
 
     def attempt_deadline(self, request: Request) -> float | None:
-        """When the attempt ends, if before the request's deadline. Guards against hosts busy with what is
-        too late; an idempotent request's client would only ask again."""
+        """Return when the attempt ends, if that is before the deadline of the request.
+
+        Prevents hosts from working on answers that are already too late. None for an idempotent request, as
+        its client would only send it again, and for a request class in which a late answer has value.
+        """
         request_class = request.request_class
         if request_class.idempotency is Idempotency.IDEMPOTENT or request_class.late_priority_weight:
             return None
         return request.received_at + request_class.latency_objective_ms
 
-    def check_silence_later(self, attempt: Attempt) -> None:
-        """Look at the attempt again, where another could follow it and still be in time."""
+    def schedule_silence_check(self, attempt: Attempt) -> None:
+        """Schedule a silence check if a retry after it could still be answered within the objective."""
         request = attempt.request
-        if retry_right(request) is Right.NEVER or not self.permitted.cancel:
+        if retry_condition(request) is RepeatCondition.NEVER or not self.permitted.cancel:
             return
         estimates = self.load_balancer.estimates
-        mean = estimates.mean_answer_ms(self.now) * estimates.request_work(request, self.now)
-        answer_by = self.now + (SILENCE_CHECK_MEANS + 1.0) * mean
+        mean_ms = estimates.mean_answer_ms(self.now) * estimates.request_work(request, self.now)
+        answer_by = self.now + (SILENCE_CHECK_MULTIPLE + 1.0) * mean_ms
         if answer_by < request.received_at + request.request_class.latency_objective_ms:
-            self.effects.start_timer(SILENCE_CHECK_MEANS * mean, attempt)
+            self.effects.start_timer(SILENCE_CHECK_MULTIPLE * mean_ms, attempt)
 
     def retry_after_ms(self, request: Request) -> float:
-        """When trying again may succeed: a host has answered, the quota has room, the ceiling has room."""
+        """Return the time after which a repeat may succeed, at most the permitted maximum.
+
+        By then a host has answered, and the quota and the ceiling have room for the request.
+        """
         account: QuotaAccount = request.customer.account
-        waits = [self.load_balancer.estimates.mean_answer_ms(self.now)]
+        waits_ms = [self.load_balancer.estimates.mean_answer_ms(self.now)]
         if request.plan.rate > 0:
-            waits.append(self.rate_limiter.retry_after_ms(request))
+            waits_ms.append(self.rate_limiter.retry_after_ms(request))
         if account.ceiling is not None and not request.attempts:
-            waits.append((request.units - account.ceiling.available(self.now)) / account.ceiling.rate)
-        return min(max(waits), self.permitted.max_retry_after_ms)
+            waits_ms.append((request.units - account.ceiling.available(self.now)) / account.ceiling.rate)
+        return min(max(waits_ms), self.permitted.max_retry_after_ms)
--- a/granitedock/policy/load_balancer.py
+++ b/granitedock/policy/load_balancer.py
@@ -68,7 +68,7 @@
             if host.health is None or update.started_at > host.started_at:
                 host.health = HostHealth(self.now)  # new or restarted: what was known of it is void
             host.size = update.size
-            host.make = update.make
+            host.machine_type = update.machine_type
             host.zone = update.zone
             host.cell = update.cell
             host.started_at = update.started_at
--- a/granitedock/policy/ports.py
+++ b/granitedock/policy/ports.py
@@ -1,7 +1,7 @@
-"""The ports of the policy: what a gateway's decisions ask of their surroundings.
+"""The ports of the policy: the interfaces through which a gateway's decisions use their environment.
 
-`EffectHandler` carries the decisions out; the others are optional sources of what other gateways know, which
-may lower what this gateway sends and never raise it.
+`EffectHandler` carries the decisions out. The other ports are optional sources of what other gateways know;
+they may lower what this gateway sends and never raise it.
 """
 
 from __future__ import annotations
@@ -12,88 +12,102 @@
 
 
 class MembershipPort(Protocol):
-    """A view of the other gateways."""
+    """A membership view of the other gateways."""
 
     def active_members(self, subset_start: int, subset_size: int) -> int:
-        """By how many an even share is divided in the subset of `subset_size` gateways from `subset_start`:
-        all of them, less those proved to have ended; from 1 to `subset_size`."""
+        """Return the number of gateways of a subset among which its quota is divided evenly.
+
+        The subset has `subset_size` gateways from number `subset_start`. All of them count, except those that
+        are proved to have ended. The result is from 1 to `subset_size`.
+        """
         ...
 
 
 class QuotaSharingPort(Protocol):
-    """Units that gateways admitted without the counter, where they tell each other. Windows are the
-    customer's, by number; units of one window stay in it."""
+    """Units that gateways admitted without the counter, if the gateways share them.
+
+    Windows are the numbered windows of the customer; units admitted in one window stay in it.
+    """
 
     def record_uncounted(self, customer: int, window: int, quota: SharedQuota, units: float) -> None:
-        """Of this gateway's own, admitted while the counter does not know of them."""
+        """Record units that this gateway admitted and that the counter does not include yet."""
         ...
 
     def carry_over(self, customer: int, window: int) -> float:
-        """What this gateway admitted uncounted before it started again, given once."""
+        """Return, once, the units that this gateway admitted uncounted before its restart."""
         ...
 
     def reconcile(self, customer: int, window: int, units: float) -> None:
-        """Of those, so many are added to the counter now."""
+        """Mark that many of the uncounted units of this gateway as added to the counter."""
         ...
 
     def uncounted_elsewhere(self, customer: int, window: int, quota: SharedQuota, now: float) -> float:
-        """Units that others admitted, or may have, beyond the counter's total; 0 or more."""
+        """Return the units, 0 or more, that other gateways admitted beyond the counter's total.
+
+        Units that they may have admitted are included.
+        """
         ...
 
     def counter_call_finished(self, call: CounterCall, outcome: Outcome, total: float) -> None:
-        """A call ended; one that was this port's own says which gateways reach the counter."""
+        """Apply the end of a counter call; one that this port made shows which gateways reach the counter."""
         ...
 
 
 class OutlierDetectionPort(Protocol):
-    """What gateways tell each other of hosts. It only ever takes requests away from a host."""
+    """Observations of hosts that the gateways share; they only ever reduce the requests sent to a host."""
 
     def attempt_started(self, host: Host) -> None:
-        """An attempt goes to this host."""
+        """Record the start of an attempt at this host."""
         ...
 
     def attempt_finished(
         self, host: Host, outcome: Outcome, took_ms: float, latency_objective_ms: float, now: float
     ) -> None:
-        """An attempt there ended."""
+        """Record the end of an attempt at this host."""
         ...
 
-    def is_ejected(self, host: Host, risky: bool, now: float) -> bool:
-        """Whether others' observations keep it from a request; `risky` is one that may not be sent again."""
+    def is_ejected(self, host: Host, non_idempotent: bool, now: float) -> bool:
+        """Return whether observations of other gateways exclude the host for a request.
+
+        `non_idempotent` is true for a request that must not be sent again after it may have run.
+        """
         ...
 
     def may_probe(self, host: Host, now: float) -> bool:
-        """Whether this gateway is among those that try an ejected host."""
+        """Return whether this gateway is among those that probe an ejected host."""
         ...
 
 
 class EffectHandler(Protocol):
-    """Carries a gateway's decisions out."""
+    """Carries out the decisions of a gateway."""
 
     def send_attempt(self, attempt: Attempt, attempt_deadline: float | None) -> None:
-        """Send the request to the attempt's host; end it at this moment, if any, before its own deadline."""
+        """Send the request to the host of the attempt.
+
+        If `attempt_deadline` is given, the attempt ends then, before the deadline of the request.
+        """
         ...
 
     def reject(self, request: Request, retry_after_ms: float | None) -> None:
-        """Answer that it was not done and may be tried again, after this time if any."""
+        """Answer that the request did not run and may be repeated, after `retry_after_ms` if given."""
         ...
 
     def fail(self, request: Request) -> None:
-        """Answer with an error: it may have run."""
+        """Answer with an error, as the request may have run."""
         ...
 
     def cancel(self, attempt: Attempt) -> None:
-        """End the attempt; `attempt_finished` follows."""
+        """Cancel the attempt; `attempt_finished` follows."""
         ...
 
     def call_counter(self, call: CounterCall) -> None:
-        """Send the increment; `counter_call_finished` follows."""
+        """Send the increment to the counter; `counter_call_finished` follows."""
         ...
 
-    def start_timer(self, after_ms: float, why: object) -> None:
-        """Call `timer_fired(why)` after this time."""
+    def start_timer(self, after_ms: float, subject: object) -> None:
+        """Call `timer_fired(subject)` after `after_ms`."""
         ...
 
     def log_decision(self, line: str) -> None:
-        """Log a change of state in words."""
+        """Log a change of state as a line of text."""
         ...
--- a/granitedock/policy/retry_budget.py
+++ b/granitedock/policy/retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: further attempts stay under a part of the first ones."""
+"""The retry budget, which limits retries to a share of the first attempts."""
 
 from __future__ import annotations
 
@@ -6,27 +6,30 @@
 from granitedock.policy.types import Request
 from granitedock.rolling_window import RollingWindow
 
-RETRY_RATIO = 0.15  # of first attempts
-MIN_RETRIES = 3.0  # in a span, however few first ones there are
+RETRY_RATIO = 0.15  # Retries per first attempt.
+MIN_RETRIES = 3.0  # Retries allowed within the span, however few first attempts there are.
 SPAN_MS = 5000.0
 
 
 class RetryBudget:
-    """Guards against a retry storm on a fleet that is slow as a whole."""
+    """Prevents a retry storm while the fleet of hosts is slow as a whole."""
 
     def __init__(self) -> None:
-        self.attempts = RollingWindow(SPAN_MS)  # first attempts, and retries
+        self.attempts = RollingWindow(SPAN_MS)  # First attempts, and retries.
 
     def attempt_started(self, request: Request, now: float) -> None:
-        """Count the request's latest attempt; one after attempts that never ran is neither."""
+        """Count the latest attempt of the request as a first attempt or as a retry.
+
+        An attempt after earlier ones that all never ran counts as neither.
+        """
         never_ran = [earlier.outcome in NEVER_RAN for earlier in request.attempts[:-1]]
         self.attempts.add(now, float(not never_ran), float(not all(never_ran)))
 
     def allows_retry(self, now: float) -> bool:
-        """Whether one more retry fits."""
-        first, retries = self.attempts.sums(now)
-        return retries < RETRY_RATIO * first + MIN_RETRIES
+        """Return whether the budget has room for one more retry."""
+        first_attempts, retries = self.attempts.sums(now)
+        return retries < RETRY_RATIO * first_attempts + MIN_RETRIES
 
     def attempts_per_ms(self, now: float) -> float:
-        """All attempts that count, over the span."""
+        """Return the rate of all counted attempts over the span."""
         return sum(self.attempts.sums(now)) / SPAN_MS
--- a/granitedock/policy/retry_rules.py
+++ b/granitedock/policy/retry_rules.py
@@ -1,7 +1,8 @@
-"""What a request that may have run is still allowed: another attempt, or a rejection that invites a repeat.
+"""What is still allowed for a request that may have run: a retry, or a rejection that invites a repeat.
 
-Only what the request class permits: idempotent requests are repeated freely, keyed ones only at hosts that
-drop the repeat and in time, others never. A request that provably never ran is allowed both.
+The request class decides: idempotent requests are repeated without limits, keyed ones only within the
+idempotency window and at hosts that drop the repeat, and non-idempotent ones never. A request that provably
+never ran is allowed both.
 """
 
 from __future__ import annotations
@@ -11,57 +12,58 @@
 
 from granitedock.policy.types import Attempt, Host, Idempotency, IdempotencyScope, Outcome, Request
 
+# Outcomes that prove that the host did not run the request, or that the counter did not add the units.
 NEVER_RAN = frozenset({Outcome.OVERLOADED, Outcome.CONNECTION_FAILED, Outcome.ABANDONED})
 
 
-class Right(Enum):
-    """When a repeat is allowed."""
+class RepeatCondition(Enum):
+    """The condition on which a request may be repeated."""
 
     ALWAYS = "always"
-    IN_SCOPE = "in its window, at a host of its idempotency scope"
-    IF_SCOPE_IS_ALL = "in its window, where every host drops repeats"
+    IN_SCOPE = "within the idempotency window, at a host of the idempotency scope"
+    IF_SCOPE_IS_ALL = "within the idempotency window, where every host drops repeats"
     NEVER = "never"
 
 
 @dataclass(frozen=True, slots=True)
-class RepeatRights:
-    """What a request that may have run is allowed."""
+class RepeatRules:
+    """The conditions for a retry, and for a rejection, of a request that may have run."""
 
-    retry: Right
-    rejection: Right
+    retry: RepeatCondition
+    rejection: RepeatCondition
 
 
-REPEAT_RIGHTS = {
-    Idempotency.IDEMPOTENT: RepeatRights(retry=Right.ALWAYS, rejection=Right.ALWAYS),
-    Idempotency.KEYED: RepeatRights(retry=Right.IN_SCOPE, rejection=Right.IF_SCOPE_IS_ALL),
-    Idempotency.NON_IDEMPOTENT: RepeatRights(retry=Right.NEVER, rejection=Right.NEVER),
+REPEAT_RULES = {
+    Idempotency.IDEMPOTENT: RepeatRules(retry=RepeatCondition.ALWAYS, rejection=RepeatCondition.ALWAYS),
+    Idempotency.KEYED: RepeatRules(retry=RepeatCondition.IN_SCOPE, rejection=RepeatCondition.IF_SCOPE_IS_ALL),
+    Idempotency.NON_IDEMPOTENT: RepeatRules(retry=RepeatCondition.NEVER, rejection=RepeatCondition.NEVER),
 }
 
 
-def possible_execution(request: Request) -> Attempt | None:
-    """The first attempt that may have run."""
+def first_possible_execution(request: Request) -> Attempt | None:
+    """Return the first attempt that may have run, or None if the request provably never ran."""
     for attempt in request.attempts:
         if attempt.outcome not in NEVER_RAN:
             return attempt
     return None
 
 
-def retry_right(request: Request) -> Right:
-    """When another attempt is allowed, if one may have run."""
-    return REPEAT_RIGHTS[request.request_class.idempotency].retry
+def retry_condition(request: Request) -> RepeatCondition:
+    """Return the condition for a retry after an attempt that may have run."""
+    return REPEAT_RULES[request.request_class.idempotency].retry
 
 
-def within_window(request: Request, execution: Attempt, now: float) -> bool:
-    """Whether hosts still know the request's idempotency key from that attempt."""
+def within_idempotency_window(request: Request, execution: Attempt, now: float) -> bool:
+    """Return whether hosts still remember the idempotency key of the request since that attempt."""
     return now - execution.sent_at < request.request_class.idempotency_window_ms
 
 
 def retry_hosts(request: Request, execution: Attempt, hosts: list[Host], now: float) -> list[Host]:
-    """Those of the hosts that may get the request again, as `execution` may have run."""
-    right = retry_right(request)
-    if right is Right.ALWAYS:
+    """Return those of the hosts that may receive the request again after `execution`, which may have run."""
+    condition = retry_condition(request)
+    if condition is RepeatCondition.ALWAYS:
         return hosts
-    if right is Right.NEVER or not within_window(request, execution, now):
+    if condition is RepeatCondition.NEVER or not within_idempotency_window(request, execution, now):
         return []
     scope = request.request_class.idempotency_scope
     if scope is IdempotencyScope.ZONE:
@@ -71,13 +73,13 @@
     return hosts
 
 
-def may_reject(request: Request, now: float) -> bool:
-    """Whether its client may be asked to try again; else the answer is an error."""
-    execution = possible_execution(request)
+def may_invite_repeat(request: Request, now: float) -> bool:
+    """Return whether a rejection may invite the client to repeat the request; else the answer is an error."""
+    execution = first_possible_execution(request)
     if execution is None:
         return True
-    right = REPEAT_RIGHTS[request.request_class.idempotency].rejection
-    if right is Right.IF_SCOPE_IS_ALL:
-        everywhere = request.request_class.idempotency_scope is IdempotencyScope.ALL
-        return everywhere and within_window(request, execution, now)
-    return right is Right.ALWAYS
+    condition = REPEAT_RULES[request.request_class.idempotency].rejection
+    if condition is RepeatCondition.IF_SCOPE_IS_ALL:
+        scope_is_all = request.request_class.idempotency_scope is IdempotencyScope.ALL
+        return scope_is_all and within_idempotency_window(request, execution, now)
+    return condition is RepeatCondition.ALWAYS
--- a/granitedock/policy/states.py
+++ b/granitedock/policy/states.py
@@ -1,4 +1,4 @@
-"""States and events of the policy's state machines; the tables stand beside what they rule."""
+"""States and events of the policy's state machines; each table is defined in the module that uses it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RequestState(StateEnum):
-    """Where a request stands. A finished one has its answer, or a client that is gone."""
+    """The state of a request. A finished request has its answer, or its client has disconnected."""
 
     NEW = "new"
     CHECKING_QUOTA = "checking quota"
@@ -17,7 +17,7 @@
 
 
 class RequestEvent(StateEnum):
-    """What happens to a request."""
+    """An event in the lifecycle of a request."""
 
     RECEIVED = "received"
     WITHIN_QUOTA = "within quota"
@@ -34,7 +34,7 @@
 
 
 class BreakerState(StateEnum):
-    """The value is the word in the log."""
+    """The state of the circuit breaker; the value is written to the log."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -42,7 +42,7 @@
 
 
 class BreakerEvent(StateEnum):
-    """What happens to the breaker."""
+    """An event of the circuit breaker."""
 
     FAILED = "failed"
     TRIPPED = "tripped"
@@ -51,7 +51,7 @@
 
 
 class HostState(StateEnum):
-    """The value is the word that operators are shown (`HOSTS`)."""
+    """The state of a host; the value is the word that operators see in `HOSTS`."""
 
     HEALTHY = "trusted"
     EJECTED = "aside"
@@ -59,7 +59,7 @@
 
 
 class HostEvent(StateEnum):
-    """What happens to a host."""
+    """An event that changes the state of a host."""
 
     FAILED = "failed"
     TRIPPED = "tripped"
--- a/granitedock/policy/types.py
+++ b/granitedock/policy/types.py
@@ -1,7 +1,8 @@
 """The types that the policy and its callers exchange.
 
-Times are milliseconds with fractions (Unix time where a moment is meant), rates are units a millisecond. The
-objects refer to each other; ids on any wire are the caller's own matter.
+Durations are in milliseconds with fractions, points in time are Unix time in milliseconds, and rates are in
+units per millisecond. The objects refer to each other directly; the caller maps them to the ids of its own
+protocol.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class Idempotency(StateEnum):
-    """What a repeat of a request does."""
+    """The effect of repeating a request."""
 
     IDEMPOTENT = "harmless"
     KEYED = "stamped"
@@ -22,7 +23,7 @@
 
 
 class IdempotencyScope(StateEnum):
-    """The hosts that drop repeats of a request with an idempotency key."""
+    """The set of hosts that drop repeats of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -30,8 +31,11 @@
 
 
 class Outcome(StateEnum):
-    """How an attempt or a counter call ended. A call that ended by error was added, and no total came; one
-    that ended by reset may have been. The values are the words of `INFO`'s counters."""
+    """How an attempt or a counter call ended.
+
+    A counter call that ended with ERROR was added but returned no total; one that ended with RESET may have
+    been added. The values are the words of the counters in `INFO`.
+    """
 
     DONE = "done"
     ERROR = "error"
@@ -44,7 +48,7 @@
 
 
 class EndpointStatus(StateEnum):
-    """What the endpoint list says of a host."""
+    """The status of a host in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -53,7 +57,7 @@
 
 @dataclass(frozen=True, eq=False, slots=True)
 class RequestClass:
-    """A kind of requests: what a repeat does, and what an answer is worth in time and late."""
+    """A request class: the effect of a repeat, and the value of an answer in time and of a late one."""
 
     name: str
     idempotency: Idempotency
@@ -68,7 +72,10 @@
 
 @dataclass(frozen=True, eq=False, slots=True)
 class Plan:
-    """A quota. The ceiling is hard, and none where its rate is 0; weights are by unit."""
+    """The quota and the weights of a plan.
+
+    The ceiling is a hard limit; there is none if its rate is 0. Weights are per unit.
+    """
 
     name: str
     rate: float
@@ -80,12 +87,13 @@
     ceiling_rate: float
     ceiling_burst: float
     ceiling_slack: float
-    window_ms: float = 0.0  # counting window, where kept over a change of the plan; 0: by burst and rate
+    # The counting window, if it is kept across a change of the plan; 0 derives it from burst and rate.
+    window_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class PermittedFeatures:
-    """What the deployment allows a gateway to do."""
+    """The features that the deployment permits a gateway to use, and their limits."""
 
     max_attempts: int
     hedged_requests: bool
@@ -96,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayIdentity:
-    """A gateway's number among the gateways, and the seed of its random draws."""
+    """The number of a gateway, the number of all gateways, and the seed of its random choices."""
 
     seed: int
     number: int
@@ -105,8 +113,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStart:
-    """What a host that has just started can do, and what overloads it: `overload_factor` times that for the
-    interval."""
+    """The capacity of a host that has just started, and the load that overloads it.
+
+    A host is overloaded by `overload_factor` times its capacity for `overload_interval_ms`.
+    """
 
     initial_capacity_share: float
     warm_up_ms: float
@@ -116,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """What a gateway starts with."""
+    """The settings with which a gateway starts."""
 
     identity: GatewayIdentity
     request_classes: list[RequestClass]
@@ -127,29 +137,32 @@
 
 @dataclass(eq=False, slots=True)
 class Host:
-    """An endpoint, as listed; `size` is its registered size."""
+    """A host of the endpoint list; `size` is its registered size."""
 
     size: float = 1.0
-    make: str = ""
+    machine_type: str = ""
     zone: str = ""
     cell: int = 0
     started_at: float = 0.0
     status: EndpointStatus = EndpointStatus.READY
-    health: Any = None  # the policy's `HostHealth`, opaque to others
-    name: str = ""  # the carrier's, to tell other gateways; no decision reads it
+    health: Any = None  # The `HostHealth` of the policy, opaque to other packages.
+    name: str = ""  # Set by the carrier and used in messages to other gateways; no decision reads it.
 
 
 @dataclass(eq=False, slots=True, weakref_slot=True)
 class Customer:
-    """`key` is the same at every gateway."""
+    """A customer, identified by a `key` that is the same at every gateway."""
 
     key: int
-    account: Any = None  # the policy's `QuotaAccount`, opaque to others
+    account: Any = None  # The `QuotaAccount` of the policy, opaque to other packages.
 
 
 @dataclass(eq=False, slots=True)
 class Request:
-    """One that waits for its answer; its client comes through `subset_size` gateways in a row."""
+    """A client's request and the progress of its attempts.
+
+    The client sends its requests through a subset of `subset_size` gateways with consecutive numbers.
+    """
 
     request_class: RequestClass
     plan: Plan
@@ -162,24 +175,24 @@
     attempts: list[Attempt] = field(default_factory=list)
     in_flight: int = 0
     counter_call: CounterCall | None = None
-    subset_start: int = 0  # number of the first of those gateways
+    subset_start: int = 0  # The number of the first gateway of the subset.
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One sending of a request to a host; it stands in the request's list at its own number."""
+    """One attempt to send a request to a host; its index in `Request.attempts` is its number."""
 
     request: Request
     host: Host
     sent_at: float
     in_flight_at_send: int
     outcome: Outcome | None = None
-    send_before: float = float("inf")  # the latest moment at which its first byte may leave
+    send_before: float = float("inf")  # The latest time at which the first byte may be sent.
 
 
 @dataclass(eq=False, slots=True)
 class CounterCall:
-    """One increment of a named count."""
+    """One increment of a named counter value."""
 
     customer: Customer
     name: int
@@ -191,18 +204,19 @@
     timed_out: bool = False
     answered: bool = False
     applied: bool = False
-    # Where uncounted units are shared: those that go with it, and its own request's if admitted without it.
+    # Used if gateways share uncounted units: `carried` are the uncounted units added with this call, and
+    # `recorded_uncounted` are the units of its own request, if that was admitted without the total.
     carried: float = 0.0
     recorded_uncounted: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """One line of the endpoint list."""
+    """The state of one host in an update of the endpoint list."""
 
     host: Host
     size: float
-    make: str
+    machine_type: str
     zone: str
     cell: int
     started_at: float
@@ -211,7 +225,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedQuota:
-    """A customer's plan, the subset of gateways that serves it, and the length of its windows."""
+    """The plan of a customer, the subset of gateways that serves it, and the length of its windows."""
 
     plan: Plan
     subset_start: int
--- a/granitedock/service/in_flight_requests.py
+++ b/granitedock/service/in_flight_requests.py
@@ -168,7 +168,7 @@
 
     def _refuse(self, request: InFlightRequest) -> None:
         """The policy gives it up, as one never sent."""
-        self.policy.refuse(request)
+        self.policy.reject_unsent(request)
 
     def release_queued(self) -> None:
         """Hand the requests that were taken while starting to the policy; those answered since stay so.
--- a/tests/helpers/planted_faults.py
+++ b/tests/helpers/planted_faults.py
@@ -8,7 +8,7 @@
 from granitedock.membership.timers import NEVER, Timer
 from granitedock.model_checking.gateway_world_shape import GatewayWorldShape
 from granitedock.policy.load_balancer import LoadBalancer
-from granitedock.policy.retry_rules import REPEAT_RIGHTS, RepeatRights, Right
+from granitedock.policy.retry_rules import REPEAT_RULES, RepeatCondition, RepeatRules
 from granitedock.policy.token_bucket import TokenBucket
 from granitedock.policy.types import EndpointStatus, Idempotency
 from granitedock.service.dispatcher import HANDLERS
@@ -30,12 +30,16 @@
 
 def repeat_non_idempotent(monkeypatch):
     """A non-idempotent request is sent again after an attempt that may have run."""
-    monkeypatch.setitem(REPEAT_RIGHTS, Idempotency.NON_IDEMPOTENT, RepeatRights(Right.ALWAYS, Right.NEVER))
+    monkeypatch.setitem(
+        REPEAT_RULES, Idempotency.NON_IDEMPOTENT, RepeatRules(RepeatCondition.ALWAYS, RepeatCondition.NEVER)
+    )
 
 
 def reject_after_run(monkeypatch):
     """A non-idempotent request is rejected after an attempt that may have run."""
-    monkeypatch.setitem(REPEAT_RIGHTS, Idempotency.NON_IDEMPOTENT, RepeatRights(Right.NEVER, Right.ALWAYS))
+    monkeypatch.setitem(
+        REPEAT_RULES, Idempotency.NON_IDEMPOTENT, RepeatRules(RepeatCondition.NEVER, RepeatCondition.ALWAYS)
+    )
 
 
 def never_answer(monkeypatch):
