--- a/tests/policy/test_request_decisions.py
+++ b/tests/policy/test_request_decisions.py
@@ -1,4 +1,7 @@
-"""One short test for each failure met, against the surroundings in tests/helpers/fake_gateway.py."""
+"""Tests of request decisions, one for each known failure.
+
+They run against the fake hosts, customers and counter of tests/helpers/fake_gateway.py.
+"""
 
 from dataclasses import replace
 
@@ -35,14 +38,15 @@
     assert len(harness.calls) == 2
 
 
-def test_a_refund_is_sent_while_the_counter_is_calm_and_goes_with_the_next_increment_while_it_is_crowded():
+def test_a_refund_is_a_call_of_its_own_only_while_the_counter_has_spare_capacity():
+    """While it is overloaded the refund goes with the next increment, and stays due if that fails."""
     harness, customer = GatewayHarness(), Customer(5)
     harness.ask(customer=customer, units=2)
     harness.answer_call(total=500)
     assert [call.amount for call in harness.calls] == [2, -2]
     harness.ask(customer=Customer(6))
     harness.answer_call(Outcome.OVERLOADED)
-    harness.pass_ms(3000)  # the burst usage of the first is not yet refilled
+    harness.pass_ms(3000)  # The burst usage of the first customer is not refilled yet.
     other = Customer(7)
     harness.ask(customer=other, units=2)
     harness.answer_call(total=22.8)
@@ -51,10 +55,11 @@
     harness.ask(customer=other, units=1)
     assert harness.calls[-1].amount == -1
     harness.answer_call(Outcome.OVERLOADED)
-    assert other.account.refund_owed == 2  # proved not added: owed as before
+    assert other.account.refund_owed == 2  # The increment is proved not added, so the refund is still due.
 
 
-def test_a_crowded_counter_is_spared_calls_that_cannot_change_the_answer():
+def test_an_overloaded_counter_gets_no_calls_that_cannot_change_the_decision():
+    """Calls for customers whose burst is used up add load to the counter and end in a rejection anyway."""
     harness, customer = GatewayHarness(), Customer(5)
     harness.ask(customer=Customer(6))
     harness.answer_call(Outcome.OVERLOADED)
@@ -64,75 +69,81 @@
     assert len(harness.calls) == 2 and len(harness.rejected) == 2
 
 
-def test_burst_usage_may_not_pass_the_burst_though_the_window_has_room():
+def test_burst_usage_is_limited_by_the_burst_even_if_the_window_has_room():
     harness, customer = GatewayHarness(hosts=6), Customer(5)
     for total in range(5, 45, 5):
         harness.ask(customer=customer, units=5)
         harness.answer_call(total=min(total, 25))
-    assert len(harness.attempts) == 4  # a burst of twenty units
+    assert len(harness.attempts) == 4  # The burst is 20 units.
     assert harness.rejected
 
 
-def test_the_name_is_the_same_at_every_gateway_and_apart_for_each_window():
-    one, other = GatewayHarness(number=0), GatewayHarness(number=1)
-    one.ask(customer=Customer(42))
-    other.ask(customer=Customer(42))
-    assert one.calls[0].name == other.calls[0].name
-    one.pass_ms(30000)
-    one.ask(customer=Customer(42))
-    assert one.calls[-1].name != one.calls[0].name
-    assert 0 <= one.calls[-1].name < 2**63 and one.calls[0].ttl_ms <= 60000
+def test_counter_names_are_equal_at_every_gateway_and_differ_between_windows():
+    """Otherwise the usage of the gateways is not added up, or a window includes the one before it."""
+    first, second = GatewayHarness(number=0), GatewayHarness(number=1)
+    first.ask(customer=Customer(42))
+    second.ask(customer=Customer(42))
+    assert first.calls[0].name == second.calls[0].name
+    first.pass_ms(30000)
+    first.ask(customer=Customer(42))
+    assert first.calls[-1].name != first.calls[0].name
+    assert 0 <= first.calls[-1].name < 2**63 and first.calls[0].ttl_ms <= 60000
 
 
-def test_a_late_total_keeps_a_sent_requests_units_and_refunds_a_rejected_ones():
+def test_a_late_total_keeps_the_units_of_a_sent_request_and_refunds_a_rejected_one():
     harness, customer = GatewayHarness(), Customer(5)
-    kept = harness.ask(customer=customer, units=5)
-    harness.pass_ms(25)  # past the budget: the local fallback admits it
-    assert [attempt.request for attempt in harness.attempts] == [kept]
+    admitted = harness.ask(customer=customer, units=5)
+    harness.pass_ms(25)  # The call exceeds its budget, and the local fallback admits the request.
+    assert [attempt.request for attempt in harness.attempts] == [admitted]
     harness.answer_call(total=5)
     assert len(harness.calls) == 1
-    refused = harness.ask(customer=customer, units=8)
-    harness.pass_ms(40)  # the budget has grown with the time seen
-    assert [request for request, _ in harness.rejected] == [refused]
+    over_quota = harness.ask(customer=customer, units=8)
+    harness.pass_ms(40)  # The budget has grown with the measured call time.
+    assert [request for request, _ in harness.rejected] == [over_quota]
     harness.answer_call(total=13)
     assert customer.account.refund_owed == 8
 
 
-def test_a_counter_that_is_only_slow_is_waited_for_and_one_that_crawls_is_not():
+def test_calls_to_a_slow_counter_are_waited_for_up_to_the_limit_of_the_call_budget():
+    """The call budget grows with the measured call time, up to a limit.
+
+    Without growth every call to a slow counter times out; without the limit requests wait too long for it.
+    """
     harness = GatewayHarness(hosts=12)
-    for took, late in (15, 0), (30, 0), (60, 0), (150, 0), (240, 0), (260, 10), (260, 10):
+    for call_ms, max_late in (15, 0), (30, 0), (60, 0), (150, 0), (240, 0), (260, 10), (260, 10):
         for _ in range(10):
             request = harness.ask(customer=Customer(len(harness.calls)))
-            harness.pass_ms(took)
+            harness.pass_ms(call_ms)
             harness.answer_call()
             assert len(request.attempts) == 1
             harness.finish(Outcome.DONE)
         timed_out = [call.timed_out for call in harness.calls[-10:]]
-        assert sum(timed_out) <= late + (took == 30) + 4 * (took in (60, 150, 240)), took
+        assert sum(timed_out) <= max_late + (call_ms == 30) + 4 * (call_ms in (60, 150, 240)), call_ms
     assert all(call.timed_out for call in harness.calls[-2:])
 
 
-def test_failures_cut_the_share_of_requests_that_is_counted_and_five_open_the_breaker():
+def test_failures_reduce_the_counted_share_and_five_in_a_row_open_the_breaker():
     harness = GatewayHarness(hosts=12)
     for _ in range(20):
         harness.ask(customer=Customer(5))
         if not harness.calls[-1].answered:
             harness.answer_call(Outcome.CONNECTION_FAILED)
-    assert len(harness.calls) == 5  # the rest were decided here, at last by the open breaker
+    assert len(harness.calls) == 5  # The local fallback decides the rest, at last with the breaker open.
     harness.pass_ms(1500)
     harness.ask(customer=Customer(7))
     harness.ask(customer=Customer(8))
-    assert len(harness.calls) == 6  # one trial
+    assert len(harness.calls) == 6  # The half-open breaker allows one trial.
     harness.answer_call()
     for step in range(20):
         harness.ask(customer=Customer(20 + step))
         if not harness.calls[-1].answered:
             harness.answer_call()
-    assert 8 < len(harness.calls) < 20  # successes let the share grow
-    assert len(harness.log_lines) == 3  # one line for each change of state
+    assert 8 < len(harness.calls) < 20  # Successes increase the counted share.
+    assert len(harness.log_lines) == 3  # One line for each change of state.
 
 
-def test_connections_to_the_counter_that_break_say_nothing_of_a_crowd():
+def test_broken_connections_to_the_counter_do_not_count_as_overload():
+    """Resets come from the network; if they reduced the counted share, fewer requests would be counted."""
     harness = GatewayHarness(hosts=12)
     for step in range(40):
         request = harness.ask(customer=Customer(step))
@@ -142,20 +153,25 @@
     assert len(harness.calls) == 40 and harness.gateway.breaker.is_calm()
 
 
-def test_the_local_fallback_bucket_gives_an_even_share():
+def test_the_local_fallback_admits_an_even_share_of_the_burst():
     harness, customer = GatewayHarness(), Customer(5)
     for _ in range(30):
         harness.ask(customer=customer, units=2, subset_size=4)
         harness.answer_call(Outcome.OVERLOADED)
         if harness.attempts and harness.attempts[-1].outcome is None:
             harness.finish(Outcome.DONE)
-    assert 1 <= len(harness.attempts) <= 3  # a quarter of twenty units at once
+    assert 1 <= len(harness.attempts) <= 3  # A quarter of the burst of 20 units.
+
 
+def test_shares_of_ended_gateways_are_taken_over_without_a_burst_and_ceilings_never():
+    """A burst at each takeover would admit more than the quota.
+
+    A ceiling is hard, so its shares stay divided among all gateways of the subset.
+    """
 
-def test_shares_of_those_that_ended_are_taken_over_without_a_burst_and_ceilings_never():
     class Membership:
         def active_members(self, subset_start, subset_size):
-            return self.number
+            return self.active_gateways
 
     def admits(harness, customer, seconds, plan):
         before = len(harness.attempts)
@@ -167,19 +183,20 @@
         return len(harness.attempts) - before
 
     harness, customer, peers = GatewayHarness(), Customer(5), Membership()
-    harness.gateway.rate_limiter.membership, peers.number = peers, 4
-    assert 28 <= admits(harness, customer, 10, PLAN) <= 32  # a quarter of ten a second, and of twenty at once
-    peers.number = 2
-    assert 48 <= admits(harness, customer, 10, PLAN) <= 52  # half of the rate, and nothing at once
-    peers.number = 4
+    harness.gateway.rate_limiter.membership, peers.active_gateways = peers, 4
+    assert 28 <= admits(harness, customer, 10, PLAN) <= 32  # A quarter of 10/s and of the burst of 20.
+    peers.active_gateways = 2
+    assert 48 <= admits(harness, customer, 10, PLAN) <= 52  # Half of the rate, and no burst.
+    peers.active_gateways = 4
     assert 23 <= admits(harness, customer, 10, PLAN) <= 27
-    peers.number, capped = 1, Customer(6)
-    assert admits(harness, capped, 20, CAPPED) <= (40 + 4 + 20 * 20) / 4 + 1  # its even share of the ceiling
+    peers.active_gateways, capped = 1, Customer(6)
+    assert admits(harness, capped, 20, CAPPED) <= (40 + 4 + 20 * 20) / 4 + 1  # Its even share of the ceiling.
 
 
-def test_a_ceiling_holds_through_restarts_of_every_gateway_with_the_counter_silent():
+def test_a_ceiling_holds_if_every_gateway_restarts_while_the_counter_does_not_answer():
+    """A ceiling that is full after each start would admit its burst again with each restart."""
     used = 0.0
-    for _life in range(2):
+    for _restart in range(2):
         for number in range(2):
             harness, customer = GatewayHarness(number=number), Customer(5)
             for _ in range(20):
@@ -189,21 +206,21 @@
     assert used <= 40 + 4 + 2 * 20 * 25 * 0.02
 
 
-def test_a_customer_seen_late_under_a_ceiling_finds_what_its_share_gained_since_the_process_began():
-    # A deployment whose one plan has a ceiling refused half of what was within quota: each gateway met each
-    # customer rarely, and each first request found a share that had only just begun to fill.
-    for began_ms_ago, least, most in ((0, 1, 3), (1000, 11, 13), (20000, 20, 20)):
+def test_the_ceiling_share_of_a_new_customer_fills_from_the_start_of_the_process():
+    # Otherwise a deployment whose one plan has a ceiling rejects half of the requests within quota: each
+    # gateway rarely serves each customer, and at each first request the share has only just begun to fill.
+    for process_age_ms, min_attempts, max_attempts in ((0, 1, 3), (1000, 11, 13), (20000, 20, 20)):
         harness, customer = GatewayHarness(gateways=2), Customer(5)
-        harness.pass_ms(began_ms_ago)
+        harness.pass_ms(process_age_ms)
         for _ in range(30):
             harness.ask(plan=CAPPED, customer=customer, units=1)
             harness.answer_call(total=1)
             if harness.attempts and harness.attempts[-1].outcome is None:
                 harness.finish(Outcome.DONE)
-        assert least <= len(harness.attempts) <= most, began_ms_ago
-    # The same as if the customer had been known, and not used, from the beginning; a restart begins anew.
+        assert min_attempts <= len(harness.attempts) <= max_attempts, process_age_ms
+    # The share is as full as if the customer were known but idle from the start; a restart begins again.
     used = 0
-    for _life in range(3):
+    for _restart in range(3):
         for number in range(2):
             harness, customer = GatewayHarness(number=number), Customer(5)
             harness.pass_ms(2000)
@@ -214,7 +231,7 @@
     assert used <= 40 + 4 + 3 * 4000 * 0.02
 
 
-def test_a_plan_that_limits_requests_in_flight():
+def test_a_plan_limits_requests_in_flight():
     harness, customer = GatewayHarness(), Customer(5)
     for _ in range(4):
         harness.ask(plan=FEW_IN_FLIGHT, customer=customer)
@@ -224,7 +241,7 @@
     assert len(harness.attempts) == 3
 
 
-def test_units_named_in_the_answer_are_settled():
+def test_usage_is_adjusted_to_the_units_stated_in_the_answer():
     harness = GatewayHarness()
     harness.admit(units=2)
     harness.gateway.attempt_finished(harness.attempts[0], Outcome.DONE, 50, True, 5, 0)
@@ -241,9 +258,10 @@
         assert harness.attempts[0].host is not harness.attempts[1].host
 
 
-def test_after_an_attempt_that_may_have_run_only_what_may_be_repeated_is_retried():
-    again = {READ: True, KEYED: True, KEYED_BY_ZONE: True, NON_IDEMPOTENT: False}
-    for request_class, allowed in again.items():
+def test_after_an_attempt_that_may_have_run_only_repeatable_requests_are_retried():
+    """A retry of a non-idempotent request could run it twice."""
+    retry_allowed = {READ: True, KEYED: True, KEYED_BY_ZONE: True, NON_IDEMPOTENT: False}
+    for request_class, allowed in retry_allowed.items():
         harness = GatewayHarness()
         harness.admit(request_class)
         harness.finish(Outcome.RESET)
@@ -252,7 +270,8 @@
         assert not harness.rejected
 
 
-def test_a_keyed_request_stays_in_its_idempotency_scope_and_window():
+def test_a_keyed_request_is_retried_only_within_its_idempotency_scope_and_window():
+    """Outside of them no host drops the repeat, and the request could run twice."""
     harness = GatewayHarness(hosts=2)
     harness.update_endpoints(
         EndpointStatus.READY, *harness.hosts, zones={harness.hosts[0]: "a", harness.hosts[1]: "b"}
@@ -262,7 +281,7 @@
     harness.finish(Outcome.RESET)
     assert (
         len(harness.attempts) == 1 and len(harness.failed) == 1
-    )  # a repeat only in the scope, and no rejection
+    )  # A repeat is allowed only in the scope, and no rejection invites one.
     harness = GatewayHarness()
     harness.admit(KEYED)
     harness.pass_ms(3001)
@@ -270,17 +289,17 @@
     assert len(harness.attempts) == 1 and len(harness.failed) == 1
 
 
-def test_the_time_out_at_the_deadline_gets_the_final_answer_and_nothing_more():
+def test_a_time_out_at_the_deadline_gives_one_final_answer_and_no_retry():
     harness = GatewayHarness()
     request = harness.admit(left=900)
     harness.gateway.advance_clock(harness.gateway.now + 900)
     harness.finish(Outcome.TIMEOUT, 900)
-    assert [t for t, _ in harness.rejected] == [request] and len(harness.attempts) == 1
+    assert [rejected for rejected, _ in harness.rejected] == [request] and len(harness.attempts) == 1
     harness.gateway.client_disconnected(request)
     assert len(harness.rejected) == 1 and not harness.failed
 
 
-def test_a_client_that_leaves_while_the_counter_is_called_gets_no_answer_and_a_refund():
+def test_a_client_that_disconnects_during_the_counter_call_gets_no_answer_but_a_refund():
     harness = GatewayHarness()
     request = harness.ask(units=3)
     harness.gateway.client_disconnected(request)
@@ -289,7 +308,7 @@
     assert not harness.attempts and not harness.rejected and harness.calls[-1].amount == -3
 
 
-def test_a_draining_or_gone_host_gets_nothing_and_no_host_left_is_answered():
+def test_draining_and_gone_hosts_get_no_requests_and_without_any_host_they_are_rejected():
     harness = GatewayHarness(hosts=2)
     harness.update_endpoints(EndpointStatus.DRAINING, harness.hosts[0])
     for _ in range(4):
@@ -301,7 +320,12 @@
     assert len(harness.rejected) == 1
 
 
-def test_a_warming_host_gets_its_part_of_what_the_warm_ones_prove_and_a_warming_fleet_is_usable():
+def test_a_warming_host_gets_its_capacity_share_and_a_fleet_of_warming_hosts_is_usable():
+    """Prevents overload of hosts that have just started, and the rejection of most requests if all have.
+
+    Warm hosts earn the credit by which warming hosts get requests. If every host warms up, a few requests are
+    sent without credit, and their answers earn more.
+    """
     harness = GatewayHarness()
     warming = harness.hosts[0]
     harness.update_endpoints(EndpointStatus.READY, warming, started_at=harness.gateway.now)
@@ -311,18 +335,18 @@
         harness.pass_ms(25)
     to_warming = [attempt for attempt in harness.attempts if attempt.host is warming]
     assert 60 / 3 * 0.1 <= len(to_warming) <= 60 / 3 * 0.5
-    gaps = [b.sent_at - a.sent_at for a, b in zip(to_warming, to_warming[1:])]
-    assert min(gaps) >= 100  # four requests on the way of each, never one behind another
+    gaps_ms = [b.sent_at - a.sent_at for a, b in zip(to_warming, to_warming[1:])]
+    assert min(gaps_ms) >= 100  # Four requests apart, so that none queues behind another.
     harness = GatewayHarness(started_at=99999.0)
     for step in range(60):
         harness.admit(customer=Customer(step))
         if harness.attempts and harness.attempts[-1].outcome is None:
             harness.finish(Outcome.DONE)
         harness.pass_ms(25)
-    assert len(harness.attempts) >= 20  # of a part of 0.2 to 0.3, and what its answers prove beyond
+    assert len(harness.attempts) >= 20  # A capacity share of 0.2 to 0.3, and the credit for answers.
 
 
-def test_an_attempt_at_a_silent_host_is_cancelled_and_retried_one_at_a_slow_host_is_not():
+def test_an_attempt_at_a_silent_host_is_cancelled_and_retried_but_not_one_at_a_slow_host():
     harness = GatewayHarness(hosts=2)
     harness.admit(KEYED)
     harness.pass_ms(900)
@@ -338,7 +362,8 @@
     assert not harness.cancelled
 
 
-def test_failures_in_a_row_eject_a_host_but_never_the_whole_fleet():
+def test_failures_in_a_row_eject_a_host_but_never_all_hosts():
+    """If all hosts fail the cause is shared, and ejecting them would reject every request."""
     harness = GatewayHarness(hosts=3)
     bad = harness.hosts[0]
     for step in range(40):
@@ -347,7 +372,7 @@
         harness.finish(Outcome.ERROR if attempt.host is bad else Outcome.DONE)
         while harness.attempts[-1].outcome is None:
             harness.finish(Outcome.DONE)
-    assert len([f for f in harness.attempts if f.host is bad]) <= 4
+    assert len([attempt for attempt in harness.attempts if attempt.host is bad]) <= 4
     harness = GatewayHarness(hosts=3)
     for step in range(30):
         harness.admit(NON_IDEMPOTENT, customer=Customer(step))
@@ -355,7 +380,8 @@
     assert len(harness.attempts) == 30
 
 
-def test_a_host_back_from_silence_counts_as_warming_up_from_its_probation():
+def test_a_host_that_answers_again_after_its_ejection_counts_as_warming_up():
+    """The host may have restarted unnoticed, and its full share would overload it."""
     harness = GatewayHarness(hosts=1)
     host = harness.hosts[0]
     for step in range(3):
@@ -370,14 +396,15 @@
     assert harness.capacity_share(host) == 1.0
 
 
-def test_a_queue_in_which_answers_come_too_late_is_not_joined():
+def test_requests_are_rejected_if_the_queue_of_every_host_is_too_long_for_an_answer_in_time():
     harness = GatewayHarness(hosts=1)
     for step in range(12):
         harness.admit(customer=Customer(step))
     assert 1 <= len(harness.attempts) < 12 and harness.rejected
 
 
-def test_one_off_customers_do_not_fill_the_memory():
+def test_accounts_of_customers_with_a_single_request_are_dropped():
+    """A flood of such customers would otherwise fill the memory."""
     harness = GatewayHarness()
     for step in range(200):
         harness.admit(customer=Customer(step))
@@ -386,14 +413,15 @@
     assert len(harness.gateway.rate_limiter.accounts) <= 70
 
 
-def test_a_gateway_that_starts_again_takes_in_the_totals_of_the_others():
+def test_a_restarted_gateway_uses_totals_that_include_other_gateways():
     harness = GatewayHarness(at=100000.0)
     harness.ask(plan=PLAN, units=1)
     harness.answer_call(total=500)
     assert not harness.attempts and len(harness.rejected) == 1
 
 
-def test_a_host_gets_requests_by_its_registered_size_with_the_same_work_in_any_fleet():
+def test_requests_are_spread_by_registered_size_with_few_draws_for_each_request():
+    """The work to choose a host must not grow with the number of hosts."""
     harness = GatewayHarness(hosts=300)
     harness.update_endpoints(EndpointStatus.READY, *harness.hosts[:100], size=4.0)
     for step in range(300):
@@ -401,53 +429,58 @@
         harness.finish(Outcome.DONE)
         harness.pass_ms(20)
     large = sum(attempt.host in harness.hosts[:100] for attempt in harness.attempts)
-    assert 160 < large < 240  # two thirds of the sizes
+    assert 160 < large < 240  # The large hosts have two thirds of the total size.
     assert harness.gateway.load_balancer.random.draws <= 3 * 300
 
 
-def test_a_host_that_refuses_one_plan_keeps_the_others_requests_and_a_non_idempotent_one_goes_on():
+def test_a_host_that_refuses_one_plan_still_gets_other_plans_and_the_refused_request_is_retried():
+    """The refused request never ran, so even a non-idempotent one is sent to another host."""
     harness = GatewayHarness(hosts=2)
     request = harness.admit(NON_IDEMPOTENT, customer=Customer(1))
-    refusing = harness.attempts[-1].host
+    refusing_host = harness.attempts[-1].host
     harness.finish(Outcome.OVERLOADED)
-    assert harness.attempts[-1].request is request and harness.attempts[-1].host is not refusing
+    assert harness.attempts[-1].request is request and harness.attempts[-1].host is not refusing_host
     harness.finish(Outcome.DONE)
     for step in range(20):
         harness.admit(customer=Customer(10 + step))
-        assert harness.attempts[-1].host is not refusing
+        assert harness.attempts[-1].host is not refusing_host
         harness.finish(Outcome.DONE)
         harness.admit(customer=Customer(40 + step), plan=CAPPED)
         if harness.attempts[-1].outcome is None:
             harness.finish(Outcome.DONE)
-    assert refusing.health.state is HostState.HEALTHY
-    assert refusing in [f.host for f in harness.attempts if f.request.plan is CAPPED]
+    assert refusing_host.health.state is HostState.HEALTHY
+    assert refusing_host in [attempt.host for attempt in harness.attempts if attempt.request.plan is CAPPED]
     harness.pass_ms(3001)
     for step in range(20):
         harness.admit(customer=Customer(70 + step))
         harness.finish(Outcome.DONE)
-    assert refusing in [attempt.host for attempt in harness.attempts[-20:]]
+    assert refusing_host in [attempt.host for attempt in harness.attempts[-20:]]
+
 
+def test_attempts_end_at_the_latency_objective_unless_idempotent_and_none_starts_after_it():
+    """Otherwise hosts work on answers that are already too late.
 
-def test_attempts_end_at_the_objective_where_that_brings_no_new_try_and_none_begins_after_it():
+    An attempt of an idempotent request continues, as its client would only send the request again.
+    """
     harness = GatewayHarness()
     harness.admit(READ)
     harness.admit(KEYED, customer=Customer(5))
     harness.admit(NON_IDEMPOTENT, customer=Customer(6))
-    late = harness.gateway.now + 2000
-    assert harness.attempt_deadlines == [None, late, late]
+    objective_at = harness.gateway.now + 2000
+    assert harness.attempt_deadlines == [None, objective_at, objective_at]
     harness.finish(Outcome.TIMEOUT, 2000)
     assert len(harness.failed) == 1
-    for step in range(1500):  # whatever the chance draws
+    for step in range(1500):  # Holds for any random draw.
         harness.ask(customer=Customer(step), left=0.0)
         harness.answer_call(total=1)
     assert len(harness.attempts) == 3 and len(harness.rejected) == 1500
 
 
-def test_late_retries_past_their_objective_are_not_counted_while_the_counter_is_crowded():
+def test_late_retries_past_their_objective_are_not_counted_while_the_counter_is_overloaded():
     harness = GatewayHarness(hosts=6)
     for step in range(4):
         harness.admit(customer=Customer(step), left=3000)
-    harness.admit(customer=Customer(8), left=1900)  # calm: counted like any other
+    harness.admit(customer=Customer(8), left=1900)  # The counter has spare capacity: counted like any other.
     assert len(harness.calls) == 5
     harness.ask(customer=Customer(9), left=3000)
     harness.answer_call(Outcome.OVERLOADED)
@@ -457,10 +490,11 @@
     assert len(harness.calls) == 7
 
 
-def test_a_share_smaller_than_a_request_admits_one_and_owes_it():
+def test_a_local_share_smaller_than_a_request_admits_one_and_goes_into_debt():
+    """A share that must hold a whole request first would never admit one."""
     harness, customer = GatewayHarness(hosts=9), Customer(5)
     harness.ask(customer=customer, units=3, subset_size=100)
-    harness.answer_call(total=8)  # something of the burst is used
+    harness.answer_call(total=8)  # A part of the burst is used.
     for _ in range(3):
         harness.ask(customer=customer, units=3, subset_size=100)
         if not harness.calls[-1].answered:
@@ -469,18 +503,20 @@
     assert customer.account.burst_usage_now(harness.gateway.now) <= PLAN.burst
 
 
-def test_many_gateways_hold_overload_back_though_each_has_few_attempts():
+def test_many_gateways_limit_overload_though_each_has_few_attempts():
+    """A gateway with few attempts in flight does not see the queues that the others cause."""
     harness = GatewayHarness(hosts=40, gateways=100)
     for step in range(60):
         harness.admit(customer=Customer(step))
         if harness.attempts and harness.attempts[-1].outcome is None:
             harness.finish(Outcome.DONE, 2500)
         harness.pass_ms(300)
-    assert 10 < len(harness.rejected) < 55  # some go on, to find when it is over
+    assert 10 < len(harness.rejected) < 55  # Some are still sent, which shows when the overload ends.
 
 
-def test_many_gateways_bring_many_warming_hosts_up_and_all_together_keep_to_what_each_bears():
-    sent, warm = {}, 0
+def test_many_gateways_together_warm_up_many_hosts_without_overloading_any():
+    """Each gateway counts only its own requests, while their sum could overload a warming host."""
+    sent, warm_rate = {}, 0
     for number in range(8):
         harness = GatewayHarness(hosts=12, number=number, gateways=8)
         for index, host in enumerate(harness.hosts[:8]):
@@ -493,15 +529,16 @@
             if attempt.host in harness.hosts[:8]:
                 sent.setdefault(harness.hosts.index(attempt.host), []).append(attempt.sent_at)
             else:
-                warm += 1 / 4 / 4  # requests in a second, at each of the four warm hosts
+                warm_rate += 1 / 4 / 4  # Requests per second at each of the four warm hosts.
     assert len(sent) == 8
-    for came in sent.values():
-        for first in came:
-            bears = 2 * (0.2 + 0.8 * (first - 99000.0) / 10000) * warm
-            assert sum(first <= at < first + 1000 for at in came) <= bears + 2 * bears**0.5 + 2
+    for sent_times in sent.values():
+        for start in sent_times:
+            capacity = 2 * (0.2 + 0.8 * (start - 99000.0) / 10000) * warm_rate
+            assert sum(start <= at < start + 1000 for at in sent_times) <= capacity + 2 * capacity**0.5 + 2
 
 
-def test_lost_answers_while_the_counter_is_down_and_hosts_leave_in_a_wave():
+def test_each_request_gets_one_answer_while_the_counter_is_down_and_hosts_drain():
+    """Lost answers, a counter that is down and draining hosts at once must not cause a second answer."""
     harness = GatewayHarness(hosts=6)
     for step in range(30):
         request = harness.ask(KEYED, customer=Customer(step), subset_size=1)
@@ -509,7 +546,7 @@
             harness.answer_call(Outcome.CONNECTION_FAILED)
         if step == 10:
             harness.update_endpoints(EndpointStatus.DRAINING, *harness.hosts[:2])
-            told, seen = harness.gateway.now, len(harness.attempts)
+            drained_at, attempts_before = harness.gateway.now, len(harness.attempts)
         if step % 3:
             harness.finish(Outcome.DONE)
         harness.pass_ms(40)
@@ -517,30 +554,31 @@
     for attempt in harness.cancelled:
         if attempt.outcome is None:
             harness.finish(Outcome.CANCELLED, 900, attempt)
-    assert request.attempts and harness.cancelled and told
-    assert all(attempt.host not in harness.hosts[:2] for attempt in harness.attempts[seen:])
+    assert request.attempts and harness.cancelled and drained_at
+    assert all(attempt.host not in harness.hosts[:2] for attempt in harness.attempts[attempts_before:])
     answered = [request for request, _ in harness.rejected] + harness.failed
     assert len(answered) == len(set(map(id, answered)))
 
 
-def test_an_ageing_host_gets_less_and_comes_back_warming_up():
-    harness, ageing = GatewayHarness(hosts=4), None
+def test_a_host_that_slows_down_gets_fewer_requests_and_warms_up_after_its_restart():
+    harness, slowing_host = GatewayHarness(hosts=4), None
     for step in range(120):
         harness.admit(customer=Customer(step))
         if step == 60:
-            used = [attempt.host for attempt in harness.attempts]
-            ageing = max(harness.hosts, key=used.count)
-        slower = 20 * (step - 60) if harness.attempts[-1].host is ageing else 0
-        harness.finish(Outcome.DONE, 100 + slower)
+            earlier_hosts = [attempt.host for attempt in harness.attempts]
+            slowing_host = max(harness.hosts, key=earlier_hosts.count)
+        extra_ms = 20 * (step - 60) if harness.attempts[-1].host is slowing_host else 0
+        harness.finish(Outcome.DONE, 100 + extra_ms)
         harness.pass_ms(25)
-    late = [attempt.host for attempt in harness.attempts[80:]]
-    assert late.count(ageing) / 40 < 0.5 * used.count(ageing) / 60
-    harness.update_endpoints(EndpointStatus.READY, ageing, started_at=harness.gateway.now)
-    assert ageing.health.pace.sums(harness.gateway.now) == (0, 0)
-    assert harness.capacity_share(ageing) < 0.3
+    later_hosts = [attempt.host for attempt in harness.attempts[80:]]
+    assert later_hosts.count(slowing_host) / 40 < 0.5 * earlier_hosts.count(slowing_host) / 60
+    harness.update_endpoints(EndpointStatus.READY, slowing_host, started_at=harness.gateway.now)
+    assert slowing_host.health.pace.sums(harness.gateway.now) == (0, 0)
+    assert harness.capacity_share(slowing_host) < 0.3
 
 
-def test_a_mix_turned_to_a_heavy_request_class_does_not_pass_for_slow_hosts():
+def test_a_shift_to_a_heavy_request_class_is_not_mistaken_for_slow_hosts():
+    """If it were, most of the heavy requests would be rejected."""
     harness = GatewayHarness(hosts=6)
     for step in range(200):
         heavy = step > 60
@@ -552,8 +590,9 @@
     assert harness.request_work(KEYED) > 2 * light
 
 
-def test_waits_are_in_latency_objectives_so_that_a_deployment_in_more_haste_tries_again_sooner():
-    for request_class, wait in (READ, 1500), (replace(READ, latency_objective_ms=200), 300):
+def test_quarantine_is_proportional_to_the_latency_objective():
+    """A deployment with shorter latency objectives must call the counter again sooner."""
+    for request_class, wait_ms in (READ, 1500), (replace(READ, latency_objective_ms=200), 300):
         harness = GatewayHarness(hosts=12, request_classes=(request_class,))
         harness.pass_ms(0)
         for step in range(20):
@@ -561,9 +600,9 @@
             if not harness.calls[-1].answered:
                 harness.answer_call(Outcome.CONNECTION_FAILED)
         assert len(harness.calls) == 5 and harness.gateway.breaker.state is BreakerState.OPEN
-        harness.pass_ms(wait - 10)
+        harness.pass_ms(wait_ms - 10)
         harness.ask(request_class)
-        assert len(harness.calls) == 5  # not yet
+        assert len(harness.calls) == 5  # The quarantine is not over yet.
         harness.pass_ms(10)
         harness.ask(request_class)
         assert len(harness.calls) == 6
