--- a/granitedock/policy/circuit_breaker.py
+++ b/granitedock/policy/circuit_breaker.py
@@ -1,7 +1,8 @@
-"""The circuit breaker around the counter, how long a call is waited for, and which share of requests calls.
+"""The circuit breaker around the counter, the budget of a call, and the share of requests that is counted.
 
-Closed, open after five failures in a row, half-open for one trial after the quarantine. Beside the states, a
-crowded counter is relieved gradually: each failure cuts the share of requests that is counted.
+The breaker opens after five failures in a row and is half-open for one trial after the quarantine. Apart from
+its states, each failure cuts the share of requests that is counted, which relieves an overloaded counter
+gradually.
 """
 
 from __future__ import annotations
@@ -12,15 +13,17 @@
 from granitedock.rolling_window import RollingWindow
 from granitedock.state_table import advance
 
-FAILURES_TO_OPEN = 5  # in a row
-QUARANTINE_OBJECTIVES = 1.5  # shortest latency objectives in which an open breaker makes no call
-CALM_OBJECTIVES = 5.0  # the same without a failed call, before there is room for calls that can wait
-COUNTED_SHARE_FACTOR = 0.8  # of the share of requests that is counted, after a failure
-COUNTED_SHARE_STEP = 0.03  # added to it after a success
+FAILURES_TO_OPEN = 5  # Consecutive failures that open the breaker.
+# An open breaker makes no call for this multiple of the shortest latency objective.
+QUARANTINE_OBJECTIVE_MULTIPLE = 1.5
+# Calls that can wait are made after this multiple of the shortest latency objective without a failed call.
+FAILURE_FREE_OBJECTIVE_MULTIPLE = 5.0
+COUNTED_SHARE_FACTOR = 0.8  # A failure multiplies the share of requests that is counted by this.
+COUNTED_SHARE_STEP = 0.03  # A success adds this to the share of requests that is counted.
 MIN_COUNTED_SHARE = 0.1
-MAX_CALL_CREDIT = 2.0  # calls that may be made at once after requests that made none
-CALL_BUDGET_MS = 20.0  # the design's budget of a call to the counter
-CALL_BUDGET_MEANS = 3.0  # mean call times, where that is more
+MAX_CREDIT_CALLS = 2.0  # Calls that may be made at once after requests that made none.
+CALL_BUDGET_MS = 20.0  # The design's budget of a call to the counter.
+CALL_BUDGET_MEAN_MULTIPLE = 3.0  # Budget as a multiple of the mean call time, where that is longer.
 CALL_TIMES_SPAN_MS = 10000.0
 
 
@@ -35,31 +38,37 @@
 
 
 class CircuitBreaker:
-    """The design's breaker; only a genuine success in time resets it. `now` is set by the gateway (ms)."""
+    """Implements the design's breaker, which only a genuine success in time resets.
+
+    The gateway sets `now` (ms).
+    """
 
     def __init__(self, latency_objective_ms: float, log_decision: Callable[[str], None]) -> None:
         self.state = BreakerState.CLOSED
-        self.failures = 0  # in a row
+        self.failures = 0  # Consecutive failures.
         self.quarantine_until = 0.0
         self.now = 0.0
         self.log = log_decision
         self.failed_at = float("-inf")
         self.counted_share = 1.0
         self.call_credit = 1.0
-        self.quarantine_ms = QUARANTINE_OBJECTIVES * latency_objective_ms
-        self.calm_ms = CALM_OBJECTIVES * latency_objective_ms
+        self.quarantine_ms = QUARANTINE_OBJECTIVE_MULTIPLE * latency_objective_ms
+        self.failure_free_ms = FAILURE_FREE_OBJECTIVE_MULTIPLE * latency_objective_ms
         self.call_times = RollingWindow(CALL_TIMES_SPAN_MS)
 
     def record(self, event: BreakerEvent) -> None:
-        """Apply an event, and log a change of state."""
-        before = self.state
+        """Apply an event and log a change of state."""
+        old_state = self.state
         advance(BREAKER, self, event, self)
-        if self.state is not before:
-            self.log(f"breaker {before.value} to {self.state.value}: {self.failures} failures in a row")
+        if self.state is not old_state:
+            self.log(f"breaker {old_state.value} to {self.state.value}: {self.failures} failures in a row")
 
     def allows_call(self) -> bool:
-        """Whether this request may be counted. Guards against more calls than the counter can answer."""
-        self.call_credit = min(MAX_CALL_CREDIT, self.call_credit + self.counted_share)
+        """Return whether this request may be counted.
+
+        Prevents more calls than the counter can answer.
+        """
+        self.call_credit = min(MAX_CREDIT_CALLS, self.call_credit + self.counted_share)
         if self.state is BreakerState.OPEN and self.now >= self.quarantine_until:
             self.record(BreakerEvent.QUARANTINE_OVER)
             return True
@@ -67,33 +76,42 @@
         self.call_credit -= allowed
         return allowed
 
-    def is_calm(self) -> bool:
-        """All requests are counted and no call failed for a while: there is room for calls that can wait."""
-        return self.counted_share >= 1.0 and self.now - self.failed_at > self.calm_ms
+    def has_spare_capacity(self) -> bool:
+        """Return whether the counter has room for calls that can wait.
+
+        The counter has room where all requests are counted and no call has failed for `failure_free_ms`.
+        """
+        return self.counted_share >= 1.0 and self.now - self.failed_at > self.failure_free_ms
 
-    def call_budget_ms(self, most: float) -> float:
-        """How long a call is waited for. Guards against a counter only slower than assumed. Hurts where the
-        wait makes requests late."""
+    def call_budget_ms(self, max_ms: float) -> float:
+        """Return how long to wait for a call, in ms.
+
+        Prevents timeouts of a counter that is only slower than assumed; the cost is the requests that the
+        wait makes late.
+        """
         mean = self.call_times.mean(self.now, 1.0, 0.0)
-        return max(CALL_BUDGET_MS, min(most, CALL_BUDGET_MEANS * mean))
+        return max(CALL_BUDGET_MS, min(max_ms, CALL_BUDGET_MEAN_MULTIPLE * mean))
+
+    def reduce_counted_share(self) -> None:
+        """Reduce the share of requests that is counted.
 
-    def reduce_calls(self) -> None:
-        """A late or refused call says that the counter is crowded; a connection that breaks does not."""
+        A late or rejected call indicates an overloaded counter; a connection that breaks does not.
+        """
         self.failed_at = self.now
         self.counted_share = max(MIN_COUNTED_SHARE, COUNTED_SHARE_FACTOR * self.counted_share)
 
     # Effects of the table.
 
     def count_failure(self, _: CircuitBreaker) -> BreakerEvent | None:
-        """One more failure in a row, which may trip it."""
+        """Count a consecutive failure, and trip the breaker at `FAILURES_TO_OPEN`."""
         self.failures += 1
         return BreakerEvent.TRIPPED if self.failures >= FAILURES_TO_OPEN else None
 
     def start_quarantine(self, _: CircuitBreaker) -> None:
-        """No call for a while, then one trial."""
+        """Start the quarantine: no calls until it ends, then one trial."""
         self.quarantine_until = self.now + self.quarantine_ms
 
     def reset(self, _: CircuitBreaker) -> None:
-        """A success in time."""
+        """Clear the failures after a success in time, and raise the share of requests that is counted."""
         self.failures = 0
         self.counted_share = min(1.0, self.counted_share + COUNTED_SHARE_STEP)
--- a/granitedock/policy/gateway.py
+++ b/granitedock/policy/gateway.py
@@ -58,18 +58,18 @@
 
     def handle_request(self, request: Request) -> None:
         """A new request."""
-        self.rate_limiter.account(request).advance_window(self.now)
+        self.rate_limiter.account_for(request).advance_window(self.now)
         advance(REQUEST, request, RequestEvent.RECEIVED, self)
 
     def refuse(self, request: Request) -> None:
         """A new request that is given up undecided, as one never sent."""
-        self.rate_limiter.account(request).advance_window(self.now)
+        self.rate_limiter.account_for(request).advance_window(self.now)
         request.state = RequestState.FINISHED
         self.give_up(request)
 
     def counter_call_finished(self, call: CounterCall, outcome: Outcome, total: float) -> None:
         """A counter call ended; `total` counts where the outcome is DONE."""
-        event = self.rate_limiter.call_finished(call, outcome, total)
+        event = self.rate_limiter.counter_call_finished(call, outcome, total)
         if event is not None and call.request is not None:
             advance(REQUEST, call.request, event, self)
 
@@ -83,7 +83,7 @@
         request.customer.account.in_flight -= 1
         self.load_balancer.attempt_finished(attempt, outcome, took_ms)
         if outcome is Outcome.DONE and units > 0:
-            self.rate_limiter.settle(request.counter_call, units - request.units)
+            self.rate_limiter.adjust_usage(request.counter_call, units - request.units)
         advance(REQUEST, request, RequestEvent.ANSWERED if final else RequestEvent.LOST, self)
 
     def response_started(self, attempt: Attempt) -> None:
@@ -99,14 +99,14 @@
         if isinstance(why, Attempt):
             if why.outcome is None:
                 advance(REQUEST, why.request, RequestEvent.OVERDUE, self)
-        elif self.rate_limiter.call_timed_out(why):
+        elif self.rate_limiter.counter_call_timed_out(why):
             advance(REQUEST, why.request, RequestEvent.NO_TOTAL, self)
 
     # Effects of the table.
 
     def check_quota(self, request: Request) -> RequestEvent | None:
         """Ask the counter, if need be."""
-        return self.rate_limiter.check(request)
+        return self.rate_limiter.check_quota(request)
 
     def local_fallback(self, request: Request) -> RequestEvent:
         """Decide without the counter."""
--- a/granitedock/policy/quota_account.py
+++ b/granitedock/policy/quota_account.py
@@ -1,9 +1,9 @@
 """One customer's quota at this gateway: the two-window count, the burst usage, and the even-share buckets.
 
-The count is the source's sliding window: current + previous x remaining / window. The burst usage follows
-from the same totals what was used since the customer was last at rest, beyond what the rate has refilled, and
-may not pass the burst. Without totals the local fallback bucket, the source's emergency limiter, holds
-an even share of rate and burst.
+The count is the source's sliding window counter: current + previous x remaining / window. The burst usage is
+derived from the same totals: it is what the customer has used since it was last idle, beyond what the rate
+has refilled, and may not exceed the burst. Without totals the local fallback bucket, the source's emergency
+limiter, holds an even share of rate and burst.
 """
 
 from __future__ import annotations
@@ -11,17 +11,20 @@
 from granitedock.policy.token_bucket import TokenBucket
 from granitedock.policy.types import CounterCall, Customer, Plan, SharedQuota
 
-WINDOW_BURST_FILLS = 2.0  # times that the rate fills the burst in a window
+WINDOW_BURST_FILLS = 2.0  # Times that the rate refills the burst within a window.
 MIN_WINDOW_MS = 1000.0
-MAX_NAME_TTL_MS = 60000.0  # the counter's longest life of a name
-NAME_TTL_WINDOWS = 3.0  # windows for which a name lasts
-BURST_SLACK = 0.5  # units past the burst, for delays
-STUCK_AFTER_TOTALS = 4  # totals in a row that an increment of ours did not change say nothing
-LOST_BURST_SHARE = 4  # a total that falls by more than the burst divided by this has lost units
+MAX_NAME_TTL_MS = 60000.0  # The counter's longest TTL of a name.
+NAME_TTL_WINDOWS = 3.0  # TTL of a name, in windows.
+BURST_SLACK_UNITS = 0.5  # Tolerance beyond the burst, for delays.
+FROZEN_AFTER_TOTALS = 4  # Totals in a row, unchanged by this gateway's increments, that carry no information.
+LOST_BURST_DIVISOR = 4  # A total that falls by more than the burst divided by this has lost units.
 
 
 class QuotaAccount:
-    """Units and ms throughout. `subset_size` gateways, from number `subset_start`, serve the customer."""
+    """Holds one customer's quota state at this gateway, in units and ms.
+
+    The `subset_size` gateways from number `subset_start` serve the customer.
+    """
 
     def __init__(
         self,
@@ -33,71 +36,83 @@
     ) -> None:
         self.plan = plan
         self.subset_size = max(1, subset_size)
-        self.active_members = self.subset_size  # by which the local bucket is divided
-        longest = MAX_NAME_TTL_MS / NAME_TTL_WINDOWS
-        fill_ms = plan.burst / plan.rate if plan.rate > 0 else longest
-        self.window_ms = plan.window_ms or min(longest, max(MIN_WINDOW_MS, WINDOW_BURST_FILLS * fill_ms))
+        self.active_members = self.subset_size  # The local bucket is divided by this number.
+        longest_ms = MAX_NAME_TTL_MS / NAME_TTL_WINDOWS
+        fill_ms = plan.burst / plan.rate if plan.rate > 0 else longest_ms
+        self.window_ms = plan.window_ms or min(longest_ms, max(MIN_WINDOW_MS, WINDOW_BURST_FILLS * fill_ms))
         self.allowance = plan.rate * self.window_ms + plan.burst
         self.window = -1
-        self.current = 0.0  # the last total of this window's name
-        self.previous = 0.0  # of the one before
+        self.current = 0.0  # Last total of this window's name.
+        self.previous = 0.0  # Last total of the previous window's name.
         self.quota = SharedQuota(plan, subset_start, self.subset_size, self.window_ms)
-        # Of this window, where gateways share their uncounted units:
-        self.unreported = 0.0  # ours that go with the next increment
-        self.own_additions = 0.0
-        self.last_total = 0.0  # as the counter gave it
-        self.lost = 0.0  # what the counter has lost
+        # The fields up to `uncounted_before` are for gateways that share uncounted units, of this window.
+        self.unreported = 0.0  # Units of this gateway that the next increment includes.
+        self.added_by_this_gateway = 0.0
+        self.last_total = 0.0  # Total as the counter returned it.
+        self.lost = 0.0  # Units that the counter has lost.
         self.unchanged_totals = 0
-        self.uncounted = 0.0  # other gateways' units that the counter does not know
-        self.uncounted_before = 0.0  # the same of the window before
-        self.burst_usage = 0.0  # units used beyond what the rate has refilled, as of `burst_usage_at`
+        self.uncounted = 0.0  # Units of other gateways that the counter does not know.
+        self.uncounted_before = 0.0  # Such units of the window before.
+        self.burst_usage = 0.0  # Units used beyond what the rate has refilled, as of `burst_usage_at`.
         self.burst_usage_at = now
-        self.refund_owed = 0.0  # units owed back to the current name
+        self.refund_due = 0.0  # Units to refund to the current name.
         self.in_flight = 0
         self.last_used_at = now
-        self.local_bucket: TokenBucket | None = None  # while the counter gives no totals
+        self.local_bucket: TokenBucket | None = None  # Set while the counter returns no totals.
         self.ceiling = self.new_ceiling(now, process_started_at)
 
     def new_ceiling(self, now: float, process_started_at: float) -> TokenBucket | None:
-        """The even share of a hard ceiling. It fills from the start of the process, from as low as the slack
-        allows: that may be a restart. An account dropped before has rested for longer."""
+        """Return the bucket for the even share of a hard ceiling, or None without a ceiling.
+
+        The bucket fills from the start of the process, from as low a level as the slack allows, as that start
+        may be a restart. An account evicted earlier has been idle for longer than the time credited here.
+        """
         plan = self.plan
         if plan.ceiling_rate <= 0:
             return None
         size = self.subset_size
         level = plan.ceiling_slack / 2 / size
-        since = min(now, max(process_started_at, now - MAX_NAME_TTL_MS / 2))
-        return TokenBucket(plan.ceiling_rate / size, plan.ceiling_burst / size, level, since)
+        fills_from = min(now, max(process_started_at, now - MAX_NAME_TTL_MS / 2))
+        return TokenBucket(plan.ceiling_rate / size, plan.ceiling_burst / size, level, fills_from)
 
     def advance_window(self, now: float) -> None:
-        """Come to the window of now; the previous count is the last total of that name."""
+        """Start the window of `now` if it is not the current one.
+
+        The previous count is the last total of the previous window's name, less the pending refund.
+        """
         window = int(now // self.window_ms)
         if window != self.window:
-            follows = window == self.window + 1
-            self.previous = max(0.0, self.current - self.refund_owed) if follows else 0.0
-            self.uncounted_before = self.uncounted if follows else 0.0
+            is_next_window = window == self.window + 1
+            self.previous = max(0.0, self.current - self.refund_due) if is_next_window else 0.0
+            self.uncounted_before = self.uncounted if is_next_window else 0.0
             self.window = window
-            self.current = self.refund_owed = 0.0
-            self.unreported = self.own_additions = self.last_total = self.lost = self.uncounted = 0.0
+            self.current = self.refund_due = 0.0
+            self.unreported = self.added_by_this_gateway = self.last_total = self.lost = self.uncounted = 0.0
 
     def is_over_quota(self, now: float) -> bool:
-        """The design's two-window estimate, and against a second burst in any window the burst usage."""
+        """Return whether the two-window estimate or the burst usage exceeds its limit.
+
+        The estimate is the design's; the burst usage prevents a second burst in any window.
+        """
         estimate = self.current + self.previous * (1.0 - now % self.window_ms / self.window_ms)
-        return estimate > self.allowance or self.burst_usage > self.plan.burst + BURST_SLACK
+        return estimate > self.allowance or self.burst_usage > self.plan.burst + BURST_SLACK_UNITS
 
     def corrected_total(
         self, call: CounterCall, total: float, uncounted: float, uncounted_before: float
     ) -> float:
-        """The total with units that the counter does not know: `uncounted` by others in the call's window,
-        `uncounted_before` in the one before. Guards against a counter that comes back empty or with old
-        totals: where one falls by more than others would take back meanwhile, or below what we alone added,
-        what it lost stays counted until the window ends."""
+        """Return the total including units that the counter does not know.
+
+        Other gateways admitted `uncounted` of them in the call's window and `uncounted_before` in the window
+        before. Prevents excess admissions after a counter restarts empty or with old totals: where a total
+        falls by more than the others would refund meanwhile, or below what this gateway alone added, the lost
+        units stay counted until the window ends.
+        """
         if call.window == self.window:
-            lost = self.last_total + call.amount - total
-            self.own_additions += call.amount
-            dropped = lost > max(BURST_SLACK, self.plan.burst / LOST_BURST_SHARE)
-            if dropped or total + self.lost < self.own_additions - BURST_SLACK:
-                self.lost += max(0.0, lost)
+            shortfall = self.last_total + call.amount - total
+            self.added_by_this_gateway += call.amount
+            has_dropped = shortfall > max(BURST_SLACK_UNITS, self.plan.burst / LOST_BURST_DIVISOR)
+            if has_dropped or total + self.lost < self.added_by_this_gateway - BURST_SLACK_UNITS:
+                self.lost += max(0.0, shortfall)
             self.last_total = total
             self.uncounted = uncounted
             total += self.lost
@@ -105,26 +120,34 @@
             self.uncounted_before = max(self.uncounted_before, uncounted_before)
         return total + uncounted
 
-    def is_stuck(self, call: CounterCall, total: float) -> bool:
-        """Guards against a counter whose totals stand still: one that is the same to the last digit after
-        several increments of ours says nothing, and is taken as no answer."""
+    def total_is_frozen(self, call: CounterCall, total: float) -> bool:
+        """Return whether the total counts as no answer because the counter's totals are frozen.
+
+        Prevents decisions by a counter whose totals do not change: one that is equal to the last digit after
+        several increments of this gateway carries no information.
+        """
         if call.window == self.window and call.amount > 0:
             self.unchanged_totals = self.unchanged_totals + 1 if total == self.last_total else 0
-        return self.unchanged_totals >= STUCK_AFTER_TOTALS
+        return self.unchanged_totals >= FROZEN_AFTER_TOTALS
 
     def apply_total(self, call: CounterCall, total: float, now: float, shared: bool = False) -> None:
-        """Take in a total. What others added since the last one is taken as spread over that time. `shared`:
-        gateways tell each other of uncounted units."""
+        """Apply a total to the count and the burst usage.
+
+        Units that others added since the last total are treated as spread over that time. `shared` is set
+        where gateways exchange uncounted units.
+        """
         if call.window == self.window:
-            others = total - self.current - call.amount
-            used = self.burst_usage_now(now)
+            added_by_others = total - self.current - call.amount
+            usage = self.burst_usage_now(now)
             if shared and self.local_bucket is not None:
-                # Guards good traffic against units counted twice: what the local bucket says of the others is
-                # reported and added by them too. The larger of both, as nobody reports windows that are over.
-                counted = self.burst_usage - self.plan.rate * (now - self.burst_usage_at)
-                used = max(used - others, counted + call.carried)
-            own = 0.0 if call.timed_out else call.amount - call.carried  # those are in the local bucket
-            self.burst_usage = max(0.0, max(0.0, used + others) + own)
+                # Prevents rejections of traffic within quota due to units counted twice: the units of others
+                # that the local bucket estimates are also reported and added by them. The larger value
+                # applies, as no gateway reports windows that have ended.
+                counted_usage = self.burst_usage - self.plan.rate * (now - self.burst_usage_at)
+                usage = max(usage - added_by_others, counted_usage + call.carried)
+            # The local bucket already holds the units that are carried or that timed out.
+            added_by_call = 0.0 if call.timed_out else call.amount - call.carried
+            self.burst_usage = max(0.0, max(0.0, usage + added_by_others) + added_by_call)
             self.current = total
             self.burst_usage_at = now
             self.local_bucket = None
@@ -132,15 +155,22 @@
             self.previous = total
 
     def burst_usage_now(self, now: float) -> float:
-        """The burst usage, below 0 after a rest. Guards against a fresh burst whenever the counter fails or
-        comes back: the local bucket starts as full as the usage leaves it, and gives it back."""
+        """Return the burst usage as of `now`, below 0 after an idle period.
+
+        Prevents a fresh burst whenever the counter fails or recovers: the local bucket starts with the level
+        that the usage leaves, and the usage continues from the bucket's level.
+        """
         if self.local_bucket is not None:
-            used = self.local_bucket.depth - self.local_bucket.available(now)
-            return min(used * self.active_members, max(self.plan.burst, used))
+            usage = self.local_bucket.depth - self.local_bucket.available(now)
+            return min(usage * self.active_members, max(self.plan.burst, usage))
         return self.burst_usage - self.plan.rate * (now - self.burst_usage_at)
 
     def admit_locally(self, units: float, now: float, active_members: int) -> bool:
-        """The local fallback: take from an even share of rate and burst, among `active_members`."""
+        """Take the units from the local fallback bucket.
+
+        The bucket holds an even share of rate and burst among `active_members`. Returns whether it covers the
+        units.
+        """
         rate = self.plan.rate / active_members
         depth = self.plan.burst / active_members
         if self.local_bucket is None:
@@ -152,5 +182,8 @@
         return self.local_bucket.take(units, now)
 
     def counter_name(self, customer: Customer) -> int:
-        """The same at every gateway and after a restart, and another in each window."""
+        """Return the counter name of the customer's current window.
+
+        It is the same at every gateway and after a restart, and differs between windows.
+        """
         return (customer.key * 0x9E3779B97F4A7C15 + self.window * 0xBF58476D1CE4E5B9) % 2**63
--- a/granitedock/policy/token_bucket.py
+++ b/granitedock/policy/token_bucket.py
@@ -4,7 +4,10 @@
 
 
 class TokenBucket:
-    """Units that refill at `rate` (units a ms) up to `depth`. Times in ms."""
+    """Holds units that refill at `rate` (units per ms) up to `depth`.
+
+    Times are in ms.
+    """
 
     __slots__ = ("rate", "depth", "level", "updated_at")
 
@@ -15,19 +18,25 @@
         self.updated_at = now
 
     def available(self, now: float) -> float:
-        """Refill up to now; the units it holds, below 0 where some are owed."""
+        """Refill the bucket up to `now` and return its level, which is below 0 while in debt."""
         self.level = min(self.depth, self.level + self.rate * (now - self.updated_at))
         self.updated_at = now
         return self.level
 
     def take(self, units: float, now: float) -> bool:
-        """Take the units if it holds them. More than the depth is taken from whatever it holds, and owed."""
+        """Take the units if the bucket holds them, and return whether it did.
+
+        More units than the depth are granted at any positive level, and the bucket goes into debt.
+        """
         granted = self.available(now) >= units or (units > self.depth and self.level > 0)
         self.level -= units * granted
         return granted
 
     def resize(self, rate: float, depth: float, now: float) -> None:
-        """Another rate and depth from now on; it keeps what it holds as far as that fits, no burst comes."""
+        """Change the rate and the depth from `now` on.
+
+        The bucket keeps its level as far as the new depth allows, so that a change gives no burst.
+        """
         self.level = min(depth, self.available(now))
         self.rate = rate
         self.depth = depth
--- a/tests/configuration/test_plan_changes.py
+++ b/tests/configuration/test_plan_changes.py
@@ -79,9 +79,9 @@
 def test_the_count_goes_on_under_the_same_names_where_the_window_is_kept():
     before, after = plan(20, 40), plan(30, 40, 4000.0)
     account = used_up(before)
-    account.current, account.previous, account.refund_owed = 33.0, 21.0, 2.0
+    account.current, account.previous, account.refund_due = 33.0, 21.0, 2.0
     made = carry_over(account, after, 100_000.0)
-    assert (made.window_ms, made.window, made.current, made.previous, made.refund_owed) == (
+    assert (made.window_ms, made.window, made.current, made.previous, made.refund_due) == (
         4000.0,
         account.window,
         33.0,
--- a/tests/model_checking/test_model_checking.py
+++ b/tests/model_checking/test_model_checking.py
@@ -150,12 +150,12 @@
     for wait, units in steps:
         now += wait
         account.advance_window(now)
-        call = CounterCall(customer, 1, account.window, units - account.refund_owed, 4000.0, now)
-        account.refund_owed = 0.0
+        call = CounterCall(customer, 1, account.window, units - account.refund_due, 4000.0, now)
+        account.refund_due = 0.0
         totals[account.window] = totals.get(account.window, 0.0) + call.amount
         account.apply_total(call, totals[account.window], now)
         if account.is_over_quota(now):
-            account.refund_owed += units  # a refused task's units go back, on the next add to the name
+            account.refund_due += units  # a refused task's units go back, on the next add to the name
         else:
             used += units
     assert used <= plan.burst + plan.rate * (now - 1_000_000.0) + 0.5 + 1e-6
--- a/tests/policy/test_fleet_quotas.py
+++ b/tests/policy/test_fleet_quotas.py
@@ -1,7 +1,8 @@
-"""Quotas hold for the fleet: simulated, many gateways with the program's own decisions before one counter.
+"""Simulates many gateways before one counter, and checks that the fleet as a whole keeps to the quotas.
 
-What is admitted beyond the quotas is measured against the true store of each customer, and against a policy
-that sees the true state of that store, late. Times in ms.
+Each gateway runs the program's own decisions. The admissions beyond the quotas are counted by an exact bucket
+per customer, and compared with those of a reference policy that sees the exact bucket with a delay. Times are
+in ms.
 """
 
 from collections import deque
@@ -27,66 +28,68 @@
 )
 
 PLAN = Plan("plan", 0.004, 16, 0, 1, 0, 0.5, 0, 0, 0)
-END, LATE = 20000.0, 50.0  # how late the policy beside sees what was taken
+END_MS, OBSERVATION_DELAY_MS = 20000.0, 50.0  # The delay is that of the reference policy.
 
 
-class Store:
-    """A customer's quota as it truly stands."""
+class ExactBucket:
+    """The exact state of a customer's quota."""
 
     def __init__(self):
-        self.level, self.at, self.beyond = PLAN.burst, 0.0, 0.0
-        self.past = deque([(0.0, PLAN.burst)])  # when it was taken from, and what it held then
+        self.level, self.updated_at, self.over_quota = PLAN.burst, 0.0, 0.0
+        self.history = deque([(0.0, PLAN.burst)])  # (time of an admission, level after it)
 
     def take(self, now):
-        """What was sent on: beyond the quota where it does not hold the unit."""
-        self.level, self.at = min(PLAN.burst, self.level + PLAN.rate * (now - self.at)), now
+        """Take the unit of a request that was sent; it is over quota where the bucket does not hold it."""
+        self.level, self.updated_at = min(PLAN.burst, self.level + PLAN.rate * (now - self.updated_at)), now
         if self.level >= 1.0:
             self.level -= 1.0
         else:
-            self.beyond += 1.0
-        self.past.append((now, self.level))
+            self.over_quota += 1.0
+        self.history.append((now, self.level))
 
-    def seen(self, then):
-        """What it held at this time, which only moves on."""
-        while len(self.past) > 1 and self.past[1][0] <= then:
-            self.past.popleft()
-        at, level = self.past[0]
-        return min(PLAN.burst, level + PLAN.rate * max(0.0, then - at))
+    def level_at(self, time_ms):
+        """Return the level at this time, which must not go back between calls."""
+        while len(self.history) > 1 and self.history[1][0] <= time_ms:
+            self.history.popleft()
+        updated_at, level = self.history[0]
+        return min(PLAN.burst, level + PLAN.rate * max(0.0, time_ms - updated_at))
 
 
 class Fleet:
-    def __init__(self, seed, gateways, customers, use):
-        self.random, self.now, self.queue, self.made = Random(seed), 0.0, [], 0
-        self.totals, self.stores, self.offered = {}, [Store() for _ in range(customers)], 0
+    """The simulated gateways and their customers, with the clock and the event queue."""
+
+    def __init__(self, seed, gateways, customers, load):
+        self.random, self.now, self.queue, self.event_count = Random(seed), 0.0, [], 0
+        self.totals, self.buckets, self.offered = {}, [ExactBucket() for _ in range(customers)], 0
         self.members = [Member(self, number, gateways, customers) for number in range(gateways)]
-        self.late = [Store() for _ in range(customers)]  # under the policy that sees late
-        self.sent_late = 0
-        heavy = [use * (8.0 if n % 10 == 0 else 0.5) for n in range(customers)]
-        for customer, factor in enumerate(heavy):
+        self.reference_buckets = [ExactBucket() for _ in range(customers)]  # Under the reference policy.
+        self.reference_sent = 0
+        load_factors = [load * (8.0 if n % 10 == 0 else 0.5) for n in range(customers)]
+        for customer, factor in enumerate(load_factors):
             t = 0.0
-            while (t := t + self.random.expovariate(PLAN.rate * factor)) < END:
-                self.at(t, self.ask, customer)
+            while (t := t + self.random.expovariate(PLAN.rate * factor)) < END_MS:
+                self.schedule(t, self.offer_request, customer)
 
-    def at(self, when, act, *what):
-        self.made += 1
-        heappush(self.queue, (when, self.made, act, what))
+    def schedule(self, time_ms, action, *arguments):
+        self.event_count += 1
+        heappush(self.queue, (time_ms, self.event_count, action, arguments))
 
     def run(self):
-        while self.queue and self.queue[0][0] < END:
-            self.now, _, act, what = heappop(self.queue)
-            act(*what)
+        while self.queue and self.queue[0][0] < END_MS:
+            self.now, _, action, arguments = heappop(self.queue)
+            action(*arguments)
         return self
 
-    def ask(self, customer):
+    def offer_request(self, customer):
         self.offered += 1
-        if self.late[customer].seen(self.now - LATE) >= 1.0:
-            self.sent_late += 1
-            self.late[customer].take(self.now)
+        if self.reference_buckets[customer].level_at(self.now - OBSERVATION_DELAY_MS) >= 1.0:
+            self.reference_sent += 1
+            self.reference_buckets[customer].take(self.now)
         self.random.choice(self.members).handle_request(customer)
 
 
 class Member:
-    """A gateway and its effect handler; the answers of counter and hosts come by the fleet's clock."""
+    """A gateway and its effect handler; answers of counter and hosts are scheduled in the fleet's queue."""
 
     def __init__(self, fleet, number, gateways, customers):
         self.fleet, self.gateways, self.sent = fleet, gateways, []
@@ -116,14 +119,14 @@
 
     def call_counter(self, call):
         fleet = self.fleet
-        fleet.at(fleet.now + fleet.random.uniform(0.5, 3.0), self.apply_call, call)
+        fleet.schedule(fleet.now + fleet.random.uniform(0.5, 3.0), self.apply_call, call)
 
     def apply_call(self, call):
         fleet = self.fleet
         total = fleet.totals[call.name] = fleet.totals.get(call.name, 0.0) + call.amount
-        fleet.at(fleet.now + fleet.random.uniform(0.5, 3.0), self.call_finished, call, total)
+        fleet.schedule(fleet.now + fleet.random.uniform(0.5, 3.0), self.counter_call_finished, call, total)
 
-    def call_finished(self, call, total):
+    def counter_call_finished(self, call, total):
         self.gateway.advance_clock(self.fleet.now)
         self.gateway.counter_call_finished(call, Outcome.DONE, total)
 
@@ -131,8 +134,8 @@
         fleet = self.fleet
         if len(attempt.request.attempts) == 1:
             self.sent.append(attempt)
-            fleet.stores[attempt.request.customer.key].take(fleet.now)
-        fleet.at(fleet.now + fleet.random.expovariate(1 / 40), self.attempt_finished, attempt)
+            fleet.buckets[attempt.request.customer.key].take(fleet.now)
+        fleet.schedule(fleet.now + fleet.random.expovariate(1 / 40), self.attempt_finished, attempt)
 
     def attempt_finished(self, attempt):
         if attempt.outcome is None:
@@ -140,30 +143,35 @@
             self.gateway.attempt_finished(attempt, Outcome.DONE, self.fleet.now - attempt.sent_at, True, 0, 0)
 
     def start_timer(self, after_ms, why):
-        self.fleet.at(self.fleet.now + after_ms, self.timer_fired, why)
+        self.fleet.schedule(self.fleet.now + after_ms, self.timer_fired, why)
 
     def timer_fired(self, why):
         self.gateway.advance_clock(self.fleet.now)
         self.gateway.timer_fired(why)
 
     def cancel(self, attempt):
-        self.fleet.at(self.fleet.now, self.attempt_finished, attempt)
+        self.fleet.schedule(self.fleet.now, self.attempt_finished, attempt)
 
     def reject(self, request, retry_after_ms):
         pass
 
-    fail = log_decision = lambda self, *what: None
+    fail = log_decision = lambda self, *arguments: None
 
 
 @pytest.mark.parametrize("gateways", [1, 4, 20, 30, 200])
-def test_on_a_quiet_day_little_more_is_admitted_beyond_quotas_than_where_the_true_state_is_seen_late(
+def test_without_faults_little_more_is_admitted_beyond_quotas_than_where_the_exact_state_is_seen_late(
     gateways,
 ):
+    """Fails where the fleet admits far more than the quotas allow, or sends too little.
+
+    A gateway learns of the units of others only from the totals of its own increments, so that it decides by
+    an old state.
+    """
     for seed in range(3):
-        fleet = Fleet(seed, gateways, customers=60, use=0.5).run()
-        beyond = sum(store.beyond for store in fleet.stores) / fleet.offered
-        late = sum(store.beyond for store in fleet.late) / fleet.offered
-        assert beyond <= late + 0.1, (seed, beyond, late)
-        # And it is not kept by sending nothing.
+        fleet = Fleet(seed, gateways, customers=60, load=0.5).run()
+        over_quota_share = sum(bucket.over_quota for bucket in fleet.buckets) / fleet.offered
+        reference_share = sum(bucket.over_quota for bucket in fleet.reference_buckets) / fleet.offered
+        assert over_quota_share <= reference_share + 0.1, (seed, over_quota_share, reference_share)
+        # A low share must not come from sending too little.
         sent = sum(len(member.sent) for member in fleet.members)
-        assert sent > 0.7 * fleet.sent_late > fleet.offered / 4, (seed, sent, fleet.sent_late)
+        assert sent > 0.7 * fleet.reference_sent > fleet.offered / 4, (seed, sent, fleet.reference_sent)
--- a/tests/policy/test_request_decisions.py
+++ b/tests/policy/test_request_decisions.py
@@ -46,12 +46,12 @@
     other = Customer(7)
     harness.ask(customer=other, units=2)
     harness.answer_call(total=22.8)
-    assert len(harness.rejected) == 2 and other.account.refund_owed == 2
+    assert len(harness.rejected) == 2 and other.account.refund_due == 2
     harness.pass_ms(600)
     harness.ask(customer=other, units=1)
     assert harness.calls[-1].amount == -1
     harness.answer_call(Outcome.OVERLOADED)
-    assert other.account.refund_owed == 2  # proved not added: owed as before
+    assert other.account.refund_due == 2  # proved not added: owed as before
 
 
 def test_a_crowded_counter_is_spared_calls_that_cannot_change_the_answer():
@@ -95,7 +95,7 @@
     harness.pass_ms(40)  # the budget has grown with the time seen
     assert [request for request, _ in harness.rejected] == [refused]
     harness.answer_call(total=13)
-    assert customer.account.refund_owed == 8
+    assert customer.account.refund_due == 8
 
 
 def test_a_counter_that_is_only_slow_is_waited_for_and_one_that_crawls_is_not():
@@ -139,7 +139,7 @@
         harness.answer_call(Outcome.RESET if step % 2 else Outcome.DONE)
         assert len(request.attempts) == 1
         harness.finish(Outcome.DONE)
-    assert len(harness.calls) == 40 and harness.gateway.breaker.is_calm()
+    assert len(harness.calls) == 40 and harness.gateway.breaker.has_spare_capacity()
 
 
 def test_the_local_fallback_bucket_gives_an_even_share():
--- a/tests/service/test_gateway_process.py
+++ b/tests/service/test_gateway_process.py
@@ -333,7 +333,7 @@
         wired, lines, client = begun()
         value = b"*3\r\n$5\r\nvalue\r\n" + more
         forwarded(wired, lines, client).link.dataReceived(value)
-        assert client.took() == value and next(iter(accounts(wired))).account.refund_owed == 0
+        assert client.took() == value and next(iter(accounts(wired))).account.refund_due == 0
 
 
 def test_a_silent_counter_is_replaced_and_its_late_totals_still_count():
@@ -356,7 +356,7 @@
         account = next(iter(accounts(wired))).account
         old.link.dataReceived(said)
         wired.pass_ms(50)
-        assert old.closed == "aborted" and account.current == 1 and account.refund_owed == 0, said
+        assert old.closed == "aborted" and account.current == 1 and account.refund_due == 0, said
         assert wired.counts["call_spoilt"] == wired.counts["call_reset"] == 1  # the one behind: not known
         wired.pass_ms(600)
         assert any(dial[2] is Input.COUNTER_DISCONNECTED for dial in wired.dials)
