--- a/granitedock/policy/gateway.py
+++ b/granitedock/policy/gateway.py
@@ -63,18 +63,18 @@
 
     def handle_request(self, request: Request) -> None:
         """Start the lifecycle of a new request."""
-        self.rate_limiter.account(request).advance_window(self.now)
+        self.rate_limiter.account_for(request).advance_window(self.now)
         advance(REQUEST, request, RequestEvent.RECEIVED, self)
 
     def reject_unsent(self, request: Request) -> None:
         """Reject a new request without checking its quota, as one that was never sent."""
-        self.rate_limiter.account(request).advance_window(self.now)
+        self.rate_limiter.account_for(request).advance_window(self.now)
         request.state = RequestState.FINISHED
         self.reject_or_fail(request)
 
     def counter_call_finished(self, call: CounterCall, outcome: Outcome, total: float) -> None:
         """Apply the end of a counter call; `total` is valid only where the outcome is DONE."""
-        event = self.rate_limiter.call_finished(call, outcome, total)
+        event = self.rate_limiter.counter_call_finished(call, outcome, total)
         if event is not None and call.request is not None:
             advance(REQUEST, call.request, event, self)
 
@@ -92,7 +92,7 @@
         request.customer.account.in_flight -= 1
         self.load_balancer.attempt_finished(attempt, outcome, took_ms)
         if outcome is Outcome.DONE and units > 0:
-            self.rate_limiter.settle(request.counter_call, units - request.units)
+            self.rate_limiter.adjust_usage(request.counter_call, units - request.units)
         advance(REQUEST, request, RequestEvent.ANSWERED if final else RequestEvent.LOST, self)
 
     def response_started(self, attempt: Attempt) -> None:
@@ -111,14 +111,14 @@
         if isinstance(subject, Attempt):
             if subject.outcome is None:
                 advance(REQUEST, subject.request, RequestEvent.OVERDUE, self)
-        elif self.rate_limiter.call_timed_out(subject):
+        elif self.rate_limiter.counter_call_timed_out(subject):
             advance(REQUEST, subject.request, RequestEvent.NO_TOTAL, self)
 
     # Effects named in the `REQUEST` table.
 
     def check_quota(self, request: Request) -> RequestEvent | None:
         """Check the quota, and call the counter where the check needs its total."""
-        return self.rate_limiter.check(request)
+        return self.rate_limiter.check_quota(request)
 
     def apply_local_fallback(self, request: Request) -> RequestEvent:
         """Decide on the quota without the counter."""
--- a/tests/policy/test_request_decisions.py
+++ b/tests/policy/test_request_decisions.py
@@ -50,12 +50,12 @@
     other = Customer(7)
     harness.ask(customer=other, units=2)
     harness.answer_call(total=22.8)
-    assert len(harness.rejected) == 2 and other.account.refund_owed == 2
+    assert len(harness.rejected) == 2 and other.account.refund_due == 2
     harness.pass_ms(600)
     harness.ask(customer=other, units=1)
     assert harness.calls[-1].amount == -1
     harness.answer_call(Outcome.OVERLOADED)
-    assert other.account.refund_owed == 2  # The increment is proved not added, so the refund is still due.
+    assert other.account.refund_due == 2  # The increment is proved not added, so the refund is still due.
 
 
 def test_an_overloaded_counter_gets_no_calls_that_cannot_change_the_decision():
@@ -101,7 +101,7 @@
     harness.pass_ms(40)  # The budget has grown with the measured call time.
     assert [request for request, _ in harness.rejected] == [over_quota]
     harness.answer_call(total=13)
-    assert customer.account.refund_owed == 8
+    assert customer.account.refund_due == 8
 
 
 def test_calls_to_a_slow_counter_are_waited_for_up_to_the_limit_of_the_call_budget():
@@ -150,7 +150,7 @@
         harness.answer_call(Outcome.RESET if step % 2 else Outcome.DONE)
         assert len(request.attempts) == 1
         harness.finish(Outcome.DONE)
-    assert len(harness.calls) == 40 and harness.gateway.breaker.is_calm()
+    assert len(harness.calls) == 40 and harness.gateway.breaker.has_spare_capacity()
 
 
 def test_the_local_fallback_admits_an_even_share_of_the_burst():
