--- a/granitedock/event_log.py
+++ b/granitedock/event_log.py
@@ -1,6 +1,7 @@
-"""The event log: what a process writes about itself, one JSON line an event, and its counters.
+"""The event log of a process: one JSON line for each event, and the process's counters.
 
-Lines past the bound for a second are counted and dropped. The lines are made by structlog.
+The number of lines in each second is limited; further lines are dropped and counted. structlog renders the
+lines.
 """
 
 from __future__ import annotations
@@ -18,22 +19,25 @@
 
 
 class DescriptorWriter:
-    """Writes lines to a file descriptor, each at once and complete."""
+    """Writes lines to a file descriptor, each whole and without buffering."""
 
     def __init__(self, log: EventLog, descriptor: int) -> None:
         self.log = log
         self.descriptor = descriptor
 
     def msg(self, line: bytes) -> None:
-        """Write one line. Guards against a reader of the log that has gone."""
+        """Write one line.
+
+        A line that can't be written, as after the log's reader has closed its end, is counted as dropped.
+        """
         try:
             os.write(self.descriptor, line)
         except OSError:
-            self.log.dropped += 1
+            self.log.dropped_lines += 1
 
 
 def render_line(_logger: object, _method: str, event: MutableMapping[str, Any]) -> bytes:
-    """An event as a line of JSON; the last processor of structlog."""
+    """Render an event as a line of JSON; the last processor in structlog's chain."""
     return orjson.dumps(event, default=str, option=orjson.OPT_APPEND_NEWLINE)
 
 
@@ -47,13 +51,13 @@
         max_lines_per_second: int,
         descriptor: int = STANDARD_ERROR,
     ) -> None:
-        """`name` is the process's in each line; `clock()` is Unix ms."""
+        """Create the log; each line carries the process's `name` and the time of `clock`, in Unix ms."""
         self.name = name
         self.clock = clock
         self.max_lines_per_second = max_lines_per_second
-        self.second = 0  # the Unix second that is counted now
-        self.lines = 0  # in it
-        self.dropped = 0  # lines, in total
+        self.current_second = 0  # The Unix second to which `lines_this_second` belongs.
+        self.lines_this_second = 0
+        self.dropped_lines = 0  # Total since the process started.
         self.counts: Counter[str] = Counter()
         self.logger = structlog.wrap_logger(
             DescriptorWriter(self, descriptor),
@@ -63,23 +67,26 @@
         )
 
     def add_origin(self, _logger: object, _method: str, event: MutableMapping[str, Any]) -> dict[str, Any]:
-        """When and by whom, in front; a processor of structlog. Drops what is over the bound."""
+        """Put the time and the process's name before the event's fields; a processor in structlog's chain.
+
+        Raises structlog.DropEvent for a line over the limit of the current second.
+        """
         now = self.clock()
-        if int(now // MS_PER_S) != self.second:
-            self.second = int(now // MS_PER_S)
-            self.lines = 0
-        self.lines += 1
-        if self.lines > self.max_lines_per_second:
-            self.dropped += 1
+        if int(now // MS_PER_S) != self.current_second:
+            self.current_second = int(now // MS_PER_S)
+            self.lines_this_second = 0
+        self.lines_this_second += 1
+        if self.lines_this_second > self.max_lines_per_second:
+            self.dropped_lines += 1
             raise structlog.DropEvent
         name = event.pop("event")
         return {"at_ms": round(now, 1), "gateway": self.name, "event": name, **event}
 
-    def event(self, event: str, /, **figures: Any) -> None:
-        """Log an event with its figures."""
-        self.logger.msg(event, **figures)
+    def event(self, event: str, /, **fields: Any) -> None:
+        """Log an event with its fields."""
+        self.logger.msg(event, **fields)
 
     def log_counters(self, event: str) -> None:
-        """Log all counters. They were asked for, so they are never dropped."""
-        self.lines = 0
-        self.event(event, lines_dropped=self.dropped, **dict(sorted(self.counts.items())))
+        """Log all counters in one line that is exempt from the limit, as it is logged on request."""
+        self.lines_this_second = 0
+        self.event(event, lines_dropped=self.dropped_lines, **dict(sorted(self.counts.items())))
--- a/granitedock/gateway_process.py
+++ b/granitedock/gateway_process.py
@@ -1,6 +1,7 @@
-"""One gateway process: the service, with membership and the configuration service where they are turned on.
+"""One gateway process: the service and, where enabled, membership and the configuration service.
 
-The only module that knows the service and these parts. Each of them is imported only where it is on.
+This is the only module that depends on the service as well as on these optional components. Each component is
+imported only if it is enabled.
 """
 
 from __future__ import annotations
@@ -32,14 +33,14 @@
 
 
 class GatewayProcess(NamedTuple):
-    """A gateway and its optional parts; None for one that is off."""
+    """A gateway and its optional components; a component that is not enabled is None."""
 
     service: GatewayService
     membership: MembershipServices | None
     configuration: GatewayAttachment | None
 
     def start(self) -> None:
-        """Listen and start all parts. Raises as `GatewayService.start`."""
+        """Listen and start all components; raises the errors of `GatewayService.start`."""
         self.service.start()
 
 
@@ -50,28 +51,31 @@
     operators_path: str | None = None,
     configuration_file: GatewayFile | None = None,
 ) -> GatewayProcess:
-    """A gateway by the platform file at `path`, not yet started.
+    """Build a gateway from the platform file at `path`, without starting it.
 
-    `membership_file` are the operators' settings of membership, quota sharing and the outlier detector,
-    `operators_path` the path of their settings of the gateway itself, `configuration_file` those of the
-    configuration service; None for each that is not given. Raises PlatformFileError, and as `GatewayService`.
+    `membership_file` holds the operators' settings of membership, quota sharing and the outlier detector,
+    `operators_path` is the path of their settings of the gateway itself, and `configuration_file` holds those
+    of the configuration service. Each is None if it is not given. Raises PlatformFileError and the errors of
+    `GatewayService`.
     """
     contents = load(path)
     service = GatewayService(path, contents, reactor, operators_path)
     membership = attach_membership(service, contents["settings"], membership_file)
     configuration = attach_configuration(service, configuration_file)
-    for part in (configuration, membership):
-        if part is not None:
-            service.start_hooks.append(part.start)
+    for component in (configuration, membership):
+        if component is not None:
+            service.start_hooks.append(component.start)
     return GatewayProcess(service, membership, configuration)
 
 
 def attach_membership(
     service: GatewayService, settings: dict[str, Any], file: FleetFile | None
 ) -> MembershipServices | None:
-    """The view of the other gateways, where the operators turned it on and the deployment's settings let
-    gateways talk to each other; with it quota sharing and the outlier detector, each where it is on.
-    `settings` are the platform file's."""
+    """Attach membership, with quota sharing and the outlier detector where these are enabled.
+
+    Returns None, and attaches nothing, unless the operators enabled membership and the deployment's settings
+    permit messages between gateways. `settings` are those of the platform file.
+    """
     if file is None or not file.enabled:
         return None
     from granitedock.membership.settings import may_talk
@@ -79,33 +83,41 @@
 
     state_machine = service.state_machine
     if not may_talk(settings):
-        service.log.event("membership disabled", why="the settings do not let gateways talk to each other")
+        service.log.event(
+            "membership disabled",
+            why="the platform file's settings do not permit messages between gateways",
+        )
         return None
-    link = MembershipServices(file, service.name, settings, int(BEGAN_MS), service.reactor, service.log)
-    service.effects.exit_hooks.append(link.leave)
-    state_machine.commands.status_commands[b"FLEET"] = link.show_members
-    state_machine.policy.rate_limiter.membership = link.transport
+    services = MembershipServices(file, service.name, settings, int(BEGAN_MS), service.reactor, service.log)
+    service.effects.exit_hooks.append(services.leave)
+    state_machine.commands.status_commands[b"FLEET"] = services.members_json
+    state_machine.policy.rate_limiter.membership = services.transport
     if file.shared.enabled:
-        state_machine.policy.rate_limiter.quota_sharing = link.share_quotas(service.clock, service.tell)
+        state_machine.policy.rate_limiter.quota_sharing = services.share_quotas(service.clock, service.tell)
     if file.hosts.enabled:
-        detector = link.detect_outliers(service.clock, service.tell, lambda: state_machine.watch.version)
+        detector = services.detect_outliers(service.clock, service.tell, lambda: state_machine.watch.version)
         state_machine.policy.load_balancer.ejection.detector = detector
         state_machine.endpoints.outlier_detector = detector
-        state_machine.commands.status_commands[b"HOSTS"] = link.show_hosts
-    return link
+        state_machine.commands.status_commands[b"HOSTS"] = services.hosts_json
+    return services
 
 
 def attach_configuration(service: GatewayService, file: GatewayFile | None) -> GatewayAttachment | None:
-    """Plans and request classes from control processes, where the operators turned it on."""
+    """Attach the configuration service, which distributes plans and request classes from control processes.
+
+    Returns None, and attaches nothing, unless the operators enabled it.
+    """
     if file is None or not file.enabled:
         return None
     from granitedock.configuration.gateway_attachment import GatewayAttachment
 
     state_machine = service.state_machine
-    link = GatewayAttachment(file, service.name, state_machine, service.reactor, service.clock, service.log)
-    state_machine.commands.status_commands[b"CONFIG"] = link.status_json
-    service.effects.exit_hooks.append(link.stop)
-    return link
+    attachment = GatewayAttachment(
+        file, service.name, state_machine, service.reactor, service.clock, service.log
+    )
+    state_machine.commands.status_commands[b"CONFIG"] = attachment.status_json
+    service.effects.exit_hooks.append(attachment.stop)
+    return attachment
 
 
 def serve(
@@ -114,13 +126,16 @@
     operators_path: str | None = None,
     configuration_file: GatewayFile | None = None,
 ) -> int:
-    """Run a gateway until a signal ends it; the arguments are those of `build_gateway`. The process's exit
-    status."""
-    # Guards against signals that come during the start: by default they would end the process over
-    # connections that the kernel has completed, and a new file would go unread.
+    """Run a gateway until a signal ends it, and return the process's exit status.
+
+    The arguments are those of `build_gateway`.
+    """
+    # Signals that arrive during the start are recorded and handled after it. With the default actions they
+    # would end the process, which drops connections that the kernel has already completed, and a new platform
+    # file would not be read.
     pending: list[int] = []
-    for number in SIGNALS:
-        signal.signal(number, lambda number, _frame: pending.append(number))
+    for signal_number in SIGNALS:
+        signal.signal(signal_number, lambda signal_number, _frame: pending.append(signal_number))
     reactor = GatewayReactor(TimerQueue(Clock()), BEGAN_MS)
     installReactor(reactor)
     try:
@@ -130,7 +145,7 @@
         print(f"granitedock: cannot start: {error}", file=sys.stderr)
         return 1
     except (OSError, ValueError, KeyError, TypeError, AttributeError, CannotListenError) as error:
-        print(f"granitedock: cannot start by {path}: {type(error).__name__}: {error}", file=sys.stderr)
+        print(f"granitedock: cannot start with {path}: {type(error).__name__}: {error}", file=sys.stderr)
         return 1
     service = gateway.service
     network_errors = cast("ILogObserver", service.log_network_error)
--- a/granitedock/gateway_query.py
+++ b/granitedock/gateway_query.py
@@ -1,4 +1,4 @@
-"""A query to a running gateway over its own client port (RESP): one command, one bulk string in reply."""
+"""Queries to a running gateway over its client port (RESP): one command, one bulk string reply."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class GatewayQueryError(GranitedockError, click.ClickException):
-    """A gateway that can't be reached in time, or replies with something else. The text names its address.
+    """A gateway can't be reached, does not answer in time, or its reply is not a bulk string.
 
-    A command that meets it prints the text and exits with 1.
+    The text names the gateway's address. A command that raises this error prints the text and exits with 1.
     """
 
     def __init__(self, text: str) -> None:
@@ -22,7 +22,8 @@
 def query_gateway(address: str, command: bytes, timeout_s: float) -> bytes:
     """Send one RESP command without arguments to the gateway at HOST:PORT and return its bulk string reply.
 
-    Raises GatewayQueryError.
+    `timeout_s` limits the connect and each read. Raises GatewayQueryError if the gateway can't be reached, an
+    operation times out or the reply is not a bulk string.
     """
     host, _, port = address.rpartition(":")
     try:
@@ -35,5 +36,5 @@
     except (OSError, ValueError) as error:
         text = f"{address}: {error}"
         raise GatewayQueryError(text) from None
-    text = f"{address} answers {header.strip().decode('latin-1')!r}"
+    text = f"{address}: expected a RESP bulk string reply, got {header.strip().decode('latin-1')!r}"
     raise GatewayQueryError(text)
--- a/granitedock/membership_services.py
+++ b/granitedock/membership_services.py
@@ -1,6 +1,6 @@
-"""What rides on membership in a gateway process: quota sharing and outlier detection, with their I/O.
+"""The services that exchange payloads over membership: quota sharing and outlier detection, with their I/O.
 
-Only this module knows both membership and the services that send payloads through it.
+This is the only module that depends on membership as well as on these services.
 """
 
 from __future__ import annotations
@@ -28,21 +28,22 @@
 from granitedock.quota_sharing.snapshot import SnapshotError, pack, unpack
 from granitedock.service.inputs import Input
 
-PAYLOAD_TYPES: PayloadTypes = {kind.kind: kind for kind in (QUOTA_PAYLOAD, HOST_PAYLOAD)}
-HOST_ROWS_A_DATAGRAM = 10
-REFRESH_SPREAD_S = 2.0  # within which gateways ask discovery for a newer list
+PAYLOAD_TYPES: PayloadTypes = {payload.kind: payload for payload in (QUOTA_PAYLOAD, HOST_PAYLOAD)}
+HOST_ROWS_PER_DATAGRAM = 10
+REFRESH_SPREAD_S = 2.0  # The gateways spread their requests to discovery for a newer list over this time.
 
-Clock = Callable[[], float]  # Unix ms
-Tell = Callable[..., None]  # gives the gateway's core an input
+Clock = Callable[[], float]  # Returns Unix ms.
+InputHandler = Callable[..., None]  # Passes an input and its arguments to the gateway's state machine.
 
 
 class MembershipServices:
-    """The membership of one gateway, and the services that are attached to it.
+    """The membership of one gateway and the services that are attached to it.
 
-    All payload types are registered, whichever services run: datagrams of the others stay well-formed.
+    All payload types are registered, whichever services are enabled. Otherwise a datagram of a service that
+    only other gateways run would be rejected as malformed.
     """
 
-    def __init__(  # noqa: PLR0913 - what a gateway process has, each once
+    def __init__(  # noqa: PLR0913 - each argument is one object of the gateway process
         self, file: FleetFile, name: str, settings: dict[str, Any], started_at: int, reactor: Any, log: Log
     ) -> None:
         self.transport = UdpTransport(file, name, settings, started_at, reactor, log)
@@ -51,18 +52,20 @@
         self.quota_sharing: QuotaSharingService | None = None
         self.outlier_detection: OutlierDetectionService | None = None
 
-    def share_quotas(self, clock: Clock, tell: Tell) -> QuotaSharing:
-        """Attach quota sharing; the result is policy's QuotaSharingPort."""
-        self.quota_sharing = QuotaSharingService(self.transport, clock, tell)
+    def share_quotas(self, clock: Clock, handle_input: InputHandler) -> QuotaSharing:
+        """Attach quota sharing and return it as the policy's QuotaSharingPort."""
+        self.quota_sharing = QuotaSharingService(self.transport, clock, handle_input)
         return self.quota_sharing.sharing
 
-    def detect_outliers(self, clock: Clock, tell: Tell, list_version: Callable[[], int]) -> OutlierDetector:
-        """Attach outlier detection; the result is policy's OutlierDetectionPort."""
-        self.outlier_detection = OutlierDetectionService(self.transport, clock, tell, list_version)
+    def detect_outliers(
+        self, clock: Clock, handle_input: InputHandler, list_version: Callable[[], int]
+    ) -> OutlierDetector:
+        """Attach outlier detection and return its detector as the policy's OutlierDetectionPort."""
+        self.outlier_detection = OutlierDetectionService(self.transport, clock, handle_input, list_version)
         return self.outlier_detection.detector
 
     def start(self) -> None:
-        """Open the socket, and start what is attached."""
+        """Open the socket and start the attached services."""
         self.transport.start()
         if self.quota_sharing is not None:
             self.quota_sharing.run()
@@ -70,30 +73,30 @@
             self.outlier_detection.run()
 
     def leave(self) -> None:
-        """The process ends."""
+        """Announce the departure to the other gateways and close the socket, at the end of the process."""
         self.transport.leave()
 
-    def show_members(self) -> bytes:
-        """The answer to the FLEET command, as JSON."""
-        shown = status(self.transport.local_member, self.transport.now())
+    def members_json(self) -> bytes:
+        """Return the reply to the FLEET command, as JSON."""
+        report = status(self.transport.local_member, self.transport.now())
         if self.quota_sharing is not None:
-            shown["shared"] = self.quota_sharing.shown()
-        return orjson.dumps(shown)
+            report["shared"] = self.quota_sharing.report()
+        return orjson.dumps(report)
 
-    def show_hosts(self) -> bytes:
-        """The answer to the HOSTS command, as JSON: what is known of hosts, from whom and how old."""
-        shown = self.outlier_detection.shown() if self.outlier_detection is not None else {}
-        return orjson.dumps(shown)
+    def hosts_json(self) -> bytes:
+        """Return the reply to the HOSTS command, as JSON: observations of hosts, their sources and ages."""
+        report = self.outlier_detection.report() if self.outlier_detection is not None else {}
+        return orjson.dumps(report)
 
 
 class QuotaSharingService:
-    """Sends what this gateway admitted uncounted to the others, on the gateway's own clock."""
+    """Broadcasts the units that this gateway admitted without the counter, timed by the gateway's clock."""
 
-    def __init__(self, transport: UdpTransport, clock: Clock, tell: Tell) -> None:
+    def __init__(self, transport: UdpTransport, clock: Clock, handle_input: InputHandler) -> None:
         settings = transport.file.shared
         self.transport = transport
         self.clock = clock
-        self.tell = tell
+        self.handle_input = handle_input
         self.sharing = QuotaSharing(
             transport.local_member,
             QuotaSharingSettings(max_reserve_ms=settings.reserve_ms, max_rows=settings.most_rows),
@@ -105,12 +108,12 @@
         transport.handle_payload(QUOTA_PAYLOAD, self.receive)
 
     def receive(self, message: Message) -> None:
-        """Rows of another gateway."""
+        """Take in usage rows from another gateway."""
         if message.payload:
             self.sharing.receive(message.payload, self.clock())
 
     def run(self) -> None:
-        """Send rows that are due, again and again while the socket is open."""
+        """Write the snapshot and send due rows and counter calls; repeats while the socket is open."""
         if not self.transport.is_open():
             return
         self.transport.reactor.callLater(self.sharing.settings.broadcast_interval_ms / 1000.0, self.run)
@@ -122,15 +125,15 @@
             message = Message(QUOTA_PAYLOAD.kind, local, payload=broadcast.rows)
             self.transport.send(broadcast.address, message)
         if due.counter_calls:
-            self.tell(Input.COUNTER_CALLS, due.counter_calls)
+            self.handle_input(Input.COUNTER_CALLS, due.counter_calls)
 
-    def shown(self) -> dict[str, Any]:
-        """For the FLEET command."""
+    def report(self) -> dict[str, Any]:
+        """Return the quota sharing section of the reply to the FLEET command."""
         return quota_sharing_report(self.sharing, self.clock())
 
 
 class SnapshotFile:
-    """A file that keeps over a restart what this gateway admitted uncounted."""
+    """The file that preserves over a restart the units that this gateway admitted without the counter."""
 
     def __init__(self, path: Path, transport: UdpTransport, sharing: QuotaSharing) -> None:
         self.path = path
@@ -138,14 +141,14 @@
         self.log = transport.log
         self.name = transport.local_member.membership.local.name
         self.sharing = sharing
-        self.written = 0  # the number of the newest row in the file
+        self.written_change_count = 0  # The number of the newest row in the file.
         self.is_writing = False
 
     def read(self, now: float) -> None:
-        """Take in the file of before the restart.
+        """Restore the usage rows that were written before the restart.
 
-        Guards against one that is torn, another gateway's or unreadable: a line, and a start without it.
-        Hurts: what it held is not counted.
+        A file that is torn, unreadable or of another gateway is logged and ignored. This prevents a failed
+        start; the cost is that the units in the file are not counted.
         """
         try:
             rows = unpack(self.name, self.path.read_bytes())
@@ -158,43 +161,54 @@
         self.log.event("snapshot read", file=str(self.path), rows=len(rows), of_use=used)
 
     def write(self) -> None:
-        """Write what is new, in a thread of its own, one at a time.
+        """Write the rows in a separate thread if there are new ones and no write is in progress.
 
-        Guards requests against a slow disk: a write may take a tenth of a second and more, in which calls to
-        the counter and attempts ran out of time. Hurts: the file is as much older.
+        A write to a slow disk may take a tenth of a second or more. A separate thread prevents time-outs of
+        counter calls and attempts, which a blocked event loop would cause; the cost is that the file is older
+        by the time of the write.
         """
-        made = self.sharing.usage.change_count
-        if self.is_writing or made == self.written:
+        change_count = self.sharing.usage.change_count
+        if self.is_writing or change_count == self.written_change_count:
             return
-        self.written = made
+        self.written_change_count = change_count
         self.is_writing = True
         data = pack(self.name, self.sharing.usage.own_unreconciled_rows())
-        Thread(target=self.replace, args=(data,), daemon=True).start()
+        Thread(target=self.replace_file, args=(data,), daemon=True).start()
 
-    def replace(self, data: bytes) -> None:
-        """In the thread: an atomic replace, so that a process that ends meanwhile leaves a whole file."""
-        new = self.path.with_name(self.path.name + ".new")
-        why = ""
+    def replace_file(self, data: bytes) -> None:
+        """Replace the file atomically, in the writer thread.
+
+        A process that ends during the write leaves a complete file.
+        """
+        new_file = self.path.with_name(self.path.name + ".new")
+        error_text = ""
         try:
-            new.write_bytes(data)
-            os.replace(new, self.path)
+            new_file.write_bytes(data)
+            os.replace(new_file, self.path)
         except OSError as error:
-            why = str(error)
-        self.reactor.callFromThread(self.finish, why)
+            error_text = str(error)
+        self.reactor.callFromThread(self.finish_write, error_text)
 
-    def finish(self, why: str) -> None:
-        """In the reactor's thread; `why` is what went wrong, or empty."""
+    def finish_write(self, error_text: str) -> None:
+        """Record the end of a write, in the reactor's thread; `error_text` is empty after a success."""
         self.is_writing = False
-        if why:
+        if error_text:
             self.log.counts["snapshots_unwritten"] += 1
-            self.log.event("snapshot unwritten", file=str(self.path), why=why)
+            self.log.event("snapshot unwritten", file=str(self.path), why=error_text)
 
 
 class OutlierDetectionService:
-    """Sends what this gateway observes of hosts to the others, and asks for a newer list when one has it."""
+    """Broadcasts this gateway's observations of hosts.
+
+    Requests a newer endpoint list from discovery when another gateway has one.
+    """
 
     def __init__(
-        self, transport: UdpTransport, clock: Clock, tell: Tell, list_version: Callable[[], int]
+        self,
+        transport: UdpTransport,
+        clock: Clock,
+        handle_input: InputHandler,
+        list_version: Callable[[], int],
     ) -> None:
         settings = transport.file.hosts
         local = transport.local_member.membership.local
@@ -203,31 +217,33 @@
         )
         self.transport = transport
         self.clock = clock
-        self.tell = tell
-        self.list_version = list_version  # of our own endpoint list
-        self.refreshed_version = 0  # the newest that discovery was asked for
+        self.handle_input = handle_input
+        self.list_version = list_version  # Returns the version of this gateway's endpoint list.
+        self.requested_version = 0  # The newest version that this gateway has requested from discovery.
         self.detector = OutlierDetector(
             local.name, local.started_at, detector_settings, lambda: transport.live_names
         )
         transport.handle_payload(HOST_PAYLOAD, self.receive)
 
     def receive(self, message: Message) -> None:
-        """Rows of another gateway, and the version of its list."""
+        """Take in observations from another gateway and the version of its endpoint list."""
         self.detector.receive(message.payload, self.clock())
-        self.refresh_list(message.number)
+        self.request_newer_list(message.number)
 
-    def refresh_list(self, version: int) -> None:
-        """Another's list is newer: ours is asked for again, once for each version.
+    def request_newer_list(self, version: int) -> None:
+        """Request the endpoint list again, once for each version, if another gateway has a newer one.
 
-        At a random time, so that the gateways do not all ask discovery at one moment.
+        The request is sent after a random delay, so that the gateways do not all query discovery at once.
         """
-        if version > max(self.refreshed_version, self.list_version()):
-            self.refreshed_version = version
-            wait_s = self.transport.local_member.membership.state.random.random() * REFRESH_SPREAD_S
-            self.transport.reactor.callLater(wait_s, self.tell, Input.NEWER_ENDPOINTS_ELSEWHERE, version)
+        if version > max(self.requested_version, self.list_version()):
+            self.requested_version = version
+            delay_s = self.transport.local_member.membership.state.random.random() * REFRESH_SPREAD_S
+            self.transport.reactor.callLater(
+                delay_s, self.handle_input, Input.NEWER_ENDPOINTS_ELSEWHERE, version
+            )
 
     def run(self) -> None:
-        """Update the verdicts on hosts and send what is due, again and again while the socket is open."""
+        """Update the verdicts on hosts and send due observations; repeats while the socket is open."""
         if not self.transport.is_open():
             return
         now = self.clock()
@@ -237,7 +253,7 @@
             reason = change.reason.value if change.reason is not None else None
             self.transport.log.event("host ejection changed", host=change.host, reason=reason)
         self.detector.changes = []
-        rows = tuple(self.detector.broadcasts_due(HOST_ROWS_A_DATAGRAM, now))
+        rows = tuple(self.detector.broadcasts_due(HOST_ROWS_PER_DATAGRAM, now))
         version = self.list_version()
         if rows:
             membership = self.transport.local_member.membership
@@ -245,6 +261,6 @@
                 message = Message(HOST_PAYLOAD.kind, membership.local, version, payload=rows)
                 self.transport.send(address, message)
 
-    def shown(self) -> dict[str, Any]:
-        """For the HOSTS command."""
+    def report(self) -> dict[str, Any]:
+        """Return the content of the reply to the HOSTS command."""
         return outlier_report(self.detector, self.clock())
--- a/granitedock/metrics.py
+++ b/granitedock/metrics.py
@@ -1,8 +1,8 @@
-"""The counters of running gateways as Prometheus metrics, queried at each scrape, in a process of its own.
+"""A Prometheus exporter for the counters of running gateways, in a separate process.
 
-A gateway's own process keeps plain counters and sends them in one reply (INFO): nothing of this module is
-imported there, so that its start costs no more. A gateway that does not answer is reported as down; the
-others' metrics stay.
+Each scrape queries the gateways with the command INFO, to which a gateway replies with all its counters. The
+gateway process does not import this module or the Prometheus client, so its start-up time does not grow. A
+gateway that does not answer is reported as down; the metrics of the others are exported as usual.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.registry import Collector
 
-GAUGE_SUFFIX = "_now"  # figures with this ending are gauges, the others counters
+GAUGE_SUFFIX = "_now"  # Marks a figure that is exported as a gauge; all others are counters.
 DEFAULT_HOST = "127.0.0.1"
 SHUTDOWN_POLL_S = 0.5
 is_metric_name = re.compile(r"[a-z][a-z0-9_]*").fullmatch
 
 
 def parse_counters(reply: bytes) -> dict[str, int]:
-    """The counters in a reply to INFO, by name; lines of another form are skipped."""
+    """Parse a reply to INFO into counters by name; lines of another form are skipped."""
     counters = {}
     for line in reply.decode("utf-8", "replace").splitlines():
         name, _, number = line.partition(":")
@@ -33,15 +33,18 @@
 
 
 class GatewayCollector(Collector):
-    """A Prometheus collector that queries each gateway when it is scraped."""
+    """A Prometheus collector that queries all gateways at each scrape."""
 
     def __init__(self, addresses: tuple[str, ...], query: Callable[[str], bytes]) -> None:
-        """`query` gives the reply to INFO of the gateway at an address, or raises ClickException."""
+        """Create a collector; `query` returns the INFO reply of the gateway at an address.
+
+        `query` raises ClickException for a gateway that does not answer.
+        """
         self.addresses = addresses
         self.query = query
 
     def collect(self) -> Iterator[Metric]:
-        """One metric family for each counter, labelled by gateway, after `granitedock_up`."""
+        """Yield `granitedock_up`, then a metric family for each counter, labelled by gateway."""
         up = GaugeMetricFamily("granitedock_up", "Whether the gateway answered.", labels=["gateway"])
         families: dict[str, CounterMetricFamily | GaugeMetricFamily] = {}
         for address in self.addresses:
@@ -60,27 +63,27 @@
 
 
 def metric_family(name: str) -> CounterMetricFamily | GaugeMetricFamily:
-    """An empty metric family for the counter of this name."""
-    family = GaugeMetricFamily if name.endswith(GAUGE_SUFFIX) else CounterMetricFamily
-    return family(f"granitedock_{name}", f"The gateway's own figure '{name}'.", labels=["gateway"])
+    """Create an empty metric family for the counter of this name."""
+    family_class = GaugeMetricFamily if name.endswith(GAUGE_SUFFIX) else CounterMetricFamily
+    return family_class(f"granitedock_{name}", f"The gateway's own figure '{name}'.", labels=["gateway"])
 
 
 def registry_of(collector: GatewayCollector) -> CollectorRegistry:
-    """A registry that holds this collector alone and doesn't query it on registration."""
+    """Create a registry for this collector alone; registration does not query the gateways."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(collector)
     return registry
 
 
 def exposition_text(collector: GatewayCollector) -> str:
-    """One scrape in Prometheus's text exposition format."""
+    """Return one scrape in Prometheus's text exposition format."""
     return generate_latest(registry_of(collector)).decode()
 
 
 def serve(collector: GatewayCollector, listen: str, echo: Callable[[str], None]) -> None:
-    """Serve scrapes over HTTP until interrupted.
+    """Serve scrapes over HTTP until a KeyboardInterrupt.
 
-    Raises OSError or ValueError if `listen`, HOST:PORT, can't be listened at.
+    Raises OSError or ValueError if the process can't listen at `listen`, HOST:PORT.
     """
     host, _, port = listen.rpartition(":")
     host = host or DEFAULT_HOST
--- a/tests/golden/test_golden_wire.py
+++ b/tests/golden/test_golden_wire.py
@@ -1,7 +1,9 @@
-"""The wire forms as the text of tests/data/README.md wrote them, in both directions.
+"""The wire formats, checked in both directions against the recordings in tests/data/README.md.
 
-Recorded bytes are decoded to the values put in, and these values encoded give the recorded bytes. Each reader
-or writer of the program is reached through one helper at the top, which gives and takes plain values.
+Prevents a change of a codec from altering a format that other processes, of this version or another, already
+use. Recorded bytes decode to the recorded values, and encoding these values gives the recorded bytes. Each
+decoder or encoder of the program is called through one helper at the top, which takes and returns plain
+values.
 """
 
 import json
@@ -13,7 +15,7 @@
 
 DATA = Path(__file__).parents[1] / "data"
 CLUSTER = "golden"
-START = SimpleNamespace(version=7)  # what the discovery watch asks on from
+START = SimpleNamespace(version=7)  # The version from which the discovery watch continues.
 
 
 # Datagrams between gateways.
@@ -26,12 +28,12 @@
 def member_from(fields):
     from granitedock.membership.member import Member, MemberState
 
-    name, address, born, bump, state, seat, settings = fields
-    return Member(name, address, born, bump, MemberState(state), seat, settings)
+    name, address, started_at, refutations, state, slot, settings_checksum = fields
+    return Member(name, address, started_at, refutations, MemberState(state), slot, settings_checksum)
 
 
 def datagram_fields(data):
-    """What a datagram says, as plain values; raises ValueError (`datagram_error`)."""
+    """Decode a datagram to plain values; raises `datagram_error`, a ValueError."""
     from granitedock.membership.codec import decode
     from granitedock.membership_services import PAYLOAD_TYPES
     from granitedock.outlier_detection.payload import HOST_PAYLOAD
@@ -65,7 +67,7 @@
     from granitedock.outlier_detection.observations import HostObservation
     from granitedock.quota_sharing.uncounted_usage import UsageRow
 
-    news = tuple(
+    updates = tuple(
         MemberUpdate(member_from(item["member"]), item["suspected_by"], item["ended_ms_ago"])
         for item in fields["news"]
     )
@@ -74,7 +76,7 @@
         member_from(fields["sender"]),
         fields["number"],
         fields["word"],
-        news,
+        updates,
         (
             *(UsageRow(*row) for row in fields["quota_rows"]),
             *(HostObservation(*row) for row in fields["host_rows"]),
@@ -100,14 +102,14 @@
 
 
 def line_kinds():
-    """Each message by the word of its line."""
+    """Return each message type by the kind that its line carries."""
     from granitedock.configuration.message_codec import KINDS
 
     return KINDS
 
 
 def line_fields(line):
-    """What a line says: its kind and its fields by name; an edit by section; raises `line_error`."""
+    """Decode a line to its kind and its fields by name, an edit by section; raises `line_error`."""
     from granitedock.configuration.message_codec import NAMES, decode
 
     message = decode(line)
@@ -149,11 +151,11 @@
     return MalformedLineError
 
 
-def split_lines(pieces, most):
-    """The lines in a body that comes in pieces; raises `line_error`."""
+def split_lines(pieces, max_bytes):
+    """Split a body that arrives in pieces into its lines; raises `line_error`."""
     from granitedock.configuration.line_framing import LineBuffer
 
-    buffer = LineBuffer(most)
+    buffer = LineBuffer(max_bytes)
     return [line.decode() for piece in pieces for line in buffer.lines(piece)]
 
 
@@ -176,13 +178,15 @@
 
 
 def resp_values(pieces):
-    """[values, why it is malformed or ""] of a stream that comes in pieces; an error is ["error", its text],
-    bytes are ["bulk", text]."""
+    """Decode a stream that arrives in pieces to [values, why it is malformed or ""].
+
+    An error is ["error", its text], bytes are ["bulk", text].
+    """
     from granitedock.service.resp import RespReceiver
 
     receiver = RespReceiver(64, 128, 256, 8, 3)
     values, faults = [], []
-    receiver.value_received = lambda value, parts: values.append(plain(value))
+    receiver.value_received = lambda value, parts: values.append(plain_value(value))
     receiver.malformed = faults.append
     receiver.makeConnection(transport())
     for piece in pieces:
@@ -190,7 +194,7 @@
     return [values, "; ".join(faults)]
 
 
-def plain(value):
+def plain_value(value):
     from granitedock.service.resp import ErrorReply
 
     if isinstance(value, bytes):
@@ -198,7 +202,7 @@
     if isinstance(value, ErrorReply):
         return ["error", value.text.decode("latin-1")]
     if isinstance(value, list):
-        return ["array", [plain(one) for one in value]]
+        return ["array", [plain_value(item) for item in value]]
     return ["text" if isinstance(value, str) else "plain", value]
 
 
@@ -209,57 +213,60 @@
 
 
 def client_command(data, forward_ms):
-    """What a client's command says and the bytes that its host gets, or why it is malformed."""
+    """Decode a client's commands and encode their requests for the host, or return why one is malformed."""
     from granitedock.service.client_protocol import ClientProtocol
     from granitedock.service.inputs import Input
 
     recorded = {Input.COMMAND_RECEIVED: "command", Input.CLIENT_MALFORMED: "malformed"}
-    told = []
-    link = ClientProtocol(lambda *happened: told.append(happened), limits())
-    link.makeConnection(transport())
-    link.dataReceived(data)
-    found = []
-    for event, _, *what in told:
+    inputs = []
+    protocol = ClientProtocol(lambda *input_fields: inputs.append(input_fields), limits())
+    protocol.makeConnection(transport())
+    protocol.dataReceived(data)
+    decoded = []
+    for event, _, *arguments in inputs:
         if event is Input.REQUEST_RECEIVED:
-            found.append(["request", *request_fields(what[0], forward_ms)])
+            decoded.append(["request", *request_fields(arguments[0], forward_ms)])
         elif event in recorded:
-            word = what[0].decode("latin-1") if isinstance(what[0], bytes) else what[0]
-            found.append([recorded[event], word])
-    return found
+            text = arguments[0].decode("latin-1") if isinstance(arguments[0], bytes) else arguments[0]
+            decoded.append([recorded[event], text])
+    return decoded
 
 
-def request_fields(ask, forward_ms):
+def request_fields(request, forward_ms):
     return [
-        ask.id.decode(),
-        ask.request_class,
-        ask.plan,
-        ask.customer,
-        ask.idempotent,
-        ask.keyed,
-        ask.time_left_ms,
-        ask.units,
-        ask.subset_size,
-        ask.subset_start,
-        ask.encode(forward_ms).decode("latin-1"),
+        request.id.decode(),
+        request.request_class,
+        request.plan,
+        request.customer,
+        request.idempotent,
+        request.keyed,
+        request.time_left_ms,
+        request.units,
+        request.subset_size,
+        request.subset_start,
+        request.encode(forward_ms).decode("latin-1"),
     ]
 
 
 def host_answer(data):
-    """What a host's bytes mean: [kind, whether the connection may be used again, bytes for the client, true
-    units, the customer's use], or ["malformed", why], or [] while more is to come."""
+    """Decode the bytes of a host's answer.
+
+    Returns [outcome, whether the connection may be reused, bytes for the client, true units, the customer's
+    usage], or ["malformed", why], or [] for an incomplete answer.
+    """
     from granitedock.service.host_protocol import HostProtocol
     from granitedock.service.inputs import Input
 
-    told = []
-    link = HostProtocol(lambda *happened: told.append(happened), limits())
-    link.makeConnection(transport())
-    link.dataReceived(data)
-    for event, _, *what in told:
+    inputs = []
+    protocol = HostProtocol(lambda *input_fields: inputs.append(input_fields), limits())
+    protocol.makeConnection(transport())
+    protocol.dataReceived(data)
+    for event, _, *arguments in inputs:
         if event is Input.HOST_RESPONSE:
-            clean, ending, answer, units, used = what
-            return [ending.value, clean, answer.decode("latin-1"), units, used]
+            reusable, outcome, answer, units, used = arguments
+            return [outcome.value, reusable, answer.decode("latin-1"), units, used]
         if event is Input.HOST_MALFORMED:
-            return ["malformed", what[0]]
+            return ["malformed", arguments[0]]
     return []
 
 
@@ -276,23 +283,27 @@
 
 
 def counter_answers(data):
-    """What the counter's bytes mean: [kind, total] for each answer, ["malformed", why] at the end."""
+    """Decode the counter's bytes to [kind, total] for each answer, and ["malformed", why] at the end."""
     from granitedock.service.counter_protocol import CounterProtocol
     from granitedock.service.inputs import Input
 
-    told = []
-    link = CounterProtocol(lambda *happened: told.append(happened), limits())
-    link.makeConnection(transport())
-    link.dataReceived(data)
-    answers = [[what[0].value, what[1]] for event, _, *what in told if event is Input.COUNTER_REPLY]
-    return answers + [["malformed", what[0]] for event, _, *what in told if event is Input.COUNTER_MALFORMED]
+    inputs = []
+    protocol = CounterProtocol(lambda *input_fields: inputs.append(input_fields), limits())
+    protocol.makeConnection(transport())
+    protocol.dataReceived(data)
+    answers = [
+        [arguments[0].value, arguments[1]] for event, _, *arguments in inputs if event is Input.COUNTER_REPLY
+    ]
+    return answers + [
+        ["malformed", arguments[0]] for event, _, *arguments in inputs if event is Input.COUNTER_MALFORMED
+    ]
 
 
 # HTTP.
 
 
 def transport():
-    """A transport that keeps what is written, on which nothing lies unread."""
+    """Create a transport that keeps the written bytes and has no bytes to read."""
     from twisted.internet.testing import StringTransport
 
     class Transport(StringTransport):
@@ -315,37 +326,42 @@
 
 
 def discovery_watch(pieces):
-    """(request, list of what was heard) of a watch whose answer comes in pieces: None for an empty line,
-    [version, whole, entries] for a list, a text for what ends the watch."""
+    """Return the request of a watch, and what it decodes from an answer that arrives in pieces.
+
+    The watch decodes an empty line to None, a list to [version, complete, entries], and input that ends it to
+    the reason, a text.
+    """
     from granitedock.service.discovery_protocol import DiscoveryWatchProtocol
     from granitedock.service.inputs import Input
 
-    told = []
-    link = DiscoveryWatchProtocol(lambda *happened: told.append(happened), "127.0.0.1:99", limits())
-    link.record = START
-    link.makeConnection(transport())
-    asked = link.transport.value().decode()
+    inputs = []
+    protocol = DiscoveryWatchProtocol(
+        lambda *input_fields: inputs.append(input_fields), "127.0.0.1:99", limits()
+    )
+    protocol.record = START
+    protocol.makeConnection(transport())
+    request = protocol.transport.value().decode()
     for piece in pieces:
-        link.dataReceived(piece)
-    heard = []
-    for event, _, *what in told:
+        protocol.dataReceived(piece)
+    decoded = []
+    for event, _, *arguments in inputs:
         if event is Input.ENDPOINTS_RECEIVED:
-            heard.append(what[0] and listing_fields(what[0]))
+            decoded.append(arguments[0] and listing_fields(arguments[0]))
         elif event is Input.WATCH_MALFORMED:
-            heard.append(what[0])
-    return asked, heard
+            decoded.append(arguments[0])
+    return request, decoded
 
 
 def listing_fields(listing):
     from granitedock.service.discovery_protocol import STATUSES
 
-    words = {status: word for word, status in STATUSES.items()}
-    entries = [[*entry[:-1], words[entry.status]] for entry in listing.entries]
+    status_names = {status: name for name, status in STATUSES.items()}
+    entries = [[*entry[:-1], status_names[entry.status]] for entry in listing.entries]
     return [listing.version, listing.complete, entries]
 
 
 def follower_watch_request():
-    """The bytes with which a gateway opens its watch on the configuration, and reports a version."""
+    """Return the bytes with which a gateway opens its watch on the configuration and reports a version."""
     from granitedock.configuration.follower_connection import WatchProtocol
     from granitedock.configuration.messages import InForce
 
@@ -356,14 +372,14 @@
     carrier = SimpleNamespace(
         follower=follower, role="gateway", now=lambda: 0.0, counts={"configuration_bytes_out": 0}
     )
-    link = WatchProtocol(carrier, SimpleNamespace(address="127.0.0.1:98"))
-    link.makeConnection(transport())
-    link.send(InForce(3, 255))
-    return link.transport.value().decode()
+    protocol = WatchProtocol(carrier, SimpleNamespace(address="127.0.0.1:98"))
+    protocol.makeConnection(transport())
+    protocol.send(InForce(3, 255))
+    return protocol.transport.value().decode()
 
 
 def control_answers(tmp_path, requests):
-    """What a control process over the stored document answers to each of the requests."""
+    """Return the answer of a control process, over the stored document, to each of the requests."""
     from test_stored_data import close_control, copied, open_control
 
     from granitedock.configuration.control_connection import ControlConnection
@@ -371,14 +387,14 @@
 
     path = copied(tmp_path, "control_store.db")
     control = open_control(path, CLUSTER)
-    reactor = SimpleNamespace(callLater=lambda delay, act: None)
-    service = ControlServer(reactor, control, lambda event, **figures: None)
+    reactor = SimpleNamespace(callLater=lambda delay, action: None)
+    service = ControlServer(reactor, control, lambda event, **fields: None)
     answers = []
     for request in requests:
-        link = ControlConnection(service)
-        link.makeConnection(transport())
-        link.dataReceived(request.encode())
-        answers.append(link.transport.value().decode())
+        protocol = ControlConnection(service)
+        protocol.makeConnection(transport())
+        protocol.dataReceived(request.encode())
+        answers.append(protocol.transport.value().decode())
     close_control(control)
     return answers
 
@@ -406,10 +422,10 @@
 
 
 @pytest.mark.parametrize("case", DATAGRAMS["malformed"], ids=lambda case: case["why"])
-def test_a_recorded_malformed_datagram_is_refused_with_its_reason(case):
-    with pytest.raises(datagram_error()) as caught:
+def test_a_malformed_datagram_is_rejected_with_the_recorded_reason(case):
+    with pytest.raises(datagram_error()) as raised:
         datagram_fields(bytes.fromhex(case["hex"]))
-    assert str(caught.value) == case["why"]
+    assert str(raised.value) == case["why"]
 
 
 @pytest.mark.parametrize("case", LINES["messages"], ids=lambda case: case["name"])
@@ -424,13 +440,13 @@
 
 
 @pytest.mark.parametrize("case", LINES["malformed"], ids=lambda case: case["why"])
-def test_a_recorded_malformed_configuration_line_is_refused_with_its_reason(case):
-    with pytest.raises(line_error()) as caught:
+def test_a_malformed_configuration_line_is_rejected_with_the_recorded_reason(case):
+    with pytest.raises(line_error()) as raised:
         line_fields(case["line"].encode())
-    assert str(caught.value) == case["why"]
+    assert str(raised.value) == case["why"]
 
 
-def test_lines_of_a_body_are_found_however_it_is_cut():
+def test_a_body_is_split_into_the_same_lines_wherever_it_is_cut():
     body = "".join(case["line"] for case in LINES["messages"]) + "\n"
     expected = body.split("\n")[:-1]
     data = body.encode()
@@ -441,7 +457,7 @@
 
 
 @pytest.mark.parametrize("case", TEXTS["resp"], ids=lambda case: repr(case["data"])[:40])
-def test_a_recorded_resp_stream_gives_its_values_whole_and_byte_by_byte(case):
+def test_a_resp_stream_decodes_to_the_recorded_values_whole_and_byte_by_byte(case):
     data = case["data"].encode("latin-1")
     assert resp_values([data]) == case["found"]
     assert resp_values([data[at : at + 1] for at in range(len(data))]) == case["found"]
@@ -452,40 +468,40 @@
 
 
 @pytest.mark.parametrize("case", TEXTS["client"], ids=lambda case: repr(case["data"])[-40:])
-def test_a_recorded_command_of_a_client_is_read_and_worded_for_its_host(case):
+def test_a_client_command_is_decoded_and_encoded_for_its_host_as_recorded(case):
     assert client_command(case["data"].encode("latin-1"), case["forward_ms"]) == case["found"]
 
 
 @pytest.mark.parametrize("case", TEXTS["host"], ids=lambda case: repr(case["data"])[:40])
-def test_a_recorded_answer_of_a_host_is_read(case):
+def test_a_host_answer_is_decoded_as_recorded(case):
     assert host_answer(case["data"].encode("latin-1")) == case["found"]
 
 
 @pytest.mark.parametrize("case", TEXTS["counter_calls"], ids=lambda case: case["data"][-20:])
-def test_a_recorded_call_of_the_counter_is_worded(case):
+def test_a_counter_call_is_encoded_as_recorded(case):
     assert counter_call(*case["values"]) == case["data"].encode()
 
 
-def test_the_counters_connection_is_kept_by_a_ping():
+def test_the_keep_alive_of_a_counter_connection_is_a_ping():
     assert counter_ping() == b"*1\r\n$4\r\nPING\r\n"
 
 
 @pytest.mark.parametrize("case", TEXTS["counter_answers"], ids=lambda case: repr(case["data"])[:40])
-def test_recorded_answers_of_the_counter_are_read(case):
+def test_counter_answers_are_decoded_as_recorded(case):
     assert counter_answers(case["data"].encode("latin-1")) == case["found"]
 
 
 @pytest.mark.parametrize("case", TEXTS["discovery"], ids=lambda case: case["name"])
-def test_a_recorded_watch_on_discovery_is_asked_for_and_read(case):
-    asked, heard = discovery_watch([piece.encode() for piece in case["pieces"]])
-    assert asked == TEXTS["discovery_request"]
-    assert heard == case["heard"]
+def test_a_discovery_watch_is_requested_and_decoded_as_recorded(case):
+    request, decoded = discovery_watch([piece.encode() for piece in case["pieces"]])
+    assert request == TEXTS["discovery_request"]
+    assert decoded == case["heard"]
 
 
-def test_the_watch_on_the_configuration_is_worded_as_recorded():
+def test_the_request_for_a_configuration_watch_is_encoded_as_recorded():
     assert follower_watch_request() == TEXTS["follower_request"]
 
 
-def test_control_answers_recorded_requests_as_recorded(tmp_path):
+def test_a_control_process_answers_requests_as_recorded(tmp_path):
     answers = control_answers(tmp_path, [case["request"] for case in TEXTS["control"]])
     assert answers == [case["answer"] for case in TEXTS["control"]]
