--- a/granitedock/event_log.py
+++ b/granitedock/event_log.py
@@ -28,7 +28,8 @@
     def msg(self, line: bytes) -> None:
         """Write one line.
 
-        A line that can't be written, as after the log's reader has closed its end, is counted as dropped.
+        Prevents an error in the process when the log's reader has closed its end; the cost is that the line
+        is lost, and counted as dropped.
         """
         try:
             os.write(self.descriptor, line)
@@ -87,6 +88,6 @@
         self.logger.msg(event, **fields)
 
     def log_counters(self, event: str) -> None:
-        """Log all counters in one line that is exempt from the limit, as it is logged on request."""
+        """Log all counters in one line, which is never dropped for the limit because it was requested."""
         self.lines_this_second = 0
         self.event(event, lines_dropped=self.dropped_lines, **dict(sorted(self.counts.items())))
