--- a/granitedock/model_checking/state_digest.py
+++ b/granitedock/model_checking/state_digest.py
@@ -36,7 +36,7 @@
         "timer_number",
         "made",
         "plans",
-        "known",
+        "tracked_hosts",
         "initial_endpoints",
         "permitted",
         "settings",
--- a/granitedock/policy/host_health.py
+++ b/granitedock/policy/host_health.py
@@ -1,4 +1,4 @@
-"""What this gateway knows of one host from its own attempts, and the states of a host's ejection."""
+"""Health of one host, as measured by this gateway's attempts, and the state table of its ejection."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from granitedock.policy.types import Attempt, Plan
 from granitedock.rolling_window import RollingWindow
 
-PACE_SPAN_MS = 4000.0
+SERVICE_TIME_SPAN_MS = 4000.0
 
 
 HOST = {
@@ -22,14 +22,17 @@
 
 
 class HostHealth:
-    """Moments are ms; void once the host restarts."""
+    """Health of one run of a host: a restart starts a new record. Points in time are ms."""
 
     def __init__(self, now: float) -> None:
         self.state = HostState.HEALTHY
-        self.failures = 0  # in a row
+        self.failures = 0  # Consecutive failures.
         self.ejected_until = 0.0
         self.reinstated_at = 0.0
         self.answered_at = now
-        self.in_flight: dict[Attempt, None] = {}  # the longest one first
-        self.pace = RollingWindow(PACE_SPAN_MS)  # answer times, and the attempts they shared the host with
-        self.refused_plans: dict[Plan, float] = {}  # until when it is taken to refuse a plan
+        self.in_flight: dict[Attempt, None] = {}  # In the order of sending, oldest first.
+        # Sums of answer times, and of the attempts in flight here when the answered one was sent, itself
+        # included.
+        self.service_time = RollingWindow(SERVICE_TIME_SPAN_MS)
+        # Until when the host is expected to reject requests of a plan.
+        self.plan_refused_until: dict[Plan, float] = {}
--- a/granitedock/policy/outlier_ejection.py
+++ b/granitedock/policy/outlier_ejection.py
@@ -1,7 +1,7 @@
-"""Outlier ejection: three failures in a row keep a host from requests for a while, then one request tries it.
+"""Outlier ejection: three consecutive failures eject a host for a while, then one request probes it.
 
-Where most hosts look bad the cause is shared, and no verdict counts (panic mode). Other gateways' evidence,
-where there is any, can only keep a host from more requests.
+Where most hosts look unhealthy the cause is shared, so ejections are ignored (panic mode). Evidence from
+other gateways, where available, can only withhold requests from a host, never add any.
 """
 
 from __future__ import annotations
@@ -16,56 +16,63 @@
 from granitedock.state_table import advance
 
 Log = Callable[[str], None]
-FAILURES_TO_EJECT = 3  # in a row
-EJECTION_OBJECTIVES = 3.0  # shortest latency objectives, then one request on probation
-SILENT_AFTER_MEANS = 4.0  # mean answer times without any answer
-FAIR_TIMEOUT_MEANS = 2.0  # mean answer times; a shorter time-out proves nothing
+CONSECUTIVE_FAILURES_TO_EJECT = 3
+EJECTION_MULTIPLE = 3.0  # Ejection time, in multiples of the shortest latency objective.
+SILENCE_MULTIPLE = 4.0  # Time without any answer, in multiples of the mean answer time.
+# Shortest time-out that counts as a failure of the host, in multiples of the mean answer time.
+CONCLUSIVE_TIMEOUT_MULTIPLE = 2.0
 
 
 class OutlierEjection:
-    """`now` (ms) and `latency_objective_ms` are set by the load balancer."""
+    """Decides which hosts are eligible. The load balancer sets `now` (ms) and `latency_objective_ms`."""
 
     def __init__(self, now: float, objective_ms: float, estimates: LoadEstimates, log: Log) -> None:
         self.now = now
         self.latency_objective_ms = objective_ms
         self.estimates = estimates
         self.log = log
-        self.panic_mode = False  # most hosts look bad at once
-        self.detector: OutlierDetectionPort | None = None  # what other gateways know of hosts
+        self.panic_mode = False  # Whether most hosts look unhealthy at once.
+        self.detector: OutlierDetectionPort | None = None  # Evidence of other gateways.
 
     def refresh(self, ready: list[Host]) -> None:
-        """Look at all ready hosts."""
-        bad = [host for host in ready if host.health.state is not HostState.HEALTHY or self.is_silent(host)]
-        self.panic_mode = 2 * len(bad) > len(ready)
+        """Recompute panic mode from all ready hosts."""
+        unhealthy = [
+            host for host in ready if host.health.state is not HostState.HEALTHY or self.is_silent(host)
+        ]
+        self.panic_mode = 2 * len(unhealthy) > len(ready)
 
     def is_silent(self, host: Host) -> bool:
-        """Guards against hosts that take requests and answer none, and machines that vanish unheard."""
+        """Whether a host with attempts in flight has sent no answer for too long.
+
+        Detects hosts that accept requests and answer none, and machines that vanish without closing their
+        connections.
+        """
         in_flight = host.health.in_flight
         if not in_flight:
             return False
         since = max(host.health.answered_at, next(iter(in_flight)).sent_at)
         if since >= self.now:
             return False
-        return self.now - since > SILENT_AFTER_MEANS * self.estimates.mean_answer_ms(self.now)
+        return self.now - since > SILENCE_MULTIPLE * self.estimates.mean_answer_ms(self.now)
 
     def is_eligible(self, host: Host, request: Request) -> bool:
-        """Whether nothing that is known of the host speaks against sending it the request."""
+        """Whether no evidence of this or other gateways rules out sending the request to the host."""
         health: HostHealth = host.health
-        if self.now < health.refused_plans.get(request.plan, 0.0):
+        if self.now < health.plan_refused_until.get(request.plan, 0.0):
             return False
         if self.panic_mode:
             return True
-        risky = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
+        non_idempotent = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
         detector = self.detector
-        if detector is not None and detector.is_ejected(host, risky, self.now):
+        if detector is not None and detector.is_ejected(host, non_idempotent, self.now):
             return False
         if health.state is HostState.EJECTED:
-            trial = self.now >= health.ejected_until and not risky
-            return trial and (detector is None or detector.may_probe(host, self.now))
+            can_probe = self.now >= health.ejected_until and not non_idempotent
+            return can_probe and (detector is None or detector.may_probe(host, self.now))
         return health.state is HostState.HEALTHY and not self.is_silent(host)
 
     def attempt_started(self, attempt: Attempt) -> None:
-        """An attempt goes out; the first after an ejection is the trial."""
+        """Record an attempt in flight; the first one after an ejection starts the host's probation."""
         health: HostHealth = attempt.host.health
         advance(HOST, health, HostEvent.EJECTION_OVER, self)
         health.in_flight[attempt] = None
@@ -73,47 +80,54 @@
             self.detector.attempt_started(attempt.host)
 
     def attempt_finished(self, attempt: Attempt, outcome: Outcome, took_ms: float) -> None:
-        """It is in flight no more; the detector hears of it."""
+        """Remove the attempt from those in flight and pass its outcome to the detector."""
         attempt.host.health.in_flight.pop(attempt, None)
         if self.detector is not None:
             objective = attempt.request.request_class.latency_objective_ms
             self.detector.attempt_finished(attempt.host, outcome, took_ms, objective, self.now)
 
     def is_inconclusive(self, outcome: Outcome, took_ms: float) -> bool:
-        """Whether the end of an attempt says nothing of the host: a client in a hurry, or nothing sent."""
+        """Whether the outcome is no evidence about the host.
+
+        This holds for a time-out that comes early because of the client's short deadline, and for an attempt
+        that was never sent.
+        """
         if outcome is Outcome.TIMEOUT:
-            return took_ms < FAIR_TIMEOUT_MEANS * self.estimates.mean_answer_ms(self.now)
+            return took_ms < CONCLUSIVE_TIMEOUT_MULTIPLE * self.estimates.mean_answer_ms(self.now)
         return outcome is Outcome.ABANDONED
 
-    def refuse_plan(self, health: HostHealth, request: Request) -> None:
-        """Guards against hosts that refuse for want of capacity, or one plan's requests only: that plan's go
-        elsewhere for a while. Hurts where there is capacity sooner than that."""
-        health.refused_plans[request.plan] = self.now + EJECTION_OBJECTIVES * self.latency_objective_ms
+    def avoid_plan_at_host(self, health: HostHealth, request: Request) -> None:
+        """Send requests of this request's plan to other hosts for the time of an ejection.
+
+        Prevents repeated rejections by a host that lacks capacity or rejects requests of one plan only; the
+        cost is that capacity which becomes free sooner stays unused by that plan.
+        """
+        health.plan_refused_until[request.plan] = self.now + EJECTION_MULTIPLE * self.latency_objective_ms
 
     def record(self, health: HostHealth, event: HostEvent) -> None:
-        """Apply an event, and log a change of state."""
+        """Apply an event and log a change of state."""
         before = health.state
         advance(HOST, health, event, self)
         if health.state is not before:
             change = f"host {before.name.lower()} to {health.state.name.lower()}"
             self.log(f"{change}: {health.failures} failures, {len(health.in_flight)} in flight")
 
-    # Effects of the table.
+    # Effects of the state table `HOST`.
 
     def count_failure(self, health: HostHealth) -> HostEvent | None:
-        """One more failure in a row, which may eject the host."""
+        """Count a consecutive failure; returns the event that ejects the host once there are too many."""
         health.failures += 1
-        return HostEvent.TRIPPED if health.failures >= FAILURES_TO_EJECT else None
+        return HostEvent.TRIPPED if health.failures >= CONSECUTIVE_FAILURES_TO_EJECT else None
 
     def eject(self, health: HostHealth) -> None:
-        """No requests for a while."""
-        health.ejected_until = self.now + EJECTION_OBJECTIVES * self.latency_objective_ms
+        """Withhold requests from the host until the ejection time is over."""
+        health.ejected_until = self.now + EJECTION_MULTIPLE * self.latency_objective_ms
 
     def clear_failures(self, health: HostHealth) -> None:
-        """It answered."""
+        """Reset the count of consecutive failures after an answer."""
         health.failures = 0
 
     def reinstate(self, health: HostHealth) -> None:
-        """Its trial was answered; it counts as warming up from now on."""
+        """Return the host to service after an answer on probation; its warm-up starts now."""
         health.failures = 0
         health.reinstated_at = self.now
--- a/tests/helpers/fake_gateway.py
+++ b/tests/helpers/fake_gateway.py
@@ -139,7 +139,7 @@
 
     def request_work(self, request_class):
         """Of a request of one unit, in mean requests."""
-        return self.gateway.load_balancer.estimates.work(self.gateway.now, request_class, 1)
+        return self.gateway.load_balancer.estimates.relative_work(self.gateway.now, request_class, 1)
 
 
 BORN = {
--- a/tests/policy/test_request_decisions.py
+++ b/tests/policy/test_request_decisions.py
@@ -536,7 +536,7 @@
     late = [attempt.host for attempt in harness.attempts[80:]]
     assert late.count(ageing) / 40 < 0.5 * used.count(ageing) / 60
     harness.update_endpoints(EndpointStatus.READY, ageing, started_at=harness.gateway.now)
-    assert ageing.health.pace.sums(harness.gateway.now) == (0, 0)
+    assert ageing.health.service_time.sums(harness.gateway.now) == (0, 0)
     assert harness.capacity_share(ageing) < 0.3
 
 
--- a/tests/service/test_gateway_process.py
+++ b/tests/service/test_gateway_process.py
@@ -541,13 +541,13 @@
         names = [entry._replace(name=f"x{version // 2}") for entry in listing.entries]
         wired.tell(Input.ENDPOINTS_RECEIVED, state_machine.watch, listing._replace(entries=names))
     wired.tell(Input.ENDPOINTS_RECEIVED, state_machine.watch, wired.listing(50, 2, "terminated"))
-    assert len(state_machine.endpoints.by_name) == len(state_machine.policy.load_balancer.known) == 1
+    assert len(state_machine.endpoints.by_name) == len(state_machine.policy.load_balancer.tracked_hosts) == 1
     host.link.dataReceived(VALUE)
     wired.tell(Input.ENDPOINTS_RECEIVED, state_machine.watch, wired.listing(51, 2, "terminated", False))
     assert (
         client.took() == VALUE
         and not state_machine.endpoints.by_name
-        and not state_machine.policy.load_balancer.known
+        and not state_machine.policy.load_balancer.tracked_hosts
     )
     assert all(
         timer.input or not timer.arguments for timer in wired.timers
