--- a/tests/helpers/slow_start_simulation.py
+++ b/tests/helpers/slow_start_simulation.py
@@ -130,13 +130,13 @@
     """Simulates a failure of many hosts at once and their slow start.
 
     `share` of the hosts fails at once and is back, warming up, 3 s later, while all gateways restart one
-    after another. `load` is a share of the capacity of all hosts when warm; `uneven` is the sigma of the
+    after another. `load` is a share of the capacity of all hosts when warm; `load_sigma` is the sigma of the
     lognormal weights that spread it over the gateways.
     """
 
-    def __init__(self, seed, gateway_count, host_count, load, share, slow_start=SLOW_START, uneven=1.0):
+    def __init__(self, seed, gateway_count, host_count, load, share, slow_start=SLOW_START, load_sigma=1.0):
         self.random, self.now, self.queue, self.event_count = Random(seed), 100000.0, [], 0
-        self.begin, self.gateway_count, self.host_count, self.slow_start = (
+        self.begin_ms, self.gateway_count, self.host_count, self.slow_start = (
             self.now,
             gateway_count,
             host_count,
@@ -148,19 +148,19 @@
         self.rejected = self.offered = 0
         self.failing_hosts = range(round(share * host_count))
         self.gateways = [SimulatedGateway(self, number) for number in range(gateway_count)]
-        weights = [self.random.lognormvariate(0.0, uneven) for _ in range(gateway_count)]
+        weights = [self.random.lognormvariate(0.0, load_sigma) for _ in range(gateway_count)]
         cumulative_weights, rate = list(accumulate(weights)), load * host_count * CAPACITY_PER_MS
         send_at = self.now
-        while send_at < self.begin + END_MS:
+        while send_at < self.begin_ms + END_MS:
             send_at += self.random.expovariate(rate)
             gateway = self.gateways[
                 bisect_left(cumulative_weights, self.random.random() * cumulative_weights[-1])
             ]
             self.schedule(send_at, self.send_request, gateway)
-        self.schedule(self.begin + FAILURE_MS, self.fail_hosts)
-        self.schedule(self.begin + RECOVERY_MS, self.restore_hosts)
+        self.schedule(self.begin_ms + FAILURE_MS, self.fail_hosts)
+        self.schedule(self.begin_ms + RECOVERY_MS, self.restore_hosts)
         for number, gateway in enumerate(self.gateways):  # A rolling release during the warm-up.
-            self.schedule(self.begin + RECOVERY_MS + 4000.0 * (number + 1) / gateway_count, gateway.start)
+            self.schedule(self.begin_ms + RECOVERY_MS + 4000.0 * (number + 1) / gateway_count, gateway.start)
 
     def schedule(self, when, action, *arguments):
         """Schedule an event; events of the same time run in the order of their scheduling."""
@@ -169,7 +169,7 @@
 
     def run(self):
         """Run all events until the end of the simulation."""
-        while self.queue and self.queue[0][0] < self.begin + END_MS:
+        while self.queue and self.queue[0][0] < self.begin_ms + END_MS:
             self.now, _, action, arguments = heappop(self.queue)
             action(*arguments)
         return self
@@ -249,7 +249,7 @@
         """Return the attempts at the restarted hosts as a share of their capacity from start to end."""
         capacity = (
             sum(
-                self.capacity_share(0, RECOVERY_MS + self.begin + ms)
+                self.capacity_share(0, RECOVERY_MS + self.begin_ms + ms)
                 for ms in range(int(END_MS - RECOVERY_MS))
             )
             * CAPACITY_PER_MS
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -20,12 +20,12 @@
     them.
     """
     for seed in range(2 if gateways == 200 else 6):
-        load, uneven = (0.6, 0.95, 1.2)[seed % 3], (0.3, 1.0)[seed % 2]
+        load, load_sigma = (0.6, 0.95, 1.2)[seed % 3], (0.3, 1.0)[seed % 2]
         simulation = SlowStartSimulation(
-            seed, gateways, HOST_COUNTS[gateways], load, share, uneven=uneven
+            seed, gateways, HOST_COUNTS[gateways], load, share, load_sigma=load_sigma
         ).run()
-        assert simulation.worst_overload() <= 1.0, (seed, load, uneven)
-        assert simulation.used_capacity_share() >= 0.2, (seed, load, uneven)  # Not left idle.
+        assert simulation.worst_overload() <= 1.0, (seed, load, load_sigma)
+        assert simulation.used_capacity_share() >= 0.2, (seed, load, load_sigma)  # Not left idle.
 
 
 @pytest.mark.parametrize("factor, start", [(1.5, 0.15), (3.0, 0.47)])
