--- a/tests/policy/test_request_decisions.py
+++ b/tests/policy/test_request_decisions.py
@@ -573,7 +573,7 @@
     later_hosts = [attempt.host for attempt in harness.attempts[80:]]
     assert later_hosts.count(slowing_host) / 40 < 0.5 * earlier_hosts.count(slowing_host) / 60
     harness.update_endpoints(EndpointStatus.READY, slowing_host, started_at=harness.gateway.now)
-    assert slowing_host.health.pace.sums(harness.gateway.now) == (0, 0)
+    assert slowing_host.health.service_time.sums(harness.gateway.now) == (0, 0)
     assert harness.capacity_share(slowing_host) < 0.3
 
 
