--- a/granitedock/commands/gateway.py
+++ b/granitedock/commands/gateway.py
@@ -11,7 +11,7 @@
 from granitedock.commands.settings_files import load_configuration_file, load_fleet_file
 
 if TYPE_CHECKING:
-    from granitedock.membership.settings import FleetFile
+    from granitedock.membership.settings import MembershipFile
     from granitedock.service.limits import Limits
 
 
@@ -57,18 +57,18 @@
     )
 
 
-def fleet_summary(file: FleetFile, settings: dict[str, Any]) -> dict[str, Any]:
+def fleet_summary(file: MembershipFile, settings: dict[str, Any]) -> dict[str, Any]:
     """What the membership file turns on for this gateway, its timing, and the bound on quota overshoot."""
     from granitedock import platform_settings
-    from granitedock.membership.settings import may_talk
+    from granitedock.membership.settings import membership_permitted
     from granitedock.quota_sharing.bound import bound_report
     from granitedock.quota_sharing.settings import QuotaSharingSettings
 
     gateways = max(1, int(settings.get("Balancers") or 1))
     interval_ms = QuotaSharingSettings().broadcast_interval_ms
     return {
-        "on": file.enabled and may_talk(settings),
-        "shared": file.enabled and may_talk(settings) and file.shared.enabled,
+        "on": file.enabled and membership_permitted(settings),
+        "shared": file.enabled and membership_permitted(settings) and file.shared.enabled,
         "pace": file.protocol_timing(),
         "bound": bound_report(
             platform_settings.plans(settings), gateways, file.protocol_timing(), interval_ms
--- a/granitedock/commands/settings_files.py
+++ b/granitedock/commands/settings_files.py
@@ -8,10 +8,10 @@
 
 if TYPE_CHECKING:
     from granitedock.configuration.settings import GatewayFile
-    from granitedock.membership.settings import FleetFile
+    from granitedock.membership.settings import MembershipFile
 
 
-def load_fleet_file(path: str | None) -> FleetFile | None:
+def load_fleet_file(path: str | None) -> MembershipFile | None:
     """The membership settings in the file at `path`, or None without one. Raises click.ClickException."""
     if path is None:
         return None
--- a/granitedock/gateway_process.py
+++ b/granitedock/gateway_process.py
@@ -25,7 +25,7 @@
 
     from granitedock.configuration.gateway_attachment import GatewayAttachment
     from granitedock.configuration.settings import GatewayFile
-    from granitedock.membership.settings import FleetFile
+    from granitedock.membership.settings import MembershipFile
     from granitedock.membership_services import MembershipServices
 
 SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGUSR1)
@@ -46,7 +46,7 @@
 def build_gateway(
     path: str,
     reactor: GatewayReactor,
-    membership_file: FleetFile | None = None,
+    membership_file: MembershipFile | None = None,
     operators_path: str | None = None,
     configuration_file: GatewayFile | None = None,
 ) -> GatewayProcess:
@@ -67,18 +67,18 @@
 
 
 def attach_membership(
-    service: GatewayService, settings: dict[str, Any], file: FleetFile | None
+    service: GatewayService, settings: dict[str, Any], file: MembershipFile | None
 ) -> MembershipServices | None:
     """The view of the other gateways, where the operators turned it on and the deployment's settings let
     gateways talk to each other; with it quota sharing and the outlier detector, each where it is on.
     `settings` are the platform file's."""
     if file is None or not file.enabled:
         return None
-    from granitedock.membership.settings import may_talk
+    from granitedock.membership.settings import membership_permitted
     from granitedock.membership_services import MembershipServices
 
     state_machine = service.state_machine
-    if not may_talk(settings):
+    if not membership_permitted(settings):
         service.log.event("membership disabled", why="the settings do not let gateways talk to each other")
         return None
     link = MembershipServices(file, service.name, settings, int(BEGAN_MS), service.reactor, service.log)
@@ -86,9 +86,13 @@
     state_machine.commands.status_commands[b"FLEET"] = link.show_members
     state_machine.policy.rate_limiter.membership = link.transport
     if file.shared.enabled:
-        state_machine.policy.rate_limiter.quota_sharing = link.share_quotas(service.clock, service.tell)
+        state_machine.policy.rate_limiter.quota_sharing = link.share_quotas(
+            service.clock, service.handle_input
+        )
     if file.hosts.enabled:
-        detector = link.detect_outliers(service.clock, service.tell, lambda: state_machine.watch.version)
+        detector = link.detect_outliers(
+            service.clock, service.handle_input, lambda: state_machine.watch.version
+        )
         state_machine.policy.load_balancer.ejection.detector = detector
         state_machine.endpoints.outlier_detector = detector
         state_machine.commands.status_commands[b"HOSTS"] = link.show_hosts
@@ -110,7 +114,7 @@
 
 def serve(
     path: str,
-    membership_file: FleetFile | None = None,
+    membership_file: MembershipFile | None = None,
     operators_path: str | None = None,
     configuration_file: GatewayFile | None = None,
 ) -> int:
--- a/granitedock/lab/hollow/gateway.py
+++ b/granitedock/lab/hollow/gateway.py
@@ -11,7 +11,7 @@
 from granitedock.lab.scale.platform import platform_file
 
 # Not imported where it is used: that would hold the loop up while the first watch connects, past its time.
-from granitedock.membership.settings import FleetFile
+from granitedock.membership.settings import MembershipFile
 from granitedock.membership_services import MembershipServices
 from granitedock.service.clock import MS_PER_S
 from granitedock.service.dispatcher import GatewayParameters, GatewayStateMachine
@@ -60,7 +60,9 @@
         contents = gateway_contents(order, number, self.state.name)
         limits = Limits.from_platform_file(contents)
         self.settings: dict[str, Any] = contents["settings"]
-        hollow_io = HollowIO(reactor, unix_ms, self.tell, limits, order.discovery, self.event_log.counts)
+        hollow_io = HollowIO(
+            reactor, unix_ms, self.handle_input, limits, order.discovery, self.event_log.counts
+        )
         io = cast("GatewayIO", hollow_io)  # the methods that it lacks are for clients, hosts and the counter
         self.state_machine = GatewayStateMachine(
             GatewayParameters(unix_ms(), limits, self.settings, number, None, io, self.event_log)
@@ -68,7 +70,7 @@
         self.membership: MembershipServices | None = None
         self.configuration: TimedAttachment | None = None
 
-    def tell(self, happened: Input, *arguments: Any) -> None:
+    def handle_input(self, happened: Input, *arguments: Any) -> None:
         """Give the state machine one input, and carry its effects out."""
         lists_before = self.event_log.counts["lists"]
         for action, *values in self.state_machine.handle(unix_ms(), happened, *arguments):
@@ -80,7 +82,7 @@
     def start(self) -> None:
         """Start the state machine, then membership and the configuration where they are ordered."""
         self.state.started_at = time.monotonic()
-        self.tell(Input.START)
+        self.handle_input(Input.START)
         if self.order.membership_net:
             self.membership = self.make_membership()
             self.membership.start()
@@ -107,7 +109,7 @@
     def make_membership(self) -> MembershipServices:
         """Make the gateway's membership, at an address of its own; the first gateway is the seed."""
         net = self.order.membership_net
-        file = FleetFile(
+        file = MembershipFile(
             enabled=True,
             cluster=self.order.cluster,
             listen=membership_address(net, self.number),
--- a/granitedock/lab/hollow/gateway_io.py
+++ b/granitedock/lab/hollow/gateway_io.py
@@ -32,8 +32,10 @@
 class CountingWatchProtocol(DiscoveryWatchProtocol):
     """A watch that counts the bytes that come."""
 
-    def __init__(self, tell: InputHandler, address: str, limits: Limits, counts: Counter[str]) -> None:
-        super().__init__(tell, address, limits)
+    def __init__(
+        self, handle_input: InputHandler, address: str, limits: Limits, counts: Counter[str]
+    ) -> None:
+        super().__init__(handle_input, address, limits)
         self.counts = counts
 
     def dataReceived(self, data: bytes) -> None:
@@ -52,7 +54,7 @@
         self,
         reactor: Any,
         clock: Callable[[], float],
-        tell: InputHandler,
+        handle_input: InputHandler,
         limits: Limits,
         discovery: str,
         counts: Counter[str],
@@ -60,17 +62,17 @@
         """`clock()` is Unix ms, `discovery` an address."""
         self.reactor = reactor
         self.clock = clock
-        self.tell = tell
+        self.handle_input = handle_input
         self.limits = limits
         self.discovery = discovery
         self.counts = counts
         self.watch_connector = Connector(
-            reactor, tell, self.make_watch, Input.WATCH_DISCONNECTED, limits.watch_connect_ms
+            reactor, handle_input, self.make_watch, Input.WATCH_DISCONNECTED, limits.watch_connect_ms
         )
 
     def make_watch(self) -> CountingWatchProtocol:
         """The protocol of a new connection to discovery."""
-        return CountingWatchProtocol(self.tell, self.discovery, self.limits, self.counts)
+        return CountingWatchProtocol(self.handle_input, self.discovery, self.limits, self.counts)
 
     def start_timer(self, timer: Timer) -> None:
         """Bring the timer's input when it is due, unless it is cancelled by then."""
@@ -80,7 +82,7 @@
     def timer_due(self, timer: Timer) -> None:
         """Bring the timer's input now."""
         if timer.input is not None:
-            self.tell(timer.input, *timer.arguments)
+            self.handle_input(timer.input, *timer.arguments)
 
     def connect_watch(self, watch: Watch) -> None:
         """Connect to discovery."""
--- a/granitedock/membership/settings.py
+++ b/granitedock/membership/settings.py
@@ -63,7 +63,7 @@
     most_out: Annotated[float, Field(ge=0, le=0.5)] = 0.25
 
 
-class FleetFile(StrictModel):
+class MembershipFile(StrictModel):
     """The whole file, which operators know as fleet.toml."""
 
     enabled: bool
@@ -80,7 +80,7 @@
         return Timing(**self.timing.model_dump())
 
 
-def cross_checked(file: FleetFile) -> FieldErrors:
+def cross_checked(file: MembershipFile) -> FieldErrors:
     """What each field allows alone but not with the others: (path of keys, what is wrong) for each fault."""
     timing = file.timing
     found: FieldErrors = []
@@ -98,17 +98,17 @@
     return found
 
 
-def load(path: str | Path) -> FleetFile:
+def load(path: str | Path) -> MembershipFile:
     """Read and check the operators' file. Raises toml_file.TomlFileError."""
     return parse(read_text(path), str(path))
 
 
-def parse(text: str, name: str = "<fleet>") -> FleetFile:
+def parse(text: str, name: str = "<fleet>") -> MembershipFile:
     """Check the text of such a file; `name` stands in errors. Raises toml_file.TomlFileError."""
-    return parse_toml(text, name, FleetFile, cross_checked)
+    return parse_toml(text, name, MembershipFile, cross_checked)
 
 
-def may_talk(settings: dict[str, Any]) -> bool:
+def membership_permitted(settings: dict[str, Any]) -> bool:
     """Whether the deployment's settings let gateways talk to each other."""
     return bool((settings.get("Specifics") or {}).get("MailPerS"))
 
--- a/granitedock/membership/udp_transport.py
+++ b/granitedock/membership/udp_transport.py
@@ -18,7 +18,7 @@
 from granitedock.membership.local_member import LocalMember
 from granitedock.membership.member import Member, MemberChange, MemberState
 from granitedock.membership.messages import Message, PayloadType
-from granitedock.membership.settings import FleetFile, settings_checksum
+from granitedock.membership.settings import MembershipFile, settings_checksum
 
 READS_AT_ONCE = 16  # datagrams read in one turn of the loop, so that requests are served between
 MALFORMED_LINES = 1  # log lines a second about malformed datagrams
@@ -41,7 +41,13 @@
     """
 
     def __init__(  # noqa: PLR0913 - what a gateway process has, each once
-        self, file: FleetFile, name: str, settings: dict[str, Any], started_at: int, reactor: Any, log: Log
+        self,
+        file: MembershipFile,
+        name: str,
+        settings: dict[str, Any],
+        started_at: int,
+        reactor: Any,
+        log: Log,
     ) -> None:
         self.file = file
         self.reactor = reactor
--- a/granitedock/membership_services.py
+++ b/granitedock/membership_services.py
@@ -14,7 +14,7 @@
 import orjson
 
 from granitedock.membership.messages import Message, PayloadTypes
-from granitedock.membership.settings import FleetFile
+from granitedock.membership.settings import MembershipFile
 from granitedock.membership.status import status
 from granitedock.membership.udp_transport import Log, UdpTransport
 from granitedock.outlier_detection.detector import OutlierDetector
@@ -43,7 +43,13 @@
     """
 
     def __init__(  # noqa: PLR0913 - what a gateway process has, each once
-        self, file: FleetFile, name: str, settings: dict[str, Any], started_at: int, reactor: Any, log: Log
+        self,
+        file: MembershipFile,
+        name: str,
+        settings: dict[str, Any],
+        started_at: int,
+        reactor: Any,
+        log: Log,
     ) -> None:
         self.transport = UdpTransport(file, name, settings, started_at, reactor, log)
         for payload_type in PAYLOAD_TYPES.values():
@@ -51,14 +57,16 @@
         self.quota_sharing: QuotaSharingService | None = None
         self.outlier_detection: OutlierDetectionService | None = None
 
-    def share_quotas(self, clock: Clock, tell: Tell) -> QuotaSharing:
+    def share_quotas(self, clock: Clock, handle_input: Tell) -> QuotaSharing:
         """Attach quota sharing; the result is policy's QuotaSharingPort."""
-        self.quota_sharing = QuotaSharingService(self.transport, clock, tell)
+        self.quota_sharing = QuotaSharingService(self.transport, clock, handle_input)
         return self.quota_sharing.sharing
 
-    def detect_outliers(self, clock: Clock, tell: Tell, list_version: Callable[[], int]) -> OutlierDetector:
+    def detect_outliers(
+        self, clock: Clock, handle_input: Tell, list_version: Callable[[], int]
+    ) -> OutlierDetector:
         """Attach outlier detection; the result is policy's OutlierDetectionPort."""
-        self.outlier_detection = OutlierDetectionService(self.transport, clock, tell, list_version)
+        self.outlier_detection = OutlierDetectionService(self.transport, clock, handle_input, list_version)
         return self.outlier_detection.detector
 
     def start(self) -> None:
@@ -89,11 +97,11 @@
 class QuotaSharingService:
     """Sends what this gateway admitted uncounted to the others, on the gateway's own clock."""
 
-    def __init__(self, transport: UdpTransport, clock: Clock, tell: Tell) -> None:
+    def __init__(self, transport: UdpTransport, clock: Clock, handle_input: Tell) -> None:
         settings = transport.file.shared
         self.transport = transport
         self.clock = clock
-        self.tell = tell
+        self.handle_input = handle_input
         self.sharing = QuotaSharing(
             transport.local_member,
             QuotaSharingSettings(max_reserve_ms=settings.reserve_ms, max_rows=settings.most_rows),
@@ -122,7 +130,7 @@
             message = Message(QUOTA_PAYLOAD.kind, local, payload=broadcast.rows)
             self.transport.send(broadcast.address, message)
         if due.counter_calls:
-            self.tell(Input.COUNTER_CALLS, due.counter_calls)
+            self.handle_input(Input.COUNTER_CALLS, due.counter_calls)
 
     def shown(self) -> dict[str, Any]:
         """For the FLEET command."""
@@ -194,7 +202,7 @@
     """Sends what this gateway observes of hosts to the others, and asks for a newer list when one has it."""
 
     def __init__(
-        self, transport: UdpTransport, clock: Clock, tell: Tell, list_version: Callable[[], int]
+        self, transport: UdpTransport, clock: Clock, handle_input: Tell, list_version: Callable[[], int]
     ) -> None:
         settings = transport.file.hosts
         local = transport.local_member.membership.local
@@ -203,7 +211,7 @@
         )
         self.transport = transport
         self.clock = clock
-        self.tell = tell
+        self.handle_input = handle_input
         self.list_version = list_version  # of our own endpoint list
         self.refreshed_version = 0  # the newest that discovery was asked for
         self.detector = OutlierDetector(
@@ -224,7 +232,9 @@
         if version > max(self.refreshed_version, self.list_version()):
             self.refreshed_version = version
             wait_s = self.transport.local_member.membership.state.random.random() * REFRESH_SPREAD_S
-            self.transport.reactor.callLater(wait_s, self.tell, Input.NEWER_ENDPOINTS_ELSEWHERE, version)
+            self.transport.reactor.callLater(
+                wait_s, self.handle_input, Input.NEWER_ENDPOINTS_ELSEWHERE, version
+            )
 
     def run(self) -> None:
         """Update the verdicts on hosts and send what is due, again and again while the socket is open."""
--- a/granitedock/model_checking/modelled_connections.py
+++ b/granitedock/model_checking/modelled_connections.py
@@ -22,7 +22,7 @@
     modelled_gateway: ModelledGateway
     record: Any = None
     open: bool = True
-    got: int = 0
+    received_bytes: int = 0
 
     disconnected: ClassVar[Input]
 
@@ -36,7 +36,7 @@
     def drop_pending(self) -> None:
         """Forget what was to come on it, as this side has closed it."""
 
-    def half(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Never: nothing comes in parts."""
         return False
 
@@ -59,12 +59,12 @@
         """As `abort`: all is written at once."""
         self.abort()
 
-    def look(self, then: Input) -> None:
+    def check_unread(self, then: Input) -> None:
         """Bring `then`: no command ever lies unread."""
         if self.open:
             self.modelled_gateway.queue_input(then, self.record)
 
-    def read_on(self) -> None:
+    def drain_input(self) -> None:
         """All is read already."""
 
 
@@ -116,6 +116,6 @@
 
     disconnected: ClassVar[Input] = Input.WATCH_DISCONNECTED
 
-    def lies_unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Never: all is read at once."""
         return False
--- a/granitedock/service/client_connections.py
+++ b/granitedock/service/client_connections.py
@@ -117,7 +117,9 @@
             and client.idle_since <= (idle_before if client.sent_request else came_before)
         ]
         for client in sorted(idle, key=lambda client: (client.sent_request, client.idle_since))[:most]:
-            context.emit(client.link.look, Input.CLIENT_IDLE if client.sent_request else Input.CLIENT_SILENT)
+            context.emit(
+                client.link.check_unread, Input.CLIENT_IDLE if client.sent_request else Input.CLIENT_SILENT
+            )
 
     def check_limit(self) -> None:
         """While accepting is paused: make room as fast as silent connections come."""
@@ -197,7 +199,7 @@
         Guards requests that cross our close: one that we have read is answered.
         """
         if client.state is OPEN and not client.pending:
-            self.context.emit(client.link.look, Input.CLIENT_SHUTDOWN)
+            self.context.emit(client.link.check_unread, Input.CLIENT_SHUTDOWN)
 
     def shutdown(self, client: ClientConnection) -> None:
         """While the process shuts: nothing of the client's lies unread."""
@@ -205,7 +207,7 @@
             return
         # Part of a command, or a connection that has only just come: the rest may be on its way. What a
         # partial command had of its time before the listener closed does not count.
-        if client.link.half():
+        if client.link.has_partial_message():
             since = max(self.lifecycle.closed_at, client.idle_since)
         else:
             since = float("-inf") if client.sent_request else client.idle_since
@@ -245,14 +247,14 @@
         if client.state is ClientState.CLOSING:
             self._inspect_closing(client)
         elif client.state is ClientState.MALFORMED:
-            self.context.emit(client.link.read_on)
+            self.context.emit(client.link.drain_input)
             if self.context.now - client.malformed_since > self.context.limits.spoilt_ms:
                 self.replies.fail_pending(client)
         elif client.write_paused:
             client.partial_since = 0.0  # what it sent waits until it reads: neither partial nor idle
         elif self.lifecycle.shutting and not client.pending:
             self.close_if_idle(client)
-        elif client.link.half():
+        elif client.link.has_partial_message():
             self._inspect_partial(client)
         else:
             client.partial_since = 0.0
@@ -269,14 +271,14 @@
         elif context.now - client.write_closed_at > limits.close_ms:
             context.emit(client.link.abort)
             return
-        context.emit(client.link.read_on)
+        context.emit(client.link.drain_input)
 
     def _inspect_idle(self, client: ClientConnection) -> None:
         limits = self.context.limits
         patience = limits.rest_ms if client.sent_request else limits.half_ms
         if not client.pending and self.context.now - client.idle_since > patience:
             # It closes without a word, which a request on its way might take for its reply.
-            self.context.emit(client.link.look, Input.CLIENT_IDLE)
+            self.context.emit(client.link.check_unread, Input.CLIENT_IDLE)
 
     def _inspect_partial(self, client: ClientConnection) -> None:
         """A command has begun and not ended.
@@ -285,9 +287,9 @@
         """
         now = self.context.now
         limits = self.context.limits
-        if not client.partial_since or client.received_bytes != client.link.got:
+        if not client.partial_since or client.received_bytes != client.link.received_bytes:
             client.partial_since = client.partial_since or now
-            client.received_bytes = client.link.got
+            client.received_bytes = client.link.received_bytes
             client.progress_at = now
             if now - client.partial_since > limits.half_most_ms:
                 self.malformed(client, NOT_ENDED)
--- a/granitedock/service/client_protocol.py
+++ b/granitedock/service/client_protocol.py
@@ -140,30 +140,30 @@
 
     record: Any = None  # the state machine's record of the connection
 
-    def __init__(self, tell: InputHandler, limits: Limits) -> None:
+    def __init__(self, handle_input: InputHandler, limits: Limits) -> None:
         super().__init__(limits.line, limits.value, limits.whole, limits.items, 1)
-        self.tell = tell
+        self.handle_input = handle_input
         self.limits = limits
-        self.dropped = 0  # bytes read and dropped since the last `read_on`
+        self.dropped = 0  # bytes read and dropped since the last `drain_input`
 
     def connectionMade(self) -> None:
         """The connection was accepted."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self.tell(Input.CLIENT_CONNECTED, self)
+        self.handle_input(Input.CLIENT_CONNECTED, self)
 
     def connectionLost(self, _reason: Failure | None = None) -> None:
         """The connection ended."""
         record = self.record
         self.record = None  # else each keeps the other until a garbage collection finds the cycle
-        self.tell(Input.CLIENT_DISCONNECTED, record)
+        self.handle_input(Input.CLIENT_DISCONNECTED, record)
 
     def dataReceived(self, data: bytes) -> None:
         """Guards the processor against peers that go on sending to a connection that is over: some is read
         and dropped between two sweeps, and then no more, so that what is due there can still be answered
         and read. A client that leaves answers unread is read a little further, so that its end is seen."""
         if self.ignoring_input:
-            self.got += len(data)
+            self.received_bytes += len(data)
             self.dropped += len(data)
             if self.dropped > self.limits.unread:
                 self.transport.pauseProducing()
@@ -183,23 +183,23 @@
             except RequestFormatError as error:
                 self.reject_input(str(error))
             else:
-                self.tell(Input.REQUEST_RECEIVED, self.record, request)
+                self.handle_input(Input.REQUEST_RECEIVED, self.record, request)
         else:
-            self.tell(Input.COMMAND_RECEIVED, self.record, value[0].upper())
+            self.handle_input(Input.COMMAND_RECEIVED, self.record, value[0].upper())
 
     def malformed(self, why: str) -> None:
         """The client sent what can't be read."""
-        self.tell(Input.CLIENT_MALFORMED, self.record, why)
+        self.handle_input(Input.CLIENT_MALFORMED, self.record, why)
 
     def pauseProducing(self) -> None:
         """Answers are not read: what comes is kept and not looked at. Guards against an end that is not seen:
         where nothing at all is read, a client that has gone looks like one that is slow."""
         self.paused = True
-        self.tell(Input.CLIENT_WRITE_PAUSED, self.record)
+        self.handle_input(Input.CLIENT_WRITE_PAUSED, self.record)
 
     def resumeProducing(self) -> None:
         """The client reads its answers again."""
-        self.tell(Input.CLIENT_WRITE_RESUMED, self.record)
+        self.handle_input(Input.CLIENT_WRITE_RESUMED, self.record)
         super().resumeProducing()
 
     # Effects of the state machine.
@@ -224,25 +224,25 @@
         self.ignoring_input = True
         self.transport.abortConnection()
 
-    def read_on(self) -> None:
+    def drain_input(self) -> None:
         """Read and drop again, after a connection whose input is ignored was read no further, so that its end
         is seen."""
         if self.dropped > self.limits.unread:
             self.dropped = 0
             self.transport.resumeProducing()
 
-    def look(self, then: str) -> None:
+    def check_unread(self, then: str) -> None:
         """Bring the input `then` if nothing lies unread. Guards commands that came while this process was
         slow against its end of the connection, and answers against the reset that a close over unread bytes
         brings."""
         if self.transport.connected and not has_unread_input(self.transport):
-            self.tell(then, self.record)
+            self.handle_input(then, self.record)
 
     # Half closes, called by the transport.
 
     def writeConnectionLost(self) -> None:
         """All is written, and our direction closed."""
-        self.tell(Input.CLIENT_WRITE_CLOSED, self.record)
+        self.handle_input(Input.CLIENT_WRITE_CLOSED, self.record)
 
     def readConnectionLost(self) -> None:
         """The client closed its direction, which is taken for the connection's end."""
@@ -254,10 +254,10 @@
 
     noisy = False
 
-    def __init__(self, tell: InputHandler, limits: Limits) -> None:
-        self.tell = tell
+    def __init__(self, handle_input: InputHandler, limits: Limits) -> None:
+        self.handle_input = handle_input
         self.limits = limits
 
     def buildProtocol(self, addr: IAddress | None) -> ClientProtocol:  # noqa: ARG002 - Twisted's signature
         """The protocol of a new connection."""
-        return ClientProtocol(self.tell, self.limits)
+        return ClientProtocol(self.handle_input, self.limits)
--- a/granitedock/service/connector.py
+++ b/granitedock/service/connector.py
@@ -29,8 +29,8 @@
 
     noisy = False
 
-    def __init__(self, tell: InputHandler, down: Input, link: Link) -> None:
-        self.tell = tell
+    def __init__(self, handle_input: InputHandler, down: Input, link: Link) -> None:
+        self.handle_input = handle_input
         self.down = down
         self.link = link
 
@@ -40,7 +40,7 @@
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002 - as above
         """Refused, unreachable or out of time."""
-        self.tell(self.down, self.link.record)
+        self.handle_input(self.down, self.link.record)
 
 
 class Connector:
@@ -49,13 +49,13 @@
     def __init__(
         self,
         reactor: IReactorTCP,
-        tell: InputHandler,
+        handle_input: InputHandler,
         make_link: Callable[[], Link],
         down: Input,
         timeout_ms: float,
     ) -> None:
         self.reactor = reactor
-        self.tell = tell
+        self.handle_input = handle_input
         self.make_link = make_link
         self.down = down
         self.timeout_s = timeout_ms / MS_PER_S
@@ -65,9 +65,9 @@
         link = self.make_link()
         link.record = record
         host, _, port = address.rpartition(":")
-        factory = SingleConnectionFactory(self.tell, self.down, link)
+        factory = SingleConnectionFactory(self.handle_input, self.down, link)
         try:
             self.reactor.connectTCP(host.strip("[]"), int(port), factory, timeout=self.timeout_s)
         except (OSError, ValueError):
             # Guards against an address that makes no sense, and a process with no descriptor left.
-            self.tell(self.down, record)
+            self.handle_input(self.down, record)
--- a/granitedock/service/counter_connections.py
+++ b/granitedock/service/counter_connections.py
@@ -130,7 +130,7 @@
     def reply_stalled(self, connection: CounterConnection, last_reply_at: float) -> None:
         """A reply had begun a while ago."""
         link = connection.link
-        if connection.last_reply_at == last_reply_at and link is not None and link.half():
+        if connection.last_reply_at == last_reply_at and link is not None and link.has_partial_message():
             self.malformed(connection, "answer not ended")
 
     def reconnect(self, number: int) -> None:
--- a/granitedock/service/counter_protocol.py
+++ b/granitedock/service/counter_protocol.py
@@ -42,24 +42,24 @@
 
     record: Any = None  # the state machine's record of the connection
 
-    def __init__(self, tell: InputHandler, limits: Limits) -> None:
+    def __init__(self, handle_input: InputHandler, limits: Limits) -> None:
         super().__init__(limits.line, limits.value, limits.whole, limits.items, limits.depth)
-        self.tell = tell
+        self.handle_input = handle_input
 
     def connectionMade(self) -> None:
         """The connection is up."""
         self.transport.setTcpNoDelay(True)
-        self.tell(Input.COUNTER_CONNECTED, self.record, self)
+        self.handle_input(Input.COUNTER_CONNECTED, self.record, self)
 
     def connectionLost(self, _reason: Failure | None = None) -> None:
         """The connection ended."""
-        self.tell(Input.COUNTER_DISCONNECTED, self.record)
+        self.handle_input(Input.COUNTER_DISCONNECTED, self.record)
 
     def dataReceived(self, data: bytes) -> None:
         """Bytes came."""
         super().dataReceived(data)
-        if not self.ignoring_input and self.half():
-            self.tell(Input.COUNTER_REPLY_STARTED, self.record)
+        if not self.ignoring_input and self.has_partial_message():
+            self.handle_input(Input.COUNTER_REPLY_STARTED, self.record)
 
     def value_received(self, value: Any, parts: list[bytes]) -> None:  # noqa: ARG002 - the base's signature
         """An answer came."""
@@ -77,11 +77,11 @@
 
     def answer(self, outcome: Outcome, total: float | None) -> None:
         """The oldest call has its answer; a PING has no total."""
-        self.tell(Input.COUNTER_REPLY, self.record, outcome, total)
+        self.handle_input(Input.COUNTER_REPLY, self.record, outcome, total)
 
     def malformed(self, why: str) -> None:
         """The counter sent what is no answer."""
-        self.tell(Input.COUNTER_MALFORMED, self.record, why)
+        self.handle_input(Input.COUNTER_MALFORMED, self.record, why)
 
     # Effects of the state machine.
 
--- a/granitedock/service/discovery_protocol.py
+++ b/granitedock/service/discovery_protocol.py
@@ -95,9 +95,9 @@
     transport: Any
     record: Any = None  # a WatchRecord, set before the connection comes up
 
-    def __init__(self, tell: InputHandler, address: str, limits: Limits) -> None:
+    def __init__(self, handle_input: InputHandler, address: str, limits: Limits) -> None:
         """`address` is discovery's, for the Host header."""
-        self.tell = tell
+        self.handle_input = handle_input
         self.address = address
         self.max_bytes = limits.document
         self.http = h11.Connection(h11.CLIENT)
@@ -116,11 +116,11 @@
         head = self.http.send(request)
         end = self.http.send(h11.EndOfMessage())
         self.transport.write((head or b"") + (end or b""))
-        self.tell(Input.WATCH_CONNECTED, self.record, self)
+        self.handle_input(Input.WATCH_CONNECTED, self.record, self)
 
     def connectionLost(self, _reason: Failure | None = None) -> None:
         """The connection ended."""
-        self.tell(Input.WATCH_DISCONNECTED, self.record)
+        self.handle_input(Input.WATCH_DISCONNECTED, self.record)
 
     def dataReceived(self, data: bytes) -> None:
         """Guards against a list that makes no sense, an answer that is none, and one that never ends: the
@@ -132,13 +132,13 @@
             ended = self.read_events(data)
         except (h11.RemoteProtocolError, *FORMAT_ERRORS) as error:
             self.is_malformed = True
-            self.tell(Input.WATCH_MALFORMED, self.record, f"{type(error).__name__}: {error}")
+            self.handle_input(Input.WATCH_MALFORMED, self.record, f"{type(error).__name__}: {error}")
             self.abort()
             return
         if ended:
             self.abort()
         elif self.line or self.document:
-            self.tell(Input.WATCH_LIST_STARTED, self.record)
+            self.handle_input(Input.WATCH_LIST_STARTED, self.record)
 
     def read_events(self, data: bytes) -> bool:
         """Whether the answer has ended. Raises h11.RemoteProtocolError and FORMAT_ERRORS."""
@@ -160,7 +160,7 @@
             if self.document or line.strip():
                 self.read_list_line(line)
             else:
-                self.tell(Input.ENDPOINTS_RECEIVED, self.record, None)
+                self.handle_input(Input.ENDPOINTS_RECEIVED, self.record, None)
         if len(self.line) + len(self.document) > self.max_bytes:
             raise ValueError(LIST_TOO_LONG)
 
@@ -184,12 +184,12 @@
             raise
         self.document = b""
         self.nesting = 0
-        self.tell(Input.ENDPOINTS_RECEIVED, self.record, parse_endpoint_list(document))
+        self.handle_input(Input.ENDPOINTS_RECEIVED, self.record, parse_endpoint_list(document))
         return True
 
     # Effects of the state machine.
 
-    def lies_unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Whether discovery has sent what is not read yet, or has ended the connection."""
         return has_unread_input(self.transport)
 
--- a/granitedock/service/discovery_watch.py
+++ b/granitedock/service/discovery_watch.py
@@ -187,7 +187,7 @@
         else:
             return
         silent = self.context.now - watch.active_at > patience
-        if silent and not watch.link.lies_unread():  # type: ignore[union-attr]  # it is up
+        if silent and not watch.link.has_unread_bytes():  # type: ignore[union-attr]  # it is up
             advance(WATCH, watch, WatchEvent.TIMED_OUT, self)
 
     # Effects of the table.
--- a/granitedock/service/effects.py
+++ b/granitedock/service/effects.py
@@ -37,28 +37,28 @@
     port: ClientPort  # set by the service once it listens
 
     def __init__(
-        self, reactor: GatewayReactor, tell: InputHandler, addresses: ServerAddresses, limits: Limits
+        self, reactor: GatewayReactor, handle_input: InputHandler, addresses: ServerAddresses, limits: Limits
     ) -> None:
         self.reactor = reactor
-        self.tell = tell
+        self.handle_input = handle_input
         self.addresses = addresses
         self.start_timer = reactor.timer_queue.add
         self.exit_hooks: list[Callable[[], object]] = []  # called in this order before the process ends
         self.hosts = self.connector(
-            lambda: HostProtocol(tell, limits), Input.HOST_DISCONNECTED, limits.connect_ms
+            lambda: HostProtocol(handle_input, limits), Input.HOST_DISCONNECTED, limits.connect_ms
         )
         self.counter = self.connector(
-            lambda: CounterProtocol(tell, limits), Input.COUNTER_DISCONNECTED, limits.connect_ms
+            lambda: CounterProtocol(handle_input, limits), Input.COUNTER_DISCONNECTED, limits.connect_ms
         )
         self.watch = self.connector(
-            lambda: DiscoveryWatchProtocol(tell, self.addresses.discovery, limits),
+            lambda: DiscoveryWatchProtocol(handle_input, self.addresses.discovery, limits),
             Input.WATCH_DISCONNECTED,
             limits.watch_connect_ms,
         )
 
     def connector(self, make_link: Callable[[], Link], down: Input, timeout_ms: float) -> Connector:
         """Connects to one kind of server; `down` is the input where a connection does not come up."""
-        return Connector(self.reactor, self.tell, make_link, down, timeout_ms)
+        return Connector(self.reactor, self.handle_input, make_link, down, timeout_ms)
 
     def update_addresses(self, addresses: ServerAddresses) -> tuple[bool, bool]:
         """Dial these from now on. Whether the counter's address changed, and whether discovery's."""
--- a/granitedock/service/gateway_service.py
+++ b/granitedock/service/gateway_service.py
@@ -66,9 +66,9 @@
         self.reactor = reactor
         self.clock = reactor.timer_queue.clock
         self.log = EventLog(self.name, self.clock, limits.log_lines)
-        reactor.timer_queue.tell = self.tell
+        reactor.timer_queue.handle_input = self.handle_input
         addresses = ServerAddresses.from_platform_file(contents)
-        self.effects = ReactorEffects(reactor, self.tell, addresses, limits)
+        self.effects = ReactorEffects(reactor, self.handle_input, addresses, limits)
         initial_list = initial_endpoint_list(contents, path)
         settings = contents["settings"]
         seed = int(contents["seed"], 16)
@@ -92,7 +92,7 @@
 
     # Inputs and effects.
 
-    def tell(self, *happened: Any) -> None:
+    def handle_input(self, *happened: Any) -> None:
         """One input, its name and arguments; what effects bring about at once waits its turn."""
         self.inputs.append(happened)
         if self.processing:
@@ -134,8 +134,8 @@
     def start(self) -> None:
         """Start the state machine, then listen. Raises CannotListenError and ValueError."""
         host, _, port = self.listen_address.rpartition(":")
-        factory = ClientProtocolFactory(self.tell, self.limits)
-        self.tell(Input.START)
+        factory = ClientProtocolFactory(self.handle_input, self.limits)
+        self.handle_input(Input.START)
         self.effects.port = ClientPort(int(port), factory, host.strip("[]"), self.reactor, self.limits)
         self.effects.port.startListening()
         for hook in self.start_hooks:
@@ -146,7 +146,7 @@
 
     def shut_down(self) -> None:
         """Begin the graceful shutdown."""
-        self.tell(Input.LIFECYCLE, LifecycleEvent.TERMINATE)
+        self.handle_input(Input.LIFECYCLE, LifecycleEvent.TERMINATE)
 
     def install_signal_handlers(self, pending: list[int]) -> None:
         """From now on a signal acts at once; `pending` are those that came during the start, in order."""
@@ -179,7 +179,7 @@
             self.log.event("platform file rejected", why=str(error))
             return
         self.log.event("platform file reloaded", counter=addresses.counter, discovery=addresses.discovery)
-        self.tell(Input.ADDRESSES_CHANGED, *self.effects.update_addresses(addresses))
+        self.handle_input(Input.ADDRESSES_CHANGED, *self.effects.update_addresses(addresses))
 
     def reload_operator_settings(self, path: str) -> None:
         """Take the log's bound of lines; whether other limits differ, and so wait for the next start, is
--- a/granitedock/service/host_connections.py
+++ b/granitedock/service/host_connections.py
@@ -174,7 +174,7 @@
                 Input.HOST_RESPONSE_STALLED,
                 connection,
                 connection.attempt,
-                connection.link.got,
+                connection.link.received_bytes,
                 context.now,
             )
         advance(HOST_CONNECTION, connection, HostConnectionEvent.RESPONSE_STARTED, self)
@@ -185,13 +185,15 @@
         """A response had begun a while ago, and so many bytes had come by then."""
         context = self.context
         link = connection.link
-        if connection.attempt is not attempt or link is None or not link.half():
+        if connection.attempt is not attempt or link is None or not link.has_partial_message():
             return
-        if link.got == received or context.now - started_at > context.limits.answer_most_ms:
+        if link.received_bytes == received or context.now - started_at > context.limits.answer_most_ms:
             self.malformed(connection, "answer not ended")
         else:
             due = context.now + context.limits.answer_ms
-            context.schedule(due, Input.HOST_RESPONSE_STALLED, connection, attempt, link.got, started_at)
+            context.schedule(
+                due, Input.HOST_RESPONSE_STALLED, connection, attempt, link.received_bytes, started_at
+            )
 
     def deadline_passed(self, connection: HostConnection, attempt: Attempt) -> None:
         """The time of an attempt is over."""
--- a/granitedock/service/host_protocol.py
+++ b/granitedock/service/host_protocol.py
@@ -61,9 +61,9 @@
 
     record: Any = None  # the state machine's record of the connection
 
-    def __init__(self, tell: InputHandler, limits: Limits) -> None:
+    def __init__(self, handle_input: InputHandler, limits: Limits) -> None:
         super().__init__(limits.line, limits.value, limits.whole, limits.items, limits.depth)
-        self.tell = tell
+        self.handle_input = handle_input
         self.max_units = limits.true_units
         self.data: bytes | None = None  # of the attempt, until it is handed to the transport
         self.answer: HostAnswer | None = None
@@ -73,11 +73,11 @@
     def connectionMade(self) -> None:
         """The connection is up."""
         self.transport.setTcpNoDelay(True)
-        self.tell(Input.HOST_CONNECTED, self.record, self)
+        self.handle_input(Input.HOST_CONNECTED, self.record, self)
 
     def connectionLost(self, _reason: Failure | None = None) -> None:
         """The connection ended."""
-        self.tell(Input.HOST_DISCONNECTED, self.record)
+        self.handle_input(Input.HOST_DISCONNECTED, self.record)
 
     def dataReceived(self, data: bytes) -> None:
         """Guards against answers that bring more than is theirs: one is handed on once all that came with it
@@ -89,13 +89,15 @@
             answer = self.answer
             self.answer = None
             self.answer_begun = False
-            clean = not (self.malformed_because or self.half() or has_unread_input(self.transport))
-            self.tell(Input.HOST_RESPONSE, self.record, clean, *answer)
+            clean = not (
+                self.malformed_because or self.has_partial_message() or has_unread_input(self.transport)
+            )
+            self.handle_input(Input.HOST_RESPONSE, self.record, clean, *answer)
         elif self.malformed_because:
-            self.tell(Input.HOST_MALFORMED, self.record, self.malformed_because)
-        elif not self.answer_begun and self.half():
+            self.handle_input(Input.HOST_MALFORMED, self.record, self.malformed_because)
+        elif not self.answer_begun and self.has_partial_message():
             self.answer_begun = True
-            self.tell(Input.HOST_RESPONSE_STARTED, self.record)
+            self.handle_input(Input.HOST_RESPONSE_STARTED, self.record)
 
     def value_received(self, value: Any, parts: list[bytes]) -> None:
         """An answer came."""
@@ -121,8 +123,8 @@
         """Write an attempt; not `at_once`, a turn of the event loop later, behind the end of the connection
         before it. Guards against what has come since the last answer here: it would be taken for the next
         one."""
-        if self.half() or has_unread_input(self.transport):
-            self.tell(Input.HOST_STALE, self.record)
+        if self.has_partial_message() or has_unread_input(self.transport):
+            self.handle_input(Input.HOST_STALE, self.record)
             return
         self.data = data
         self.transport.registerProducer(self, False)
@@ -147,7 +149,7 @@
             self.transport.write(data)
         else:
             self.transport.unregisterProducer()
-            self.tell(Input.HOST_REQUEST_WRITTEN, self.record)
+            self.handle_input(Input.HOST_REQUEST_WRITTEN, self.record)
 
     def pauseProducing(self) -> None:
         """Nothing to do: nothing more ever comes behind one attempt."""
--- a/granitedock/service/ports.py
+++ b/granitedock/service/ports.py
@@ -1,7 +1,8 @@
 """What the service's state machines ask of the event loop: its methods, and those of open connections.
 
 The state machines never call these themselves: they emit them as effects, which the loop carries out after
-the input. Only what merely looks (`half`, `got`, `lies_unread`) is called at once.
+the input. Only what merely looks (`has_partial_message`, `received_bytes`, `has_unread_bytes`) is called at
+once.
 """
 
 from __future__ import annotations
@@ -71,7 +72,7 @@
     """A client's open connection. `record` is its `ClientConnection`."""
 
     record: Any
-    got: int  # bytes received
+    received_bytes: int  # bytes received
 
     def send(self, data: bytes) -> None:
         """Write, or keep until the client reads."""
@@ -85,15 +86,15 @@
         """Close both sides once all is written."""
         ...
 
-    def look(self, then: Input) -> None:
+    def check_unread(self, then: Input) -> None:
         """Bring `then` if no received byte lies unread."""
         ...
 
-    def read_on(self) -> None:
+    def drain_input(self) -> None:
         """Read and drop more of what comes on a connection that is over."""
         ...
 
-    def half(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether a command has begun and not ended."""
         ...
 
@@ -101,13 +102,13 @@
 class HostLinkPort(Link, Protocol):
     """An open connection to a host."""
 
-    got: int  # bytes received
+    received_bytes: int  # bytes received
 
     def send(self, data: bytes, at_once: bool) -> None:
         """Write a request; HOST_REQUEST_WRITTEN or HOST_STALE comes of it."""
         ...
 
-    def half(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether a response has begun and not ended."""
         ...
 
@@ -119,7 +120,7 @@
         """Write calls."""
         ...
 
-    def half(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether a reply has begun and not ended."""
         ...
 
@@ -127,6 +128,6 @@
 class WatchLinkPort(Link, Protocol):
     """An open watch on discovery."""
 
-    def lies_unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Whether received bytes wait to be read."""
         ...
--- a/granitedock/service/resp.py
+++ b/granitedock/service/resp.py
@@ -127,7 +127,7 @@
         self.missing = 0  # bytes of the bulk string that are still to come, with its line end
         self.chunks: list[bytes] = []  # of that bulk string, as they came
         self.ignoring_input = False
-        self.got = 0  # bytes received in total
+        self.received_bytes = 0  # bytes received in total
 
     def value_received(self, value: Any, parts: list[bytes]) -> None:
         """A complete value came (`RespValue`)."""
@@ -143,7 +143,7 @@
         if self.transport.connected:
             self.transport.doWrite()
 
-    def half(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether a value has begun and not ended."""
         return bool(self.parts or self._buffer)
 
@@ -158,7 +158,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Bytes came."""
-        self.got += len(data)
+        self.received_bytes += len(data)
         if self.ignoring_input:
             return
         # The fast path for what nearly always comes. Anything else, and all that is malformed, takes the slow
--- a/granitedock/service/timer_queue.py
+++ b/granitedock/service/timer_queue.py
@@ -25,7 +25,7 @@
 class TimerQueue:
     """A heap of timers. A cancelled one has lost its input and brings none."""
 
-    tell: InputHandler  # set by the service before the first timer is due
+    handle_input: InputHandler  # set by the service before the first timer is due
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -51,4 +51,4 @@
         while heap and heap[0][0] <= now:
             timer = heapq.heappop(heap)[2]
             if timer.input is not None:
-                self.tell(timer.input, *timer.arguments)
+                self.handle_input(timer.input, *timer.arguments)
--- a/tests/golden/test_golden_names.py
+++ b/tests/golden/test_golden_names.py
@@ -46,12 +46,12 @@
     """The form of each operators' file, by its name in deploy/ (the laboratory's: a scenario)."""
     from granitedock.configuration.settings import ControlFile, GatewayFile
     from granitedock.lab.scenario import Scenario
-    from granitedock.membership.settings import FleetFile
+    from granitedock.membership.settings import MembershipFile
     from granitedock.service.operator_settings import OperatorSettings
 
     return {
         "gateway.toml": OperatorSettings,
-        "fleet.toml": FleetFile,
+        "fleet.toml": MembershipFile,
         "configuration.toml": GatewayFile,
         "control.toml": ControlFile,
         "scenario": Scenario,
--- a/tests/helpers/fake_gateway.py
+++ b/tests/helpers/fake_gateway.py
@@ -166,7 +166,7 @@
 
     def write(self, data):
         self.written += data
-        self.written_at = self.link.tell.__self__.now
+        self.written_at = self.link.handle_input.__self__.now
 
     def registerProducer(self, producer, streaming):
         if not streaming:
@@ -222,7 +222,7 @@
         self.state_machine = GatewayStateMachine(
             GatewayParameters(self.now, self.limits, BORN, 7, self.listing(1, hosts), self, self)
         )
-        self.tell(Input.START)
+        self.handle_input(Input.START)
 
     @staticmethod
     def listing(version, hosts, lifecycle="in_service", whole=True, **more):
@@ -232,7 +232,7 @@
         ]
         return parse_endpoint_list({"generation": version, "reset": whole, "instances": entries})
 
-    def tell(self, *happened):
+    def handle_input(self, *happened):
         for act, *what in self.state_machine.handle(self.now, *happened, earliest_arrival=self.since):
             act(*what)
 
@@ -249,8 +249,8 @@
         self.dials.append((CounterProtocol, connection, Input.COUNTER_DISCONNECTED))
 
     def connect_watch(self, watch):
-        def make(tell, limits):
-            return DiscoveryWatchProtocol(tell, "d:1", limits)
+        def make(handle_input, limits):
+            return DiscoveryWatchProtocol(handle_input, "d:1", limits)
 
         self.dials.append((make, watch, Input.WATCH_DISCONNECTED))
 
@@ -266,7 +266,7 @@
     def comes_up(self, at=-1, stuck=False):
         """A dial succeeds."""
         make, record, _ = self.dials.pop(at)
-        link = make(self.tell, self.limits)
+        link = make(self.handle_input, self.limits)
         link.record = record
         line = Line(link, stuck)
         link.connectionMade()
@@ -274,7 +274,7 @@
 
     def fails(self, at=-1):
         _, record, down = self.dials.pop(at)
-        self.tell(down, record)
+        self.handle_input(down, record)
 
     def counter_up(self):
         """All connections to the counter, made at the start."""
@@ -282,7 +282,7 @@
         return [self.comes_up(0) for _ in range(self.limits.counter_links)]
 
     def client(self):
-        link = ClientProtocol(self.tell, self.limits)
+        link = ClientProtocol(self.handle_input, self.limits)
         line = Line(link)
         link.connectionMade()
         return line
@@ -300,5 +300,5 @@
         while due := sorted((w for w in self.timers if w.due <= end and w.input), key=lambda w: w.due):
             self.timers.remove(due[0])
             self.now = max(self.now, due[0].due)
-            self.tell(due[0].input, *due[0].arguments)
+            self.handle_input(due[0].input, *due[0].arguments)
         self.now = end
--- a/tests/membership/test_membership_dispatch.py
+++ b/tests/membership/test_membership_dispatch.py
@@ -11,7 +11,7 @@
 from granitedock.membership.member import Member, MemberState
 from granitedock.membership.membership import MESSAGE_HANDLERS, TIMER_HANDLERS
 from granitedock.membership.messages import Message, MessageKind, PayloadType
-from granitedock.membership.settings import FleetFile
+from granitedock.membership.settings import MembershipFile
 from granitedock.membership.timers import Timer
 from granitedock.membership.udp_transport import UdpTransport
 
@@ -56,7 +56,7 @@
 
 
 def test_a_kind_is_registered_once_and_never_in_the_place_of_the_protocols_own():
-    transport = UdpTransport(FleetFile(enabled=True, listen="127.0.0.1:9"), "a", {}, 5, Clock(), Log())
+    transport = UdpTransport(MembershipFile(enabled=True, listen="127.0.0.1:9"), "a", {}, 5, Clock(), Log())
     transport.register_payload(NUMBERS)
     for taken in (NUMBERS, PayloadType(MessageKind.PAGE, list, list)):
         with raises(PayloadKindError):
--- a/tests/membership/test_membership_examples.py
+++ b/tests/membership/test_membership_examples.py
@@ -7,10 +7,14 @@
     assert (transmit_limit(2), transmit_limit(40), transmit_limit(1000)) == (10, 12, 15)
 
 
-def test_membership_settings_may_talk():
-    from granitedock.membership.settings import may_talk
-
-    assert (may_talk({"Specifics": {"MailPerS": 40}}), may_talk({"Specifics": {}}), may_talk({})) == (
+def test_membership_settings_membership_permitted():
+    from granitedock.membership.settings import membership_permitted
+
+    assert (
+        membership_permitted({"Specifics": {"MailPerS": 40}}),
+        membership_permitted({"Specifics": {}}),
+        membership_permitted({}),
+    ) == (
         True,
         False,
         False,
--- a/tests/service/test_discovery_watch.py
+++ b/tests/service/test_discovery_watch.py
@@ -49,7 +49,7 @@
         if way == "never up":  # its time as the dialler has it
             dial = self.wired.dials.pop(n)
             late = self.wired.now + self.wired.limits.watch_connect_ms
-            self.due.append((late, lambda: self.wired.tell(Input.WATCH_DISCONNECTED, dial[1])))
+            self.due.append((late, lambda: self.wired.handle_input(Input.WATCH_DISCONNECTED, dial[1])))
             return
         line = self.wired.comes_up(n)
         self.open.append(line)
@@ -109,7 +109,7 @@
     wired.watch.link.dataReceived(HEAD + chunk(b"\n"))
     discovery.pass_ms(300)
     began = wired.now
-    wired.tell(Input.ADDRESSES_CHANGED, False, True)
+    wired.handle_input(Input.ADDRESSES_CHANGED, False, True)
     assert discovery.told_after(began) <= 4000.0
 
 
--- a/tests/service/test_gateway_process.py
+++ b/tests/service/test_gateway_process.py
@@ -119,7 +119,7 @@
     wired, lines, client = begun()
     idle = wired.client()
     host = forwarded(wired, lines, client)
-    wired.tell(Input.LIFECYCLE, LifecycleEvent.TERMINATE)
+    wired.handle_input(Input.LIFECYCLE, LifecycleEvent.TERMINATE)
     wired.pass_ms(400)
     late = wired.client()  # new connections still come
     assert not idle.closed and late.link.record.state is ClientState.OPEN
@@ -135,7 +135,7 @@
 def test_a_stop_errs_what_it_cannot_wait_for():
     wired, lines, client = begun()
     forwarded(wired, lines, client, request_class="once", d=60000)
-    wired.tell(Input.LIFECYCLE, LifecycleEvent.TERMINATE)
+    wired.handle_input(Input.LIFECYCLE, LifecycleEvent.TERMINATE)
     wired.pass_ms(3600)
     assert client.took() == b"-ERR failed\r\n" and wired.left
 
@@ -276,7 +276,7 @@
         wired, lines, client = begun(hosts=1)
         host = forwarded(wired, lines, client)
         host.link.dataReceived(VALUE)
-        wired.tell(
+        wired.handle_input(
             Input.ENDPOINTS_RECEIVED, wired.state_machine.watch, wired.listing(2, 1, whole=False, **change)
         )
         assert host.closed == "aborted" and wired.state_machine.watch.version == 2
@@ -366,10 +366,10 @@
     wired, lines, client = begun()
     wired.ask(client)
     old = next(line for line in lines if line.written)
-    wired.tell(Input.ADDRESSES_CHANGED, True, True)
+    wired.handle_input(Input.ADDRESSES_CHANGED, True, True)
     assert wired.watch.closed == "aborted" and not old.closed
     assert all(line.closed == "aborted" for line in lines if line is not old)
-    wired.tell(Input.ADDRESSES_CHANGED, True, True)  # once more, before anything has come up
+    wired.handle_input(Input.ADDRESSES_CHANGED, True, True)  # once more, before anything has come up
     moved = [wired.comes_up(0) for _ in range(len(wired.dials))]
     assert sum(not line.closed for line in moved) == 1 + len(lines)
     old.link.dataReceived(b"$2\r\n17\r\n")  # what was added there still counts
@@ -539,11 +539,13 @@
     for version in range(2, 50):  # new ones come and go
         listing = wired.listing(version, 1, "in_service" if version % 2 else "terminated", False)
         names = [entry._replace(name=f"x{version // 2}") for entry in listing.entries]
-        wired.tell(Input.ENDPOINTS_RECEIVED, state_machine.watch, listing._replace(entries=names))
-    wired.tell(Input.ENDPOINTS_RECEIVED, state_machine.watch, wired.listing(50, 2, "terminated"))
+        wired.handle_input(Input.ENDPOINTS_RECEIVED, state_machine.watch, listing._replace(entries=names))
+    wired.handle_input(Input.ENDPOINTS_RECEIVED, state_machine.watch, wired.listing(50, 2, "terminated"))
     assert len(state_machine.endpoints.by_name) == len(state_machine.policy.load_balancer.known) == 1
     host.link.dataReceived(VALUE)
-    wired.tell(Input.ENDPOINTS_RECEIVED, state_machine.watch, wired.listing(51, 2, "terminated", False))
+    wired.handle_input(
+        Input.ENDPOINTS_RECEIVED, state_machine.watch, wired.listing(51, 2, "terminated", False)
+    )
     assert (
         client.took() == VALUE
         and not state_machine.endpoints.by_name
@@ -622,7 +624,7 @@
             elif what == 6:
                 state = chance.choice(("in_service", "terminating", "terminated"))
                 listing = wired.listing(3, chance.randrange(4), state, chance.random() < 0.3)
-                wired.tell(Input.ENDPOINTS_RECEIVED, wired.state_machine.watch, listing)
+                wired.handle_input(Input.ENDPOINTS_RECEIVED, wired.state_machine.watch, listing)
             elif what == 7:
                 chance.choice(lines).link.dataReceived(chance.choice((b"$1\r\n3\r\n", b"-BUSY\r\n")))
             while wired.dials and chance.random() < 0.8:
@@ -692,7 +694,7 @@
         {"instanceId": "h0", "hostPort": "127.0.0.1:0", "lifecycle": "terminating"},
         {"instanceId": "h1", "hostPort": "127.0.0.1:1", "lifecycle": "in_service"},
     ]
-    wired.tell(
+    wired.handle_input(
         Input.ENDPOINTS_RECEIVED,
         wired.state_machine.watch,
         parse_endpoint_list({"generation": 2, "reset": True, "instances": entries}),
--- a/tests/service/test_race_conditions.py
+++ b/tests/service/test_race_conditions.py
@@ -480,7 +480,7 @@
 def test_an_answer_of_discovery_that_is_none_is_named_counted_and_costs_its_own_watch_only(live, said):
     gate = live()
     client = gate.client()
-    gate.service.tell(Input.ADDRESSES_CHANGED, False, True)
+    gate.service.handle_input(Input.ADDRESSES_CHANGED, False, True)
     gate.turn()
     gate.watch().send(said)
     gate.turn()
