--- a/granitedock/gateway_process.py
+++ b/granitedock/gateway_process.py
@@ -26,7 +26,7 @@
 
     from granitedock.configuration.gateway_attachment import GatewayAttachment
     from granitedock.configuration.settings import GatewayFile
-    from granitedock.membership.settings import FleetFile
+    from granitedock.membership.settings import MembershipFile
     from granitedock.membership_services import MembershipServices
 
 SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGUSR1)
@@ -47,7 +47,7 @@
 def build_gateway(
     path: str,
     reactor: GatewayReactor,
-    membership_file: FleetFile | None = None,
+    membership_file: MembershipFile | None = None,
     operators_path: str | None = None,
     configuration_file: GatewayFile | None = None,
 ) -> GatewayProcess:
@@ -69,7 +69,7 @@
 
 
 def attach_membership(
-    service: GatewayService, settings: dict[str, Any], file: FleetFile | None
+    service: GatewayService, settings: dict[str, Any], file: MembershipFile | None
 ) -> MembershipServices | None:
     """Attach membership, with quota sharing and the outlier detector where these are enabled.
 
@@ -78,11 +78,11 @@
     """
     if file is None or not file.enabled:
         return None
-    from granitedock.membership.settings import may_talk
+    from granitedock.membership.settings import membership_permitted
     from granitedock.membership_services import MembershipServices
 
     state_machine = service.state_machine
-    if not may_talk(settings):
+    if not membership_permitted(settings):
         service.log.event(
             "membership disabled",
             why="the platform file's settings do not permit messages between gateways",
@@ -95,9 +95,13 @@
     state_machine.commands.status_commands[b"FLEET"] = services.members_json
     state_machine.policy.rate_limiter.membership = services.transport
     if file.shared.enabled:
-        state_machine.policy.rate_limiter.quota_sharing = services.share_quotas(service.clock, service.tell)
+        state_machine.policy.rate_limiter.quota_sharing = services.share_quotas(
+            service.clock, service.handle_input
+        )
     if file.hosts.enabled:
-        detector = services.detect_outliers(service.clock, service.tell, lambda: state_machine.watch.version)
+        detector = services.detect_outliers(
+            service.clock, service.handle_input, lambda: state_machine.watch.version
+        )
         state_machine.policy.load_balancer.ejection.detector = detector
         state_machine.endpoints.outlier_detector = detector
         state_machine.commands.status_commands[b"HOSTS"] = services.hosts_json
@@ -124,7 +128,7 @@
 
 def serve(
     path: str,
-    membership_file: FleetFile | None = None,
+    membership_file: MembershipFile | None = None,
     operators_path: str | None = None,
     configuration_file: GatewayFile | None = None,
 ) -> int:
--- a/granitedock/membership_services.py
+++ b/granitedock/membership_services.py
@@ -14,7 +14,7 @@
 import orjson
 
 from granitedock.membership.messages import Message, PayloadTypes
-from granitedock.membership.settings import FleetFile
+from granitedock.membership.settings import MembershipFile
 from granitedock.membership.status import status
 from granitedock.membership.udp_transport import Log, UdpTransport
 from granitedock.outlier_detection.detector import OutlierDetector
@@ -44,7 +44,13 @@
     """
 
     def __init__(  # noqa: PLR0913 - each argument is one object of the gateway process
-        self, file: FleetFile, name: str, settings: dict[str, Any], started_at: int, reactor: Any, log: Log
+        self,
+        file: MembershipFile,
+        name: str,
+        settings: dict[str, Any],
+        started_at: int,
+        reactor: Any,
+        log: Log,
     ) -> None:
         self.transport = UdpTransport(file, name, settings, started_at, reactor, log)
         for payload_type in PAYLOAD_TYPES.values():
