--- a/tests/configuration/test_configuration_processes.py
+++ b/tests/configuration/test_configuration_processes.py
@@ -28,6 +28,7 @@
 from granitedock.lab.scale.hollow_fleet import hollow_fleet
 
 WITHIN_S = 20.0
+MAX_STEP_MS = 20.0  # of the gateway's clock between two rounds of turns; as in `Live.pass_ms`
 PLAN = {"Name": "p", "Refill": 1000, "MostAtOnce": 1000}
 
 
@@ -42,13 +43,18 @@
         live.close()
 
 
-def until(live, true):
-    """Turns of the gateway's loop until it is true; its clock goes with the real one meanwhile."""
-    last = began = time.monotonic()
+def until(live, true, clock=time.monotonic):
+    """Turn the gateway's loop until the predicate holds; its clock follows `clock()`, the real time in s.
+
+    The clock advances by at most MAX_STEP_MS between turns. Prevents a test process that is held up from
+    moving the gateway's clock in one step past the timers of peers that had no turn; under load the clock
+    runs slower instead.
+    """
+    last = began = clock()
     while not true():
-        now = time.monotonic()
+        now = clock()
         assert now - began < WITHIN_S, live.events[-5:]
-        live.t, last = live.t + 1000.0 * (now - last), now
+        live.t, last = live.t + min(MAX_STEP_MS, 1000.0 * (now - last)), now
         live.turn(2)
 
 
@@ -104,6 +110,28 @@
         assert served(live, live.client()) == VALUE
 
 
+def test_a_test_process_that_is_held_up_ends_no_request_in_flight(live):
+    """Guards against a jump of the gateway's clock while the counter's answer is outstanding.
+
+    A hold-up of 4.1 s passed on in one step replaced the counter's connection and failed the request.
+    """
+    gateway = live()
+    client = gateway.client()
+    gateway.counts = False  # the counter holds its answer back
+    client.send(gateway.request())
+    until(gateway, lambda: gateway.state_machine.requests.in_flight)
+    before_ms, held_up, rounds = gateway.t, [0.0, 4.1], []
+
+    def real_time():
+        return held_up.pop(0) if len(held_up) > 1 else held_up[0]
+
+    until(gateway, lambda: rounds.append(gateway.t) or len(rounds) > 2, real_time)
+    assert before_ms < gateway.t <= before_ms + MAX_STEP_MS
+    gateway.counts = True
+    attempt(gateway).send(VALUE)
+    assert answer_of(gateway, client) == VALUE
+
+
 def test_a_gateway_goes_on_and_starts_again_without_control_by_what_it_last_had(tmp_path):
     copy = str(tmp_path / "g.copy")
     with control_processes(3, 1) as (writer,):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -78,6 +78,15 @@
         terminalreporter.write_line(f"known red: {name}: {cause} (issue {issue})")
 
 
+@pytest.fixture(autouse=True)
+def stop_abandoned_load():
+    """Load that a failed test left running ends with the test."""
+    from load_cleanup import load_stopped_at_exit
+
+    with load_stopped_at_exit():
+        yield
+
+
 @pytest.fixture
 def live(tmp_path):
     """A factory of gateways on real sockets (`loopback.Live`), which are closed after the test."""
--- a/tests/lab/test_rule_checks.py
+++ b/tests/lab/test_rule_checks.py
@@ -5,7 +5,8 @@
 import time
 from contextlib import contextmanager, suppress
 
-from pytest import mark
+from load_cleanup import load_stopped_at_exit
+from pytest import mark, raises
 
 from granitedock.lab.cluster.cluster import GatewayCluster
 from granitedock.lab.faults.host_faults import ReplyKind
@@ -171,6 +172,16 @@
         assert (found == []) if not expected else any(expected in line for line in found), found
 
 
+def test_load_that_a_failed_test_left_running_is_stopped():
+    with double(lambda _: (b"$2\r\nok\r\n", 0)) as address:
+        with raises(ZeroDivisionError), load_stopped_at_exit():
+            load = LoadGenerator(parse(DOUBLE), [address])
+            load.start()
+            assert load.running
+            raise ZeroDivisionError
+        assert not load.running and not load.has_open_requests()
+
+
 HARD = """
 seed = 5
 length_s = 30
