--- a/granitedock/service/client_commands.py
+++ b/granitedock/service/client_commands.py
@@ -98,7 +98,7 @@
             counter_names.TASKS_NOW: len(self.requests.in_flight),
             counter_names.CLIENT_LINKS_NOW: len(self.clients.connections),
             counter_names.HOST_LINKS_NOW: self.hosts.open_count,
-            counter_names.HELD_BYTES_NOW: self.requests.held_bytes(),
+            counter_names.HELD_BYTES_NOW: self.requests.bytes_in_flight(),
         }
         shown = {**self.context.counts, **gauges}
         return [(name.encode(), number) for name, number in sorted(shown.items())]
--- a/granitedock/service/in_flight_requests.py
+++ b/granitedock/service/in_flight_requests.py
@@ -1,8 +1,8 @@
-"""Requests in flight: taken from clients, given to the policy, and finished with one reply each.
+"""Requests in flight: accepted from clients, passed to the policy, and finished with one reply each.
 
 Owns the requests that have no reply yet, their ids, the bytes reserved for them, their watchdog timers, and
-the plans and request classes by which new ones are taken. Whether and where a request is sent is decided by
-the policy.
+the plans and request classes that apply to new requests. The policy decides whether and where a request is
+sent.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 FAILED = b"-ERR failed\r\n"
 
 
-# Bound once for the request path: Python 3.11 takes 0.2 us to look a member up on its enum.
+# These members are bound once for the request path: Python 3.11 takes 0.2 us to look up a member of an enum.
 OPEN = ClientState.OPEN
 STARTING = LifecycleState.STARTING
 REQUEST_WATCHDOG = Input.REQUEST_WATCHDOG
@@ -39,17 +39,17 @@
 
 @dataclass(eq=False, slots=True, kw_only=True)
 class InFlightRequest(Request):
-    """A request with the connection it came on and the bytes it came in."""
+    """A request with its client connection and the bytes that are reserved for it."""
 
     client: ClientConnection
     parsed: ParsedRequest
     reserved_bytes: int
-    answer: bytes | None = None  # written by the reply queues
+    answer: bytes | None = None  # The reply; the reply queues set it.
     watchdog: Timer | None = None
 
 
 class InFlightRequests:
-    """The state machine of all requests in flight of one gateway."""
+    """The state machine of all requests in flight in one gateway."""
 
     clients: ClientConnections
     replies: ReplyQueues
@@ -65,26 +65,26 @@
         self.customers: MutableMapping[int, Customer] = WeakValueDictionary()
         self.in_flight: dict[InFlightRequest, None] = {}
         self.by_id: dict[bytes, InFlightRequest] = {}
-        self.queued_at_start: list[InFlightRequest] = []  # for the policy, once an endpoint list has come
+        self.queued_at_start: list[InFlightRequest] = []  # Wait for the first endpoint list.
         self.reserved_bytes = 0
 
     def attach(
         self, clients: ClientConnections, replies: ReplyQueues, lifecycle: Lifecycle, policy: Gateway
     ) -> None:
-        """Set the machines that this one calls."""
+        """Set the state machines that this one calls."""
         self.clients = clients
         self.replies = replies
         self.lifecycle = lifecycle
         self.policy = policy
 
-    def held_bytes(self) -> int:
-        """Bytes of all requests and replies that wait here."""
+    def bytes_in_flight(self) -> int:
+        """Return the bytes of all unfinished requests and unsent replies."""
         return self.reserved_bytes + self.replies.buffered_bytes
 
-    # Taking a request.
+    # Accepting a request.
 
     def received(self, client: ClientConnection, parsed: ParsedRequest) -> None:
-        """A client sent a request."""
+        """Accept or reject a request that a client sent."""
         if not self.clients.accepts_requests(client):
             return
         request_class = self.request_classes.get(parsed.request_class)
@@ -92,14 +92,14 @@
         if request_class is None or plan is None:
             self.clients.malformed(client, "unknown product or plan")
             return
-        kind = request_class.idempotency
-        if parsed.idempotent != (kind is Idempotency.IDEMPOTENT) or (
-            kind is Idempotency.KEYED and not parsed.keyed
+        idempotency = request_class.idempotency
+        if parsed.idempotent != (idempotency is Idempotency.IDEMPOTENT) or (
+            idempotency is Idempotency.KEYED and not parsed.keyed
         ):
             self.clients.malformed(client, "not a command of this product")
             return
         if parsed.id in self.by_id:
-            # Guards against replies to one request that reach another.
+            # With a duplicate id, the reply to one request could reach the other.
             self.clients.malformed(client, "id in use")
             return
         context = self.context
@@ -123,23 +123,24 @@
         self._admit(client, request, parsed)
 
     def _deadline(self, parsed: ParsedRequest, request_class: RequestClass) -> float:
-        """When the request is to be answered, Unix ms.
-
-        Guards against time that ran before we read the request: it counts from the client's last byte, which
-        may have waited for a turn of our loop, or, while we start, for the process to listen and read at all
-        (0.6 to 0.9 s after a restart, all of which had run; lost requests on herd+mass). The deadline, and so
-        the watchdog, count from the earliest moment the request may have come. Should meet the client's own
-        time-out whatever kept it waiting; hurts by as much time, from requests read at start.
+        """Return the time by which the request must be answered, in Unix ms.
+
+        The client's timeout runs from the last byte that it sent. That byte may have waited for a turn of the
+        event loop or, during the start, until the process listened and read: after a restart 0.6 to 0.9 s of
+        the timeout had already elapsed, and requests were lost (on herd+mass). The deadline, and with it the
+        watchdog, therefore counts from the earliest possible arrival. This keeps the reply within the
+        client's timeout however long the request waited; the cost is that requests read during the start have
+        that much less time.
         """
         context = self.context
-        # Guards against requests held for hours.
-        left_ms = min(parsed.time_left_ms, request_class.deadline_ms)
+        # The deadline of the request class prevents requests from being kept for hours.
+        remaining_ms = min(parsed.time_left_ms, request_class.deadline_ms)
         starting = self.lifecycle.state is STARTING
         arrived_at = context.process_started_at if starting else context.earliest_arrival
-        return max(context.now, arrived_at + max(left_ms / 2, left_ms - context.limits.margin_ms))
+        return max(context.now, arrived_at + max(remaining_ms / 2, remaining_ms - context.limits.margin_ms))
 
     def _admit(self, client: ClientConnection, request: InFlightRequest, parsed: ParsedRequest) -> None:
-        """Reserve its bytes and hand it to the policy, or reject it where there is no room."""
+        """Reserve the bytes of the request and pass it to the policy, or reject it if a limit is exceeded."""
         context = self.context
         limits = context.limits
         self.replies.append(client, request)
@@ -147,17 +148,18 @@
         self.by_id[parsed.id] = request
         self.reserved_bytes += request.reserved_bytes
         if (
-            self.lifecycle.refusing
+            self.lifecycle.rejects_requests
             or len(self.in_flight) > limits.requests
             or self.reserved_bytes + self.replies.buffered_bytes > limits.held
             or len(client.pending) > limits.queue
         ):
-            # Guards the memory, and what is asked of a process that shuts, behind a reply that is still due:
-            # the process may be gone before this one is answered.
-            self._refuse(request)
+            # The limits bound the memory. During a shutdown a request may still arrive behind an unfinished
+            # reply on its connection, and the process may exit before it could answer such a request.
+            self._reject_unsent(request)
             return
-        # Guards against whatever leaves a request with nothing that will bring it back, as a fault in a
-        # decision does: an error promises nothing, and comes in time.
+        # Prevents a request from staying unanswered when no event would ever finish it, as after a fault in a
+        # decision. An error reply is always correct, since it does not state whether the request ran, and
+        # the client receives it before its timeout.
         request.watchdog = context.schedule(
             request.deadline + limits.margin_ms / 2, REQUEST_WATCHDOG, request
         )
@@ -166,35 +168,35 @@
         else:
             self.policy.handle_request(request)
 
-    def _refuse(self, request: InFlightRequest) -> None:
-        """The policy gives it up, as one never sent."""
+    def _reject_unsent(self, request: InFlightRequest) -> None:
+        """Have the policy reject a request that was never sent to a host."""
         self.policy.reject_unsent(request)
 
     def release_queued(self) -> None:
-        """Hand the requests that were taken while starting to the policy; those answered since stay so.
+        """Pass the requests that were queued during the start to the policy, except those already answered.
 
-        Guards against attempts by an old endpoint list: a process that starts again is handed the list as it
-        last had it, and a host may have begun to drain since, which discovery would tell at once if asked (a
-        send to such a host 1.06 s after it drained, on herd+mass). Requests taken while starting wait for the
-        first list, or for `ready_ms` without one. Hurts them by the time the watch takes to answer, some tens
-        of milliseconds.
+        Requests received during the start wait for the first endpoint list, or for `ready_ms` without one.
+        Prevents attempts by an outdated endpoint list: a restarted process begins with the last list that it
+        had, and a host may have begun to drain since, which discovery reports as soon as it is queried (on
+        herd+mass a request was sent to such a host 1.06 s after it began to drain). The cost is the time that
+        the watch takes to answer, some tens of milliseconds.
         """
         queued, self.queued_at_start = self.queued_at_start, []
         for request in queued:
             if request in self.in_flight:
-                if self.lifecycle.refusing:
-                    self._refuse(request)
+                if self.lifecycle.rejects_requests:
+                    self._reject_unsent(request)
                 else:
                     self.policy.handle_request(request)
 
     def replace_request_classes(self, request_classes: dict[str, RequestClass]) -> None:
-        """From now on requests are taken by these classes; those in flight keep theirs."""
+        """Apply these classes to new requests; requests in flight keep their class."""
         self.request_classes = request_classes
 
-    # Ending a request.
+    # Finishing a request.
 
     def watchdog_fired(self, request: InFlightRequest) -> None:
-        """The deadline is over and nothing has answered the request."""
+        """Fail a request that has no reply although its deadline has passed."""
         self.context.counts[counter_names.FORGOTTEN] += 1
         self.context.event_log.event(
             "request watchdog", state=request.state.value, attempts=len(request.attempts)
@@ -203,34 +205,34 @@
         self.fail(request)
 
     def client_disconnected(self, request: InFlightRequest) -> None:
-        """The client left before the reply."""
+        """Release a request whose client disconnected before the reply."""
         self.context.counts[counter_names.CLIENT_GONE] += 1
         self.policy.client_disconnected(request)
         self._release(request)
 
     def abandon(self, request: InFlightRequest) -> None:
-        """Fail a request whose client sent what is no command behind it."""
+        """Fail a request whose client sent malformed input after it."""
         self.policy.client_disconnected(request)
         self.fail(request)
 
     def reject(self, request: InFlightRequest, retry_after_ms: float | None) -> None:
-        """Tell the client to come again, after so many ms where that is known."""
+        """Reply that the request did not run and may be repeated, after `retry_after_ms` if given."""
         self.context.counts[counter_names.DEFERRED] += 1
         answer = b"-BUSY %d\r\n" % max(1, round(retry_after_ms)) if retry_after_ms else b"-BUSY\r\n"
         self._finish(request, answer)
 
     def fail(self, request: InFlightRequest) -> None:
-        """Tell the client that the request failed; it may have run."""
+        """Reply that the request failed; it may have run."""
         self.context.counts[counter_names.ERRORED] += 1
         self._finish(request, FAILED)
 
     def fail_all(self) -> None:
-        """Fail each request in flight, as the process is to end."""
+        """Fail each request in flight, because the process is about to exit."""
         for request in list(self.in_flight):
             self.fail(request)
 
     def succeed(self, request: InFlightRequest, answer: bytes) -> None:
-        """Pass a host's response on."""
+        """Pass the response of a host on to the client."""
         self.context.counts[counter_names.DONE] += 1
         self._finish(request, answer)
 
@@ -241,7 +243,7 @@
             self.replies.fill(client, request, answer)
 
     def _release(self, request: InFlightRequest) -> None:
-        """It is in flight no more: its id and bytes are free."""
+        """Remove the request from those in flight, free its id and bytes, and cancel its watchdog."""
         if request in self.in_flight:
             del self.in_flight[request]
             del self.by_id[request.parsed.id]
--- a/granitedock/service/lifecycle.py
+++ b/granitedock/service/lifecycle.py
@@ -1,7 +1,7 @@
-"""The process's lifecycle: starting, serving, draining, closing, ended, left.
+"""The lifecycle of the process: starting, serving, draining, closing, ended, left.
 
-Owns the state of the process and the table by which it changes; has no I/O. What follows for connections and
-requests is asked of their machines. It never decides about a request.
+Owns the state of the process and its transition table; has no I/O. It calls the state machines of connections
+and requests for what a transition means for them, and never decides about a request.
 """
 
 from __future__ import annotations
@@ -22,24 +22,24 @@
 
 
 class LifecycleState(Enum):
-    """The state of the process. The value is how the event log names it."""
+    """The state of the process. The event log shows the value."""
 
     STARTING = "starting"
     SERVING = "serving"
-    DRAINING = "draining"  # asked to end; still listening
-    CLOSING = "closing"  # listening no more; requests in flight are waited for
-    ENDED = "ended"  # all requests are answered; clients may still read
+    DRAINING = "draining"  # SIGTERM has arrived; the gateway still listens.
+    CLOSING = "closing"  # The listener is closed; the process waits for requests in flight.
+    ENDED = "ended"  # All requests are answered; clients may still be reading replies.
     LEFT = "left"
 
     __hash__ = object.__hash__
 
 
 class LifecycleEvent(Enum):
-    """A signal to the process, or one of its own deadlines. The value is how the event log names it."""
+    """A signal to the process or one of its deadlines. The event log shows the value."""
 
     ENDPOINTS_RECEIVED = "endpoints received"
-    ENDPOINTS_OVERDUE = "endpoints overdue"  # waited for as long as there is a list to go by
-    START_DEADLINE = "start deadline"  # and as long as may be without one
+    ENDPOINTS_OVERDUE = "endpoints overdue"  # The wait for a list ends if the initial list can be used.
+    START_DEADLINE = "start deadline"  # The wait for a list ends in any case.
     TERMINATE = "terminate"
     LISTEN_DEADLINE = "listen deadline"
     CHECK_CLIENTS = "check clients"
@@ -55,44 +55,45 @@
 
 LIFECYCLE = {
     (_S.STARTING, _E.ENDPOINTS_RECEIVED): (_S.SERVING, "serve"),
-    (_S.STARTING, _E.ENDPOINTS_OVERDUE): (_S.STARTING, "go_by_initial_endpoints"),
+    (_S.STARTING, _E.ENDPOINTS_OVERDUE): (_S.STARTING, "use_initial_endpoints"),
     (_S.STARTING, _E.START_DEADLINE): (_S.SERVING, "serve"),
     (_S.STARTING, _E.TERMINATE): (_S.DRAINING, "drain"),
     (_S.SERVING, _E.TERMINATE): (_S.DRAINING, "drain"),
-    (_S.DRAINING, _E.ENDPOINTS_RECEIVED): (_S.DRAINING, "note_endpoints"),
+    (_S.DRAINING, _E.ENDPOINTS_RECEIVED): (_S.DRAINING, "record_endpoints"),
     (_S.DRAINING, _E.LISTEN_DEADLINE): (_S.CLOSING, "stop_listening"),
     (_S.CLOSING, _E.CHECK_CLIENTS): (_S.CLOSING, "check_clients"),
     (_S.CLOSING, _E.NO_CLIENTS): (_S.LEFT, "leave"),
-    (_S.CLOSING, _E.ANSWER_DEADLINE): (_S.ENDED, "fail_the_rest"),
+    (_S.CLOSING, _E.ANSWER_DEADLINE): (_S.ENDED, "fail_unanswered"),
     (_S.ENDED, _E.CHECK_CLIENTS): (_S.ENDED, "check_clients"),
     (_S.ENDED, _E.NO_CLIENTS): (_S.LEFT, "leave"),
     (_S.ENDED, _E.EXIT_DEADLINE): (_S.LEFT, "leave"),
 }
 
 IGNORED: Ignored = {
-    "nothing changes a process that has left": pairs([_S.LEFT], _E),
-    "the start is over": pairs(
+    "no event changes the state of a process that is exiting": pairs([_S.LEFT], _E),
+    "the start is complete": pairs(
         [_S.SERVING, _S.DRAINING, _S.CLOSING, _S.ENDED], [_E.ENDPOINTS_OVERDUE, _E.START_DEADLINE]
     ),
-    "it has a list already, or needs none any more": pairs(
+    "an endpoint list is present already, or is no longer needed": pairs(
         [_S.SERVING, _S.CLOSING, _S.ENDED], [_E.ENDPOINTS_RECEIVED]
     ),
-    "it ends already: the time of the first signal counts": pairs(
+    "the shutdown has begun already: its deadlines count from the first signal": pairs(
         [_S.DRAINING, _S.CLOSING, _S.ENDED], [_E.TERMINATE]
     ),
-    "this deadline is set by TERMINATE": pairs(
+    "TERMINATE schedules this deadline": pairs(
         [_S.STARTING, _S.SERVING], [_E.LISTEN_DEADLINE, _E.ANSWER_DEADLINE, _E.EXIT_DEADLINE]
     ),
-    "clients are counted once the listener is closed": pairs(
+    "the clients are checked only after the listener is closed": pairs(
         [_S.STARTING, _S.SERVING, _S.DRAINING], [_E.CHECK_CLIENTS, _E.NO_CLIENTS]
     ),
-    "the deadlines come in order": pairs([_S.DRAINING], [_E.ANSWER_DEADLINE, _E.EXIT_DEADLINE])
+    "the deadlines pass in order": pairs([_S.DRAINING], [_E.ANSWER_DEADLINE, _E.EXIT_DEADLINE])
     | pairs([_S.CLOSING], [_E.LISTEN_DEADLINE, _E.EXIT_DEADLINE])
     | pairs([_S.ENDED], [_E.LISTEN_DEADLINE, _E.ANSWER_DEADLINE]),
 }
 
-SHUTTING = frozenset({_S.CLOSING, _S.ENDED, _S.LEFT})  # no request is taken any more
-DRAINING = _S.DRAINING  # bound once for the request path: Python 3.11 takes 0.2 us to look a member up
+SHUTDOWN_STATES = frozenset({_S.CLOSING, _S.ENDED, _S.LEFT})  # New requests are rejected in these.
+# This member is bound once for the request path: Python 3.11 takes 0.2 us to look up a member of an enum.
+DRAINING = _S.DRAINING
 
 
 class Lifecycle:
@@ -106,8 +107,8 @@
     def __init__(self, context: Context) -> None:
         self.context = context
         self.state = LifecycleState.STARTING
-        self.closed_at = float("inf")  # when the listener closed, Unix ms
-        self.has_endpoints = False  # a list has come, or was waited for as long as may be
+        self.closed_at = float("inf")  # The time at which the listener was closed, Unix ms.
+        self.has_endpoints = False  # True once a list has arrived or the wait for one has ended.
 
     def attach(
         self,
@@ -116,7 +117,7 @@
         requests: InFlightRequests,
         endpoints: EndpointList,
     ) -> None:
-        """Set the machines that this one calls."""
+        """Set the state machines that this one calls."""
         self.clients = clients
         self.commands = commands
         self.requests = requests
@@ -124,17 +125,21 @@
 
     @property
     def shutting(self) -> bool:
-        """Whether the listener is closed and no request is taken any more."""
-        return self.state in SHUTTING
+        """Whether the listener is closed and new requests are rejected."""
+        return self.state in SHUTDOWN_STATES
 
     @property
-    def refusing(self) -> bool:
-        """Requests are refused at once: the process shuts, or was asked to before a list came. Guards hosts
-        that drain by a list that the process never got: what it was handed may be old."""
-        return self.state in SHUTTING or (self.state is DRAINING and not self.has_endpoints)
+    def rejects_requests(self) -> bool:
+        """Whether new requests are rejected at once.
+
+        That is so during the shutdown, and also from SIGTERM on if no endpoint list has arrived by then. The
+        latter prevents attempts at draining hosts: the initial list may be outdated, and the list that would
+        show the drain never arrived.
+        """
+        return self.state in SHUTDOWN_STATES or (self.state is DRAINING and not self.has_endpoints)
 
     def signal(self, event: LifecycleEvent) -> None:
-        """An input, or an event of another machine."""
+        """Apply an event, either an input or one raised by another state machine."""
         before = self.state
         advance(LIFECYCLE, self, event, self)
         if self.state is not before:
@@ -146,36 +151,42 @@
             )
 
     def begin(self) -> None:
-        """Bound on the start: nine in ten restarted processes have to be ready within 10 s of their start."""
+        """Schedule the deadlines of the start.
+
+        They bound the start because nine in ten restarted processes must be ready within 10 s of their start.
+        """
         context = self.context
         limits = context.limits
         context.schedule(context.now + limits.ready_ms, Input.LIFECYCLE, LifecycleEvent.ENDPOINTS_OVERDUE)
         longest = max(context.now, context.process_started_at + limits.ready_most_ms)
         context.schedule(longest, Input.LIFECYCLE, LifecycleEvent.START_DEADLINE)
 
-    # Effects of the table.
+    # Effects of the transition table.
+
+    def use_initial_endpoints(self, _machine: Lifecycle) -> LifecycleEvent | None:
+        """Return the event that starts serving by the initial endpoint list, or None without such a list.
 
-    def go_by_initial_endpoints(self, _machine: Lifecycle) -> LifecycleEvent | None:
-        """Guards against discovery that is down at the start: an old list serves. Without one there is longer
-        to wait, since every request would be refused; but not for ever, as the load balancer in front holds
-        back until PONG."""
+        Prevents an unreachable discovery from delaying the start: an outdated list is used instead. Without
+        an initial list the process waits longer, since it would reject every request, but not without bound,
+        since the load balancer in front sends nothing before a PONG.
+        """
         return LifecycleEvent.ENDPOINTS_RECEIVED if self.endpoints.by_name else None
 
-    def note_endpoints(self, _machine: Lifecycle) -> None:
-        """A list came while draining: what still comes is served by it."""
+    def record_endpoints(self, _machine: Lifecycle) -> None:
+        """Record that a list arrived while draining, so that further requests are served by it."""
         self.has_endpoints = True
 
     def serve(self, _machine: Lifecycle) -> None:
-        """Tell that the gateway serves, and serve what was taken meanwhile."""
+        """Answer waiting PINGs with PONG and release the requests that were queued during the start."""
         self.has_endpoints = True
         self.commands.answer_pings(serving=True)
         self.requests.release_queued()
 
     def drain(self, _machine: Lifecycle) -> None:
-        """Set the deadlines of a graceful shutdown.
+        """Schedule the deadlines of a graceful shutdown.
 
-        A PING that waited for the start gets the truth: guards the requests behind it on its connection,
-        whose replies would else wait for the PONG until the process is gone.
+        A PING that waited for the start is answered with the actual state. Otherwise the replies to requests
+        behind it on its connection would wait for the PONG until the process exits.
         """
         self.commands.answer_pings(serving=False)
         self.requests.release_queued()
@@ -189,8 +200,10 @@
             context.schedule(context.now + after_ms, Input.LIFECYCLE, event)
 
     def stop_listening(self, _machine: Lifecycle) -> None:
-        """No new connection, once those in the system's queue are accepted; a client that waits for no reply
-        is parted with, unless bytes of its lie unread."""
+        """Accept the connections in the system's queue, then close the listener and the idle clients.
+
+        A client is idle if it waits for no reply and no bytes from it are unread.
+        """
         context = self.context
         self.closed_at = context.now
         context.emit(context.io.stop_listening)
@@ -199,19 +212,23 @@
         context.schedule(due, Input.LIFECYCLE, LifecycleEvent.CHECK_CLIENTS)
 
     def check_clients(self, _machine: Lifecycle) -> LifecycleEvent | None:
-        """Leave once no client is connected."""
+        """Return the event that ends the process if no client is connected, else None."""
         return None if self.clients.connections else LifecycleEvent.NO_CLIENTS
 
-    def fail_the_rest(self, _machine: Lifecycle) -> LifecycleEvent | None:
-        """Guards against a stop that finds requests in flight: an error promises nothing, and comes in time.
-        The process ends once every client has read its replies and gone, or at the exit deadline, before
-        SIGKILL."""
+    def fail_unanswered(self, _machine: Lifecycle) -> LifecycleEvent | None:
+        """Fail all requests in flight, and return the event that ends the process if no client is connected.
+
+        Prevents the process from exiting with unanswered requests. An error reply is always correct, since it
+        does not state whether the request ran, and the client receives it before its timeout. The process
+        exits once every client has read its replies and disconnected, or at the exit deadline, which is
+        before SIGKILL.
+        """
         self.requests.fail_all()
         self._close_idle_clients()
         return self.check_clients(self)
 
     def leave(self, _machine: Lifecycle) -> None:
-        """End the process."""
+        """Stop the process."""
         self.context.emit(self.context.io.stop_process)
 
     def _close_idle_clients(self) -> None:
--- a/tests/service/test_gateway_process.py
+++ b/tests/service/test_gateway_process.py
@@ -438,7 +438,7 @@
     client.link.pauseProducing()
     for host in hosts:
         host.link.dataReceived(VALUE.replace(b"$5\r\nvalue", b"$60000\r\n" + 60000 * b"x"))
-    assert client.closed == "aborted" and wired.state_machine.requests.held_bytes() == 0
+    assert client.closed == "aborted" and wired.state_machine.requests.bytes_in_flight() == 0
     wired.now += 10
     gone = wired.client()
     wired.ask(gone)
@@ -448,7 +448,7 @@
     assert (
         not wired.dials
         and not wired.state_machine.requests.in_flight
-        and wired.state_machine.requests.held_bytes() == 0
+        and wired.state_machine.requests.bytes_in_flight() == 0
     )
 
 
@@ -644,7 +644,7 @@
             and not wired.state_machine.hosts.by_attempt
             and not wired.counts["forgotten"]
         )
-        assert wired.state_machine.requests.held_bytes() == 0
+        assert wired.state_machine.requests.bytes_in_flight() == 0
 
 
 def answered_by(wired, client, end):
--- a/tests/service/test_race_conditions.py
+++ b/tests/service/test_race_conditions.py
@@ -288,7 +288,7 @@
     assert gate.at_host() is None
     client.sock.shutdown(socket.SHUT_WR)
     gate.turn()
-    assert not gate.state_machine.clients.connections and gate.state_machine.requests.held_bytes() == 0
+    assert not gate.state_machine.clients.connections and gate.state_machine.requests.bytes_in_flight() == 0
 
 
 def test_a_slow_reader_whose_connection_is_to_end_gets_all_of_its_answer(live):
