--- a/granitedock/lab/hollow/gateway.py
+++ b/granitedock/lab/hollow/gateway.py
@@ -70,10 +70,10 @@
         self.membership: MembershipServices | None = None
         self.configuration: TimedAttachment | None = None
 
-    def handle_input(self, happened: Input, *arguments: Any) -> None:
+    def handle_input(self, input_kind: Input, *arguments: Any) -> None:
         """Give the state machine one input, and carry its effects out."""
         lists_before = self.event_log.counts["lists"]
-        for action, *values in self.state_machine.handle(unix_ms(), happened, *arguments):
+        for action, *values in self.state_machine.handle(unix_ms(), input_kind, *arguments):
             action(*values)
         if self.event_log.counts["lists"] != lists_before:
             self.state.list_version = self.state_machine.watch.version
--- a/granitedock/model_checking/modelled_gateway.py
+++ b/granitedock/model_checking/modelled_gateway.py
@@ -79,9 +79,9 @@
         parts += [("plan " + name, plan) for name, plan in machine.requests.plans.items()]
         register(WORLD_KIND, self.world.shape, self.number, parts)
 
-    def handle(self, happened: Input, *arguments: Any) -> None:
+    def handle(self, input_kind: Input, *arguments: Any) -> None:
         """One input, its effects, and the inputs that they bring about at once."""
-        self.queue_input(happened, *arguments)
+        self.queue_input(input_kind, *arguments)
         while self.inputs:
             next_input, *its_arguments = self.inputs.pop(0)
             for effect, *effect_arguments in self.state_machine.handle(
@@ -89,9 +89,9 @@
             ):
                 effect(*effect_arguments)
 
-    def queue_input(self, happened: Input, *arguments: Any) -> None:
+    def queue_input(self, input_kind: Input, *arguments: Any) -> None:
         """Bring an input after those that wait already."""
-        self.inputs.append((happened, *arguments))
+        self.inputs.append((input_kind, *arguments))
 
     def kill(self) -> None:
         """End the process at once."""
--- a/granitedock/service/context.py
+++ b/granitedock/service/context.py
@@ -1,4 +1,4 @@
-"""What the state machines of one gateway share: clock, limits, event log and the effects of an input."""
+"""The context that the state machines of one gateway share: time, limits, event log and effects."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 from granitedock.service.ports import EventLogPort, GatewayIO
 from granitedock.service.timers import Timer
 
-Effect = tuple[Any, ...]  # a callable of the loop's, then its arguments
+Effect = tuple[Any, ...]  # A callable for the loop to call, then its arguments.
 
 
 class Context:
-    """Times are Unix ms, set by the dispatcher at each input.
+    """The shared context of one gateway. Times are Unix ms; the dispatcher sets them at each input.
 
-    `earliest_arrival` is the earliest moment at which what the present input brings may have come: the end of
-    the loop's poll before the one that began this turn. `process_started_at` bounds it while starting.
+    `earliest_arrival` is the earliest time at which the data of the current input may have arrived: the end
+    of the poll before the poll that began this turn of the loop. During the start `process_started_at` takes
+    its place.
     """
 
     __slots__ = (
@@ -45,15 +46,15 @@
         self.follow_ups: deque[Effect] = deque()
 
     def emit(self, *effect: Any) -> None:
-        """Have the loop call this after the input, in the order in which it was emitted."""
+        """Add an effect for the loop to carry out after the input; effects keep their order."""
         self.effects.append(effect)
 
     def follow_up(self, function: Callable[..., None], *arguments: Any) -> None:
-        """Have the dispatcher call this once the present step is done, before the effects."""
+        """Have the dispatcher call this function after the current step and before the effects."""
         self.follow_ups.append((function, *arguments))
 
-    def schedule(self, due: float, happened: Input, *arguments: Any) -> Timer:
-        """Have this input come at `due`, Unix ms."""
-        timer = Timer(due, happened, arguments)
+    def schedule(self, due: float, input_kind: Input, *arguments: Any) -> Timer:
+        """Schedule this input for the time `due`, in Unix ms, and return its timer."""
+        timer = Timer(due, input_kind, arguments)
         self.effects.append((self.io.start_timer, timer))
         return timer
--- a/granitedock/service/dispatcher.py
+++ b/granitedock/service/dispatcher.py
@@ -1,6 +1,6 @@
-"""The gateway's state machine: hands inputs to the machines that own the state, and effects to the loop.
+"""The state machine of the gateway: passes inputs to the state machines below it, and effects to the loop.
 
-Has no I/O and looks at no clock: it takes one input at a time and returns what is to be done.
+Has no I/O and reads no clock: it handles one input at a time and returns the effects to carry out.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayParameters:
-    """What a gateway's state machine is made of. Times are Unix ms.
+    """The parameters of a gateway's state machine. Times are Unix ms.
 
-    `settings` is the platform file's field of that name; `initial_endpoints` the endpoint list as this
-    gateway last had it; `process_started_at` is None where that is now.
+    `settings` is the field of that name in the platform file. `initial_endpoints` is the last endpoint list
+    that this gateway had. `process_started_at` is None if the process starts at `now`.
     """
 
     now: float
@@ -48,7 +48,7 @@
 
 
 class PolicyEffects:
-    """The policy's effect handler (`granitedock.policy.ports.EffectHandler`)."""
+    """The effect handler of the policy (`granitedock.policy.ports.EffectHandler`)."""
 
     def __init__(
         self,
@@ -65,28 +65,28 @@
         self.policy_timers = timers
 
     def send_attempt(self, attempt: Attempt, attempt_deadline: float | None) -> None:
-        """Send a request to a host; `attempt_deadline` bounds it further than the request's own."""
+        """Send a request to a host; `attempt_deadline`, if given, is before the deadline of the request."""
         self.hosts.send_attempt(attempt, attempt_deadline)
 
     def reject(self, request: Request, retry_after_ms: float | None) -> None:
-        """Tell the client to come again."""
-        self.requests.reject(request, retry_after_ms)  # type: ignore[arg-type]  # all requests are made here
+        """Reply that the request did not run and may be repeated, after `retry_after_ms` if given."""
+        self.requests.reject(request, retry_after_ms)  # type: ignore[arg-type]  # It is an InFlightRequest.
 
     def fail(self, request: Request) -> None:
-        """Tell the client that the request failed."""
-        self.requests.fail(request)  # type: ignore[arg-type]  # all requests are made here
+        """Reply that the request failed."""
+        self.requests.fail(request)  # type: ignore[arg-type]  # It is an InFlightRequest.
 
     def cancel(self, attempt: Attempt) -> None:
-        """Close the connection of an attempt that is wanted no more."""
+        """Close the connection of an attempt that is no longer needed."""
         self.hosts.cancel(attempt)
 
     def call_counter(self, call: CounterCall) -> None:
-        """Add to a named count at the counter."""
+        """Send an increment to the counter."""
         self.counter.call(call)
 
-    def start_timer(self, after_ms: float, why: object) -> None:
-        """Give `why` back in so many ms."""
-        self.policy_timers.start(after_ms, why)
+    def start_timer(self, after_ms: float, subject: object) -> None:
+        """Call the policy's `timer_fired(subject)` after `after_ms`."""
+        self.policy_timers.start(after_ms, subject)
 
     def log_decision(self, line: str) -> None:
         """Write a line to the event log."""
@@ -94,7 +94,7 @@
 
 
 class GatewayStateMachine:
-    """One gateway without its I/O. An effect is a callable of the loop's with its arguments."""
+    """One gateway without its I/O. An effect is a callable for the loop to call, and its arguments."""
 
     def __init__(self, parameters: GatewayParameters) -> None:
         now, settings = parameters.now, parameters.settings
@@ -124,7 +124,7 @@
         self._attach()
 
     def _attach(self) -> None:
-        """Show the machines to those that call them."""
+        """Set in each state machine the machines that it calls."""
         self.lifecycle.attach(self.clients, self.commands, self.requests, self.endpoints)
         self.clients.attach(self.replies, self.requests, self.lifecycle)
         self.replies.attach(self.clients, self.requests)
@@ -137,18 +137,18 @@
         self.discovery.attach(self.lifecycle)
 
     def handle(
-        self, now: float, happened: Input, *arguments: Any, earliest_arrival: float | None = None
+        self, now: float, input_kind: Input, *arguments: Any, earliest_arrival: float | None = None
     ) -> list[Effect]:
-        """Take one input, with all that follows from it here; return the effects, in order.
+        """Handle one input and the calls that follow up on it, and return the effects in order.
 
-        `earliest_arrival`, Unix ms, is the earliest moment at which what this input brings may have come;
-        None is now.
+        `earliest_arrival` is the earliest time, in Unix ms, at which the data of this input may have arrived;
+        None stands for `now`.
         """
         context = self.context
         context.now = now
         context.earliest_arrival = now if earliest_arrival is None else min(earliest_arrival, now)
         self.policy.advance_clock(now)
-        HANDLERS[happened](self, *arguments)
+        HANDLERS[input_kind](self, *arguments)
         follow_ups = context.follow_ups
         while follow_ups:
             function, *rest = follow_ups.popleft()
@@ -157,7 +157,7 @@
         return effects
 
     def take_effects(self) -> list[Effect]:
-        """The effects so far; what an input that failed asked for before is not lost."""
+        """Return and clear the effects collected so far; those of an input whose handling failed are kept."""
         context = self.context
         effects, context.effects = context.effects, []
         return effects
@@ -169,16 +169,16 @@
 
     @property
     def watch(self) -> Watch:
-        """The watch on discovery in use."""
+        """The current watch on discovery."""
         return self.discovery.current
 
-    # Inputs for more than one machine.
+    # Inputs for more than one state machine.
 
     def start(self) -> None:
-        """The endpoint list as we last had it serves until discovery answers."""
+        """Start all state machines; the initial endpoint list is used until discovery answers."""
         if self.initial_endpoints is not None:
             self.endpoints.update(self.initial_endpoints)
-            self.discovery.start_from(self.initial_endpoints.version)
+            self.discovery.set_initial_version(self.initial_endpoints.version)
         self.discovery.reconnect()
         if self.policy.rate_limiter.has_counter:
             self.counter.connect_all()
@@ -186,7 +186,7 @@
         self._schedule_maintenance()
 
     def maintain(self) -> None:
-        """The periodic work."""
+        """Run the periodic maintenance of each state machine."""
         self.counter.maintain()
         self.discovery.maintain()
         self.hosts.maintain()
@@ -197,14 +197,14 @@
         self.context.schedule(self.context.now + self.context.limits.sweep_ms, Input.MAINTENANCE)
 
     def addresses_changed(self, counter: bool, discovery: bool) -> None:
-        """The platform file names other addresses. What is open to one that stays is kept."""
+        """Reconnect to the servers whose address in the platform file changed; keep other connections."""
         if counter:
             self.counter.address_changed()
         if discovery:
             self.discovery.reopen()
 
     def policy_timer_fired(self, reason: CounterCall | Attempt) -> None:
-        """A timer that the policy asked for is over."""
+        """Pass a timer that has fired to the policy."""
         self.policy_timers.fired(reason)
         self.policy.timer_fired(reason)
 
@@ -224,7 +224,7 @@
     Input.CLIENT_WRITE_CLOSED: lambda gateway, client: gateway.clients.write_closed(client),
     Input.CLIENT_WRITE_PAUSED: lambda gateway, client: gateway.replies.write_paused(client),
     Input.CLIENT_WRITE_RESUMED: lambda gateway, client: gateway.replies.write_resumed(client),
-    Input.CLIENT_MALFORMED: lambda gateway, client, why: gateway.clients.malformed(client, why),
+    Input.CLIENT_MALFORMED: lambda gateway, client, reason: gateway.clients.malformed(client, reason),
     Input.COMMAND_RECEIVED: lambda gateway, client, name: gateway.commands.received(client, name),
     Input.REQUEST_RECEIVED: lambda gateway, client, parsed: gateway.requests.received(client, parsed),
     Input.REQUEST_WATCHDOG: lambda gateway, request: gateway.requests.watchdog_fired(request),
@@ -232,23 +232,25 @@
     Input.HOST_DISCONNECTED: lambda gateway, connection: gateway.hosts.disconnected(connection),
     Input.HOST_REQUEST_WRITTEN: lambda gateway, connection: gateway.hosts.written(connection),
     Input.HOST_RESPONSE_STARTED: lambda gateway, connection: gateway.hosts.response_started(connection),
-    Input.HOST_RESPONSE_STALLED: lambda gateway, *what: gateway.hosts.response_stalled(*what),
-    Input.HOST_RESPONSE: lambda gateway, *what: gateway.hosts.response(*what),
-    Input.HOST_MALFORMED: lambda gateway, connection, why: gateway.hosts.malformed(connection, why),
+    Input.HOST_RESPONSE_STALLED: lambda gateway, *arguments: gateway.hosts.response_stalled(*arguments),
+    Input.HOST_RESPONSE: lambda gateway, *arguments: gateway.hosts.response(*arguments),
+    Input.HOST_MALFORMED: lambda gateway, connection, reason: gateway.hosts.malformed(connection, reason),
     Input.HOST_STALE: lambda gateway, connection: gateway.hosts.stale(connection),
-    Input.ATTEMPT_DEADLINE: lambda gateway, *what: gateway.hosts.deadline_passed(*what),
+    Input.ATTEMPT_DEADLINE: lambda gateway, *arguments: gateway.hosts.deadline_passed(*arguments),
     Input.COUNTER_CONNECTED: lambda gateway, connection, link: gateway.counter.connected(connection, link),
     Input.COUNTER_DISCONNECTED: lambda gateway, connection: gateway.counter.disconnected(connection),
     Input.COUNTER_REPLY_STARTED: lambda gateway, connection: gateway.counter.reply_started(connection),
-    Input.COUNTER_REPLY_STALLED: lambda gateway, *what: gateway.counter.reply_stalled(*what),
-    Input.COUNTER_REPLY: lambda gateway, *what: gateway.counter.reply(*what),
-    Input.COUNTER_MALFORMED: lambda gateway, connection, why: gateway.counter.malformed(connection, why),
+    Input.COUNTER_REPLY_STALLED: lambda gateway, *arguments: gateway.counter.reply_stalled(*arguments),
+    Input.COUNTER_REPLY: lambda gateway, *arguments: gateway.counter.reply(*arguments),
+    Input.COUNTER_MALFORMED: lambda gateway, connection, reason: gateway.counter.malformed(
+        connection, reason
+    ),
     Input.COUNTER_RECONNECT: lambda gateway, number: gateway.counter.reconnect(number),
     Input.COUNTER_CALLS: lambda gateway, calls: gateway.counter.call_all(calls),
     Input.WATCH_CONNECTED: lambda gateway, watch, link: gateway.discovery.connected(watch, link),
     Input.WATCH_DISCONNECTED: lambda gateway, watch: gateway.discovery.disconnected(watch),
     Input.WATCH_LIST_STARTED: lambda gateway, watch: gateway.discovery.list_started(watch),
-    Input.WATCH_MALFORMED: lambda gateway, watch, why: gateway.discovery.malformed(watch, why),
+    Input.WATCH_MALFORMED: lambda gateway, watch, reason: gateway.discovery.malformed(watch, reason),
     Input.WATCH_RECONNECT: lambda gateway: gateway.discovery.reconnect(),
     Input.ENDPOINTS_RECEIVED: lambda gateway, watch, listing: gateway.endpoints.received(watch, listing),
     Input.NEWER_ENDPOINTS_ELSEWHERE: lambda gateway, version: gateway.discovery.newer_elsewhere(version),
--- a/granitedock/service/inputs.py
+++ b/granitedock/service/inputs.py
@@ -1,6 +1,6 @@
-"""The inputs of a gateway's state machine: all that may happen to it, named once.
+"""The kinds of input to a gateway's state machine.
 
-Protocols, timers and signals hand these to `GatewayStateMachine.handle`, each with the arguments of its
+Protocols, timers and signals pass inputs to `GatewayStateMachine.handle`, each with the arguments of its
 handler (`granitedock.service.dispatcher`).
 """
 
@@ -10,19 +10,19 @@
 
 
 class Input(Enum):
-    """What happened. The value is how the event log names it."""
+    """The kind of an input. The event log shows the value."""
 
     START = "start"
-    LIFECYCLE = "lifecycle"  # a signal to the process, or one of its own deadlines
-    MAINTENANCE = "maintenance"  # the periodic work
-    ADDRESSES_CHANGED = "addresses changed"  # the platform file names another counter or discovery
+    LIFECYCLE = "lifecycle"  # A signal to the process or one of its deadlines.
+    MAINTENANCE = "maintenance"  # Time for the periodic maintenance.
+    ADDRESSES_CHANGED = "addresses changed"  # The platform file has another counter or discovery address.
     POLICY_TIMER_FIRED = "policy timer fired"
 
     CLIENT_CONNECTED = "client connected"
     CLIENT_DISCONNECTED = "client disconnected"
-    CLIENT_SILENT = "client silent"  # looked at for room: it has sent nothing, and nothing lies unread
-    CLIENT_IDLE = "client idle"  # idle for too long, and nothing lies unread
-    CLIENT_SHUTDOWN = "client shutdown"  # the process shuts, and nothing lies unread
+    CLIENT_SILENT = "client silent"  # A candidate for eviction has sent nothing and has no unread bytes.
+    CLIENT_IDLE = "client idle"  # The idle timeout has passed and there are no unread bytes.
+    CLIENT_SHUTDOWN = "client shutdown"  # The process shuts down and there are no unread bytes.
     CLIENT_LIMIT_CHECK = "client limit check"
     CLIENT_WRITE_CLOSED = "client write closed"
     CLIENT_WRITE_PAUSED = "client write paused"
@@ -49,7 +49,7 @@
     COUNTER_REPLY = "counter reply"
     COUNTER_MALFORMED = "counter malformed"
     COUNTER_RECONNECT = "counter reconnect"
-    COUNTER_CALLS = "counter calls"  # that no request asked for
+    COUNTER_CALLS = "counter calls"  # Calls without a request, for presence at the counter.
 
     WATCH_CONNECTED = "watch connected"
     WATCH_DISCONNECTED = "watch disconnected"
@@ -59,4 +59,4 @@
     ENDPOINTS_RECEIVED = "endpoints received"
     NEWER_ENDPOINTS_ELSEWHERE = "newer endpoints elsewhere"
 
-    __hash__ = object.__hash__  # Enum's own hashes the name, in Python, at each dispatch
+    __hash__ = object.__hash__  # Enum.__hash__ runs Python code at each dispatch, to hash the name.
