--- a/granitedock/service/dispatcher.py
+++ b/granitedock/service/dispatcher.py
@@ -203,10 +203,10 @@
         if discovery:
             self.discovery.reopen()
 
-    def policy_timer_fired(self, reason: CounterCall | Attempt) -> None:
+    def policy_timer_fired(self, subject: CounterCall | Attempt) -> None:
         """Pass a timer that has fired to the policy."""
-        self.policy_timers.fired(reason)
-        self.policy.timer_fired(reason)
+        self.policy_timers.fired(subject)
+        self.policy.timer_fired(subject)
 
 
 HANDLERS: dict[Input, Callable[..., None]] = {
--- a/granitedock/service/effects.py
+++ b/granitedock/service/effects.py
@@ -1,6 +1,6 @@
-"""The effects of the state machine beyond a connection that is open: dials, timers, the listener, the exit.
+"""The effects of the state machine outside open connections: connecting, timers, the listener, the exit.
 
-Carries out what it is asked for; decides nothing, and keeps no state of a request or of a connection.
+It makes no decisions and keeps no state of a request or a connection.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 
 
 class ServerAddresses(NamedTuple):
-    """Where the counter and discovery are, each HOST:PORT; the counter's is empty where there is none."""
+    """The addresses of the counter and discovery, each HOST:PORT; without a counter its address is empty."""
 
     counter: str
     discovery: str
 
     @classmethod
     def from_platform_file(cls, contents: dict[str, Any]) -> ServerAddresses:
-        """Of the checked contents of a platform file."""
+        """Return the addresses in the validated contents of a platform file."""
         return cls(contents.get("counter") or "", contents["discovery"])
 
 
 class ReactorEffects:
     """Carries out effects on Twisted's reactor."""
 
-    port: ClientPort  # set by the service once it listens
+    port: ClientPort  # The service sets it when it starts to listen.
 
     def __init__(
         self, reactor: GatewayReactor, handle_input: InputHandler, addresses: ServerAddresses, limits: Limits
@@ -43,7 +43,7 @@
         self.handle_input = handle_input
         self.addresses = addresses
         self.start_timer = reactor.timer_queue.add
-        self.exit_hooks: list[Callable[[], object]] = []  # called in this order before the process ends
+        self.exit_hooks: list[Callable[[], object]] = []  # Called in this order before the process exits.
         self.hosts = self.connector(
             lambda: HostProtocol(handle_input, limits), Input.HOST_DISCONNECTED, limits.connect_ms
         )
@@ -56,12 +56,15 @@
             limits.watch_connect_ms,
         )
 
-    def connector(self, make_link: Callable[[], Link], down: Input, timeout_ms: float) -> Connector:
-        """Connects to one kind of server; `down` is the input where a connection does not come up."""
-        return Connector(self.reactor, self.handle_input, make_link, down, timeout_ms)
+    def connector(self, make_link: Callable[[], Link], failure_input: Input, timeout_ms: float) -> Connector:
+        """Return a connector to one kind of server; `failure_input` reports a failure to connect."""
+        return Connector(self.reactor, self.handle_input, make_link, failure_input, timeout_ms)
 
     def update_addresses(self, addresses: ServerAddresses) -> tuple[bool, bool]:
-        """Dial these from now on. Whether the counter's address changed, and whether discovery's."""
+        """Use these addresses from now on.
+
+        Returns whether the address of the counter changed, and whether that of discovery did.
+        """
         before = self.addresses
         self.addresses = addresses
         return addresses.counter != before.counter, addresses.discovery != before.discovery
@@ -79,7 +82,7 @@
         self.watch.connect(watch, self.addresses.discovery)
 
     def accept_connections(self, on: bool) -> None:
-        """Accept new connections of clients from now on, or no more for a while."""
+        """Accept new client connections, or pause accepting them."""
         if not self.port.connected:
             return
         if on:
@@ -88,11 +91,11 @@
             self.port.stopReading()
 
     def stop_listening(self) -> None:
-        """Accept no connection any more."""
+        """Close the listener; no further connection is accepted."""
         self.port.close()
 
     def stop_process(self) -> None:
-        """End the process: every client has gone by now, or the time for the shutdown is over."""
+        """Exit the process: every client has disconnected, or the exit deadline has passed."""
         for hook in self.exit_hooks:
             hook()
         self.reactor.callLater(0.0, self.reactor.stop)
--- a/granitedock/service/endpoints.py
+++ b/granitedock/service/endpoints.py
@@ -1,7 +1,7 @@
-"""The endpoint list: the hosts as discovery last gave them.
+"""The endpoint list: the hosts as last received from discovery.
 
-Owns the endpoints by name and their addresses. Which of them gets an attempt is decided by the policy; the
-watch that brings the list is in `discovery_watch`.
+Owns the endpoints by name and their addresses. The policy decides which of them gets an attempt; the watch
+that receives the list is in `discovery_watch`.
 """
 
 from __future__ import annotations
@@ -23,10 +23,12 @@
 
 
 class EndpointListener(Protocol):
-    """Who else wants the endpoints: the outlier detector, where gateways tell each other what they know."""
+    """A listener for endpoint updates: the outlier detector, if gateways share their observations."""
 
-    def update_hosts(self, hosts: dict[str, Any], now: float) -> None:  # Any: it takes a dict of `Host`
-        """The list has changed: the endpoints by name, and Unix ms."""
+    def update_hosts(
+        self, hosts: dict[str, Any], now: float
+    ) -> None:  # Any: the detector takes `Host` values.
+        """Apply a changed list, given as the endpoints by name; `now` is Unix ms."""
         ...
 
 
@@ -46,14 +48,14 @@
     def attach(
         self, hosts: HostConnections, lifecycle: Lifecycle, watch: DiscoveryWatch, policy: Gateway
     ) -> None:
-        """Set the machines that this one calls."""
+        """Set the state machines that this one calls."""
         self.hosts = hosts
         self.lifecycle = lifecycle
         self.watch = watch
         self.policy = policy
 
     def received(self, watch: Watch, listing: EndpointListUpdate | None) -> None:
-        """A line of a watch: an endpoint update, or None for a sign of life."""
+        """Handle a line of a watch: an endpoint update, or None for a keep-alive."""
         if not self.watch.line_received(watch, None if listing is None else listing.version):
             return
         if listing is not None:
@@ -61,7 +63,7 @@
         self.lifecycle.signal(LifecycleEvent.ENDPOINTS_RECEIVED)
 
     def update(self, listing: EndpointListUpdate) -> None:
-        """Take an endpoint update in, whole or of some endpoints."""
+        """Apply an endpoint update, either a complete list or a change of some endpoints."""
         self.context.counts[counter_names.LISTS] += 1
         updates = []
         for entry in listing.entries:
@@ -73,7 +75,7 @@
             moved = entry.address and entry.address != endpoint.address
             if entry.started_at > endpoint.started_at or moved:
                 endpoint.address = entry.address or endpoint.address
-                self.hosts.close_idle(endpoint)  # they lead to a process that is no more
+                self.hosts.close_idle(endpoint)  # They lead to a process that has ended.
             updates.append(
                 EndpointUpdate(
                     endpoint,
@@ -90,6 +92,6 @@
             if endpoint.idle and endpoint.status is not EndpointStatus.READY:
                 self.hosts.close_idle(endpoint)
             if endpoint.status is EndpointStatus.GONE and not endpoint.health.in_flight:
-                del self.by_name[name]  # guards the memory, as hosts come and go under new names
+                del self.by_name[name]  # Bounds the memory, since new hosts have new names.
         if self.outlier_detector is not None:
             self.outlier_detector.update_hosts(self.by_name, self.context.now)
--- a/granitedock/service/errors.py
+++ b/granitedock/service/errors.py
@@ -4,9 +4,8 @@
 
 
 class ServiceError(GranitedockError):
-    """The base of the service's errors."""
+    """Base class of the errors of the service."""
 
 
 class RequestFormatError(ServiceError):
-    """A command that names itself a request and does not hold what a request needs; its text goes to the
-    client."""
+    """A request command that lacks a required part; its text is sent to the client."""
--- a/granitedock/service/gateway_service.py
+++ b/granitedock/service/gateway_service.py
@@ -1,7 +1,7 @@
-"""The service of one gateway process: feeds inputs to the state machine and carries out its effects.
+"""The service of one gateway process: passes inputs to the state machine and carries out its effects.
 
-Reads the platform file and the operators' settings at the start and on SIGHUP. Keeps no state of a request or
-of a connection, and decides nothing.
+It reads the platform file and the operators' settings at the start and on SIGHUP. It keeps no state of a
+request or a connection and makes no decisions.
 """
 
 from __future__ import annotations
@@ -32,19 +32,21 @@
 
 
 def initial_endpoint_list(contents: dict[str, Any], path: str) -> EndpointListUpdate | None:
-    """The endpoint list as this gateway last had it, of the platform file's contents; None where there is
-    none. Raises PlatformFileError where it can't be read."""
+    """Return the last endpoint list of this gateway from the contents of the platform file, or None.
+
+    Raises PlatformFileError if the list cannot be parsed.
+    """
     if not contents.get("known"):
         return None
     try:
         return parse_endpoint_list(contents["known"])
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        why = f"{path}: known: no list of hosts: {type(error).__name__}: {error}"
-        raise PlatformFileError(why) from None
+        message = f"{path}: known: no list of hosts: {type(error).__name__}: {error}"
+        raise PlatformFileError(message) from None
 
 
 class GatewayService:
-    """One gateway: its files, log, state machine and effects."""
+    """One gateway with its files, event log, state machine and effects."""
 
     def __init__(
         self,
@@ -53,9 +55,12 @@
         reactor: GatewayReactor,
         operators_path: str | None = None,
     ) -> None:
-        """`path` is the platform file's and `contents` what it holds, checked; `operators_path` is that of
-        the operators' settings, or None. Raises PlatformFileError and toml_file.TomlFileError, and what
-        `GatewayStateMachine` raises by wrong settings. The contents are not kept, as plans may be many."""
+        """Create the gateway from the validated contents of its platform file.
+
+        `path` is the path of the platform file and `operators_path` that of the operators' settings, or None.
+        The contents are not kept, since there may be many plans. Raises PlatformFileError and
+        toml_file.TomlFileError, and the errors of `GatewayStateMachine` for invalid settings.
+        """
         self.path = path
         self.operators_path = operators_path
         limits = Limits.from_platform_file(contents)
@@ -86,15 +91,15 @@
             )
         )
         self.listen_address: str = contents["listen"]
-        self.start_hooks: list[Callable[[], object]] = []  # called in this order once the port listens
+        self.start_hooks: list[Callable[[], object]] = []  # Called in this order once the port listens.
         self.inputs: deque[tuple[Any, ...]] = deque()
         self.processing = False
 
     # Inputs and effects.
 
-    def handle_input(self, *happened: Any) -> None:
-        """One input, its name and arguments; what effects bring about at once waits its turn."""
-        self.inputs.append(happened)
+    def handle_input(self, *input_with_arguments: Any) -> None:
+        """Process an input, given as its kind and arguments; inputs that its effects cause are queued."""
+        self.inputs.append(input_with_arguments)
         if self.processing:
             return
         self.processing = True
@@ -104,35 +109,41 @@
         finally:
             self.processing = False
 
-    def process_input(self, *happened: Any) -> None:
-        """One input and its effects. An error in one of them is counted and logged, and ends nothing else."""
+    def process_input(self, *input_with_arguments: Any) -> None:
+        """Process one input and its effects.
+
+        An error in the input or in an effect is counted and logged, and does not stop the others.
+        """
         try:
             effects = self.state_machine.handle(
-                self.clock(), *happened, earliest_arrival=self.reactor.earliest_arrival_ms
+                self.clock(), *input_with_arguments, earliest_arrival=self.reactor.earliest_arrival_ms
             )
-        except Exception:  # noqa: BLE001 - guards all other requests against an error met with one
-            self.log_error(happened[0].value, traceback.format_exc())
+        except Exception:  # noqa: BLE001 - an error with one request must not affect the others
+            self.log_error(input_with_arguments[0].value, traceback.format_exc())
             effects = self.state_machine.take_effects()
         for effect, *arguments in effects:
             try:
                 effect(*arguments)
-            except Exception:  # noqa: BLE001 - guards the effects behind it
-                self.log_error(happened[0].value, traceback.format_exc())
+            except Exception:  # noqa: BLE001 - an error in one effect must not stop the effects after it
+                self.log_error(input_with_arguments[0].value, traceback.format_exc())
 
     def log_error(self, input_name: str, trace: str) -> None:
-        """Count and log an unexpected error, met with this input."""
+        """Count and log an unexpected error that occurred with this input."""
         self.log.counts["faults"] += 1
         self.log.event("fault", input=input_name, trace=trace)
 
     def log_network_error(self, event: dict[str, Any]) -> None:
-        """An observer of Twisted's log: errors that the library caught and only writes there."""
+        """Observe Twisted's log, and count and log errors that Twisted caught and writes only there."""
         if "log_failure" in event:
             self.log_error("network", event["log_failure"].getTraceback())
 
     # Start and shutdown.
 
     def start(self) -> None:
-        """Start the state machine, then listen. Raises CannotListenError and ValueError."""
+        """Start the state machine, then listen.
+
+        Raises CannotListenError and ValueError.
+        """
         host, _, port = self.listen_address.rpartition(":")
         factory = ClientProtocolFactory(self.handle_input, self.limits)
         self.handle_input(Input.START)
@@ -145,11 +156,11 @@
         gc.freeze()
 
     def shut_down(self) -> None:
-        """Begin the graceful shutdown."""
+        """Begin a graceful shutdown."""
         self.handle_input(Input.LIFECYCLE, LifecycleEvent.TERMINATE)
 
     def install_signal_handlers(self, pending: list[int]) -> None:
-        """From now on a signal acts at once; `pending` are those that came during the start, in order."""
+        """Install the signal handlers, then handle `pending`, the signals received so far, in order."""
         actions: dict[int, Callable[[], None]] = {
             signal.SIGTERM: self.shut_down,
             signal.SIGINT: self.shut_down,
@@ -165,11 +176,13 @@
         for number in pending:
             actions[number]()
 
-    # SIGHUP.
+    # Reload on SIGHUP.
 
     def reload(self) -> None:
-        """Read the files again and follow what changed. Guards against a file that is half written, gone or
-        wrong in a field: then all stays as it was."""
+        """Read both files again and apply what changed.
+
+        A file that is incomplete, missing or invalid in a field is rejected and changes nothing.
+        """
         if self.operators_path is not None:
             self.reload_operator_settings(self.operators_path)
         try:
@@ -182,8 +195,10 @@
         self.handle_input(Input.ADDRESSES_CHANGED, *self.effects.update_addresses(addresses))
 
     def reload_operator_settings(self, path: str) -> None:
-        """Take the log's bound of lines; whether other limits differ, and so wait for the next start, is
-        logged. Guards against a file with an error, which changes nothing."""
+        """Apply the limit of the event log, and log whether other limits differ, which needs a restart.
+
+        A file with an error is rejected and changes nothing.
+        """
         try:
             settings = self.load_operator_settings(path)
         except ValueError as error:
@@ -198,8 +213,10 @@
 
     @staticmethod
     def load_operator_settings(path: str) -> OperatorSettings:
-        """The operators' settings as they stand now; their reader is imported only where there is a file.
-        Raises toml_file.TomlFileError."""
+        """Return the current operators' settings; the module that reads them is imported only if needed.
+
+        Raises toml_file.TomlFileError.
+        """
         from granitedock.service.operator_settings import load as load_settings
 
         return load_settings(path)
--- a/granitedock/service/reactor.py
+++ b/granitedock/service/reactor.py
@@ -1,4 +1,4 @@
-"""Twisted's epoll reactor, with monotonic timers, the gateway's timer queue and the times of its polls."""
+"""Twisted's epoll reactor with monotonic timers, the timer queue of the gateway and recorded poll times."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class TimedPoller:
-    """The reactor's epoll object, which calls back when each of its polls ended."""
+    """The epoll object of the reactor, with a callback at the end of each poll."""
 
     def __init__(self, poller: Any, poll_ended: Callable[[], None]) -> None:
         self.poller = poller
         self.poll_ended = poll_ended
 
     def poll(self, *args: Any) -> list[tuple[int, int]]:
-        """`select.epoll.poll`."""
+        """Run `select.epoll.poll`, then the callback."""
         try:
             return self.poller.poll(*args)
         finally:
@@ -30,28 +30,31 @@
 
 
 class GatewayReactor(EPollReactor):
-    """Twisted's own timers run by a clock that no correction of the time can stop, and the gateway's beside
-    them: a cancelled one of these never ends a poll early."""
+    """A reactor whose Twisted timers use the monotonic clock, with the gateway's timer queue beside them.
+
+    A correction of the system time cannot stop the Twisted timers. A cancelled timer of the queue never ends
+    a poll early.
+    """
 
     seconds = staticmethod(time.monotonic)
 
     def __init__(self, timer_queue: TimerQueue, started_at_ms: float) -> None:
-        """`started_at_ms` is when the process started, in Unix ms."""
+        """Create the reactor; `started_at_ms` is the time at which the process started, in Unix ms."""
         self.timer_queue = timer_queue
-        # What is read after a poll came no sooner than the end of the poll before it, which would have seen
-        # it otherwise; before the first poll, the process's start is the bound (Unix ms).
+        # Data that is read after a poll arrived no earlier than the end of the poll before it, which would
+        # otherwise have reported it. Before the first poll the start of the process is the bound. Unix ms.
         self.earliest_arrival_ms = started_at_ms
         self.last_poll_ended_ms = started_at_ms
         super().__init__()
         self._poller = TimedPoller(self._poller, self.poll_ended)
 
     def poll_ended(self) -> None:
-        """Note the time: it bounds the arrival of what the poll after this one finds."""
+        """Record the time of this poll's end, the earliest arrival of data that the next poll reports."""
         self.earliest_arrival_ms = self.last_poll_ended_ms
         self.last_poll_ended_ms = self.timer_queue.clock()
 
     def timeout(self) -> float | None:
-        """How long a poll may wait, in seconds: until the first timer of either kind; None without one."""
+        """Return the longest wait of a poll, in seconds, until the first timer of either kind, or None."""
         twisted_s = super().timeout()
         queue_s = self.timer_queue.seconds_until_next()
         if queue_s is None:
@@ -59,6 +62,6 @@
         return queue_s if twisted_s is None else min(twisted_s, queue_s)
 
     def runUntilCurrent(self) -> None:
-        """Run Twisted's timers that are due, then the gateway's."""
+        """Run the expired timers of Twisted, then those of the gateway."""
         super().runUntilCurrent()
         self.timer_queue.run_due()
--- a/granitedock/service/timer_queue.py
+++ b/granitedock/service/timer_queue.py
@@ -1,7 +1,7 @@
-"""The timers that the state machine asks for, ordered by the time they are due.
+"""The timers of the state machine, ordered by the time at which they expire.
 
-Twisted's own timers are not used for them: most are cancelled before they are due, and a cancelled one here
-costs the event loop nothing.
+They are separate from Twisted's timers because most are cancelled before they expire, and a cancelled timer
+in this queue costs the event loop nothing.
 """
 
 from __future__ import annotations
@@ -15,37 +15,37 @@
 
 
 class QueuedTimer(Protocol):
-    """What the queue needs of a timer."""
+    """The fields of a timer that the queue uses."""
 
-    due: float  # Unix ms
-    input: Input | None  # that it brings; None once it is cancelled
-    arguments: tuple[Any, ...]  # of that input
+    due: float  # The time at which the timer expires, Unix ms.
+    input: Input | None  # The input to handle at that time, or None once the timer is cancelled.
+    arguments: tuple[Any, ...]  # The arguments of the input.
 
 
 class TimerQueue:
-    """A heap of timers. A cancelled one has lost its input and brings none."""
+    """A heap of timers. A cancelled timer has no input and stays in the heap until it reaches the top."""
 
-    handle_input: InputHandler  # set by the service before the first timer is due
+    handle_input: InputHandler  # The service sets it before the first timer expires.
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.added = 0  # orders timers that are due at the same time
+        self.added = 0  # Orders timers that expire at the same time.
         self.heap: list[tuple[float, int, QueuedTimer]] = []
 
     def add(self, timer: QueuedTimer) -> None:
-        """Start a timer."""
+        """Add a timer."""
         self.added += 1
         heapq.heappush(self.heap, (timer.due, self.added, timer))
 
     def seconds_until_next(self) -> float | None:
-        """How long the event loop may wait for I/O, in seconds; None without a timer."""
+        """Return the time until the next timer expires, in seconds, or None without a timer."""
         heap = self.heap
         while heap and heap[0][2].input is None:
             heapq.heappop(heap)
         return max(0.0, (heap[0][0] - self.clock()) / MS_PER_S) if heap else None
 
     def run_due(self) -> None:
-        """Bring the inputs of all timers that are due now."""
+        """Handle the inputs of all timers that have expired."""
         heap = self.heap
         now = self.clock() if heap else 0.0
         while heap and heap[0][0] <= now:
--- a/granitedock/service/timers.py
+++ b/granitedock/service/timers.py
@@ -1,4 +1,4 @@
-"""Timers of the state machines: an input that comes back at a time, and those that the policy asked for."""
+"""Timers of the state machines: inputs scheduled for a time, and the timers of the policy."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
     from granitedock.service.context import Context
 
 
-# Bound once for the request path: Python 3.11 takes 0.2 us to look a member up on its enum.
+# This member is bound once for the request path: Python 3.11 takes 0.2 us to look up a member of an enum.
 POLICY_TIMER_FIRED = Input.POLICY_TIMER_FIRED
 
 
 @dataclass(eq=False, slots=True)
 class Timer:
-    """An input with its arguments, due at a time in Unix ms. Without an input it is cancelled."""
+    """An input with its arguments, scheduled for the time `due` in Unix ms; cancelled if it has no input."""
 
     due: float
     input: Input | None
     arguments: tuple[Any, ...]
 
     def cancel(self) -> None:
-        """Guards the memory: its arguments, with all their bytes, are not kept until it is due."""
+        """Cancel the timer and drop its arguments, so that their memory is not kept until it expires."""
         self.input = None
         self.arguments = ()
 
 
 class PolicyTimers:
-    """The policy's timers that have not fired, each under the reason that the policy gave."""
+    """The policy's timers that have not fired, each by the subject that the policy passed."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.by_reason: dict[object, Timer] = {}
+        self.by_subject: dict[object, Timer] = {}
 
-    def start(self, after_ms: float, reason: object) -> None:
-        """Give `reason` back to the policy in so many ms."""
+    def start(self, after_ms: float, subject: object) -> None:
+        """Start a timer that passes `subject` back to the policy after `after_ms`."""
         due = self.context.now + after_ms
-        self.by_reason[reason] = self.context.schedule(due, POLICY_TIMER_FIRED, reason)
+        self.by_subject[subject] = self.context.schedule(due, POLICY_TIMER_FIRED, subject)
 
-    def fired(self, reason: object) -> None:
-        """The timer is over."""
-        self.by_reason.pop(reason, None)
+    def fired(self, subject: object) -> None:
+        """Remove a timer that has fired."""
+        self.by_subject.pop(subject, None)
 
-    def cancel(self, reason: object) -> None:
-        """The policy would ignore this timer now, so it need not fire."""
-        timer = self.by_reason.pop(reason, None)
+    def cancel(self, subject: object) -> None:
+        """Cancel a timer that the policy would ignore."""
+        timer = self.by_subject.pop(subject, None)
         if timer is not None:
             timer.cancel()
