--- a/tests/service/test_discovery_watch.py
+++ b/tests/service/test_discovery_watch.py
@@ -1,4 +1,8 @@
-"""What discovery has is told within 6 s, 4 s after SIGHUP, whatever the watch meets on the way."""
+"""An endpoint update that discovery has arrives within 6 s, or within 4 s of a SIGHUP.
+
+Guards against watches that fail one after the other, by silence, an incomplete list, a refusal or a connect
+timeout, and whose timeouts and backoffs add up to a longer delay.
+"""
 
 from itertools import permutations
 from random import Random
@@ -11,10 +15,12 @@
 from granitedock.service.lifecycle import LifecycleState
 from granitedock.service.limits import Limits
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-SHED = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-HALF = b'{"generation": 7, "reset": true, "instances": [\n'
-NEWS = HALF + b' {"instanceId": "new", "hostPort": "127.0.0.1:9", "lifecycle": "in_service"}]}\n'
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+INCOMPLETE_LIST = b'{"generation": 7, "reset": true, "instances": [\n'
+COMPLETE_LIST = (
+    INCOMPLETE_LIST + b' {"instanceId": "new", "hostPort": "127.0.0.1:9", "lifecycle": "in_service"}]}\n'
+)
 
 
 def chunk(text):
@@ -22,119 +28,141 @@
 
 
 class Discovery:
-    """Meets each dial of the watch by the next of its `ways`, and speaks once they are used up."""
+    """Answers each connection attempt of the watch by the next of its `behaviours`, and then with a list."""
 
-    def __init__(self, wired, ways):
-        self.wired, self.ways, self.open, self.due, self.reached = wired, list(ways), [], [], 0.0
+    def __init__(self, gateway, behaviours):
+        self.gateway, self.behaviours, self.transports, self.calls, self.reached = (
+            gateway,
+            list(behaviours),
+            [],
+            [],
+            0.0,
+        )
 
     def pass_ms(self, ms):
-        wired, end = self.wired, self.wired.now + ms
-        while wired.now < end:
-            wired.pass_ms(10)
-            for n in [n for n, dial in enumerate(wired.dials) if dial[2] is Input.WATCH_DISCONNECTED][::-1]:
-                self.meet(n)
-            for at, act in [row for row in self.due if row[0] <= wired.now]:
-                self.due.remove((at, act))
-                act()
-            for line in self.open:
-                if line.closed == "aborted":
-                    line.closed = "told"
-                    line.link.connectionLost()
-
-    def meet(self, n):
-        way = self.ways.pop(0) if self.ways else "speaks"
-        if way == "refused":
-            self.wired.fails(n)
+        gateway, end = self.gateway, self.gateway.now + ms
+        while gateway.now < end:
+            gateway.pass_ms(10)
+            for index in [
+                index for index, dial in enumerate(gateway.dials) if dial[2] is Input.WATCH_DISCONNECTED
+            ][::-1]:
+                self.answer_connect(index)
+            for at, call in [row for row in self.calls if row[0] <= gateway.now]:
+                self.calls.remove((at, call))
+                call()
+            for transport in self.transports:
+                if transport.closed == "aborted":
+                    transport.closed = "reported"
+                    transport.link.connectionLost()
+
+    def answer_connect(self, index):
+        behaviour = self.behaviours.pop(0) if self.behaviours else "complete list"
+        if behaviour == "refused":
+            self.gateway.fails(index)
             return
-        if way == "never up":  # its time as the dialler has it
-            dial = self.wired.dials.pop(n)
-            late = self.wired.now + self.wired.limits.watch_connect_ms
-            self.due.append((late, lambda: self.wired.handle_input(Input.WATCH_DISCONNECTED, dial[1])))
+        if behaviour == "connect timeout":  # The connector reports the failure after its timeout.
+            dial = self.gateway.dials.pop(index)
+            fails_at = self.gateway.now + self.gateway.limits.watch_connect_ms
+            self.calls.append(
+                (fails_at, lambda: self.gateway.handle_input(Input.WATCH_DISCONNECTED, dial[1]))
+            )
             return
-        line = self.wired.comes_up(n)
-        self.open.append(line)
-        said = {"shed": SHED, "head only": HEAD, "half": HEAD + chunk(HALF), "speaks": HEAD + chunk(NEWS)}
-        if way in said:
-            line.link.dataReceived(said[way])
-        if way == "half":  # its first bytes come late, and go on for ever
+        transport = self.gateway.comes_up(index)
+        self.transports.append(transport)
+        responses = {
+            "unavailable": UNAVAILABLE,
+            "head only": RESPONSE_HEAD,
+            "incomplete list": RESPONSE_HEAD + chunk(INCOMPLETE_LIST),
+            "complete list": RESPONSE_HEAD + chunk(COMPLETE_LIST),
+        }
+        if behaviour in responses:
+            transport.link.dataReceived(responses[behaviour])
+        if behaviour == "incomplete list":  # Further bytes of the list arrive every 50 ms without an end.
             for ms in range(50, 4000, 50):
-                self.due.append((self.wired.now + ms, lambda: self.trickle(line)))
+                self.calls.append((self.gateway.now + ms, lambda: self.send_space(transport)))
 
-    def trickle(self, line):
-        if not line.closed:
-            line.link.dataReceived(chunk(b" "))
+    def send_space(self, transport):
+        if not transport.closed:
+            transport.link.dataReceived(chunk(b" "))
 
-    def told_after(self, began):
-        while "new" not in self.wired.state_machine.endpoints.by_name:
-            assert self.wired.now - began < 9000, "never told"
+    def ms_until_list(self, since):
+        while "new" not in self.gateway.state_machine.endpoints.by_name:
+            assert self.gateway.now - since < 9000, "the list never arrived"
             self.pass_ms(10)
-        return self.wired.now - began
+        return self.gateway.now - since
 
 
-BAD = ["silent", "head only", "half", "refused", "never up", "shed"]
+FAILURES = ["silent", "head only", "incomplete list", "refused", "connect timeout", "unavailable"]
 
 
-@pytest.mark.parametrize("ways", list(permutations(BAD, 2)), ids=" then ".join)
-def test_an_endpoint_update_comes_in_time_after_a_silence_and_two_watches_that_fail(ways):
+@pytest.mark.parametrize("behaviours", list(permutations(FAILURES, 2)), ids=" then ".join)
+def test_an_update_arrives_within_six_seconds_after_a_silent_watch_and_two_failed_watches(behaviours):
     for seed in range(3):
-        wired = Wired()
-        wired.counter_up()
-        discovery = Discovery(wired, ways)
-        discovery.open.append(wired.watch)
-        wired.watch.link.dataReceived(HEAD + chunk(b"\n"))
+        gateway = Wired()
+        gateway.counter_up()
+        discovery = Discovery(gateway, behaviours)
+        discovery.transports.append(gateway.watch)
+        gateway.watch.link.dataReceived(RESPONSE_HEAD + chunk(b"\n"))
         discovery.pass_ms(Random(seed).randrange(0, 1000, 10))
-        wired.watch.link.dataReceived(chunk(b"\n"))  # and from here on it is silent, with news at once
-        assert discovery.told_after(wired.now) <= 6000.0
+        gateway.watch.link.dataReceived(chunk(b"\n"))
+        # From here on discovery has an update and this watch is silent.
+        assert discovery.ms_until_list(gateway.now) <= 6000.0
 
 
-@pytest.mark.parametrize("first", BAD)
-def test_an_endpoint_update_comes_in_time_after_long_refusals_and_a_watch_that_fails(first):
+@pytest.mark.parametrize("first", FAILURES)
+def test_an_update_arrives_within_six_seconds_after_the_longest_backoff_and_a_failed_watch(first):
     for seed in range(3):
-        wired = Wired()
-        wired.counter_up()
-        discovery = Discovery(wired, ["refused"] * 99)
-        discovery.open.append(wired.watch)
-        wired.watch.link.connectionLost()
+        gateway = Wired()
+        gateway.counter_up()
+        discovery = Discovery(gateway, ["refused"] * 99)
+        discovery.transports.append(gateway.watch)
+        gateway.watch.link.connectionLost()
         discovery.pass_ms(15000 + Random(seed).randrange(0, 1500, 10))
-        discovery.ways = [first]  # reached from now on
-        assert discovery.told_after(wired.now) <= 6000.0
+        discovery.behaviours = [first]  # From now on discovery is reachable.
+        assert discovery.ms_until_list(gateway.now) <= 6000.0
 
 
-@pytest.mark.parametrize("ways", list(permutations(BAD, 2)), ids=" then ".join)
-def test_an_endpoint_update_comes_within_four_seconds_of_a_file_that_moves_discovery(ways):
-    wired = Wired()
-    wired.counter_up()
-    discovery = Discovery(wired, ways)
-    discovery.open.append(wired.watch)
-    wired.watch.link.dataReceived(HEAD + chunk(b"\n"))
+@pytest.mark.parametrize("behaviours", list(permutations(FAILURES, 2)), ids=" then ".join)
+def test_an_update_arrives_within_four_seconds_of_a_new_discovery_address(behaviours):
+    gateway = Wired()
+    gateway.counter_up()
+    discovery = Discovery(gateway, behaviours)
+    discovery.transports.append(gateway.watch)
+    gateway.watch.link.dataReceived(RESPONSE_HEAD + chunk(b"\n"))
     discovery.pass_ms(300)
-    began = wired.now
-    wired.handle_input(Input.ADDRESSES_CHANGED, False, True)
-    assert discovery.told_after(began) <= 4000.0
+    changed_at = gateway.now
+    gateway.handle_input(Input.ADDRESSES_CHANGED, False, True)
+    assert discovery.ms_until_list(changed_at) <= 4000.0
 
 
-@pytest.mark.parametrize("ways", [["refused"] * 2, ["silent"], ["half"], ["never up", "silent"]])
-def test_a_start_gets_its_endpoints_in_time_too(ways):
-    wired = Wired(hosts=0)
-    discovery = Discovery(wired, ways)
-    assert discovery.told_after(wired.now) <= 6000.0
+@pytest.mark.parametrize(
+    "behaviours", [["refused"] * 2, ["silent"], ["incomplete list"], ["connect timeout", "silent"]]
+)
+def test_a_start_without_a_list_receives_one_within_six_seconds(behaviours):
+    gateway = Wired(hosts=0)
+    discovery = Discovery(gateway, behaviours)
+    assert discovery.ms_until_list(gateway.now) <= 6000.0
 
 
 @pytest.mark.parametrize("connect_ms", [None, 100, 250, 1000, 5000])
-def test_the_bound_holds_by_the_limits_themselves_whatever_the_settings_say_of_hosts(connect_ms):
-    born = BORN | {"Allowed": BORN["Allowed"] | {"ConnectTimeoutMs": connect_ms}}
-    assert update_bound_ms(Limits.from_platform_file({"settings": born})) <= 6000.0
-
-
-@pytest.mark.parametrize("known", [True, False])
-@pytest.mark.parametrize("way", ["silent", "head only", "half", "refused", "never up", "shed"])
-def test_a_start_is_over_in_ten_seconds_whatever_discovery_does_and_with_no_known_hosts(way, known):
-    wired = Wired(hosts=2 if known else 0)
-    front = wired.client()
-    front.link.dataReceived(b"*1\r\n$4\r\nPING\r\n")
-    discovery = Discovery(wired, [way] * 99)
-    while not front.written:
-        assert wired.now - 100000.0 < 10000.0
+def test_the_bound_by_the_limits_is_at_most_six_seconds_with_any_connect_timeout_of_hosts(connect_ms):
+    settings = BORN | {"Allowed": BORN["Allowed"] | {"ConnectTimeoutMs": connect_ms}}
+    assert update_bound_ms(Limits.from_platform_file({"settings": settings})) <= 6000.0
+
+
+@pytest.mark.parametrize("has_initial_list", [True, False])
+@pytest.mark.parametrize(
+    "behaviour", ["silent", "head only", "incomplete list", "refused", "connect timeout", "unavailable"]
+)
+def test_a_start_ends_within_ten_seconds_whatever_discovery_does_with_or_without_a_list(
+    behaviour, has_initial_list
+):
+    gateway = Wired(hosts=2 if has_initial_list else 0)
+    client = gateway.client()
+    client.link.dataReceived(b"*1\r\n$4\r\nPING\r\n")
+    discovery = Discovery(gateway, [behaviour] * 99)
+    while not client.written:
+        assert gateway.now - 100000.0 < 10000.0
         discovery.pass_ms(50)
-    assert front.took() == b"+PONG\r\n" and wired.state_machine.state is LifecycleState.SERVING
-    assert wired.now - 100000.0 <= (1100.0 if known else wired.limits.ready_most_ms + 100.0)
+    assert client.took() == b"+PONG\r\n" and gateway.state_machine.state is LifecycleState.SERVING
+    assert gateway.now - 100000.0 <= (1100.0 if has_initial_list else gateway.limits.ready_most_ms + 100.0)
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -1,4 +1,8 @@
-"""One story of the whole process, against stand-ins on loopback that it starts itself."""
+"""The whole process from its start to its exit, with servers on loopback that the test starts.
+
+Guards against a process that does not serve, that is changed by an unreadable platform file on SIGHUP, or
+that exits on SIGTERM before it has answered the requests that it accepted.
+"""
 
 import json
 import signal
@@ -16,8 +20,8 @@
 VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
 
-def stand_in(answer):
-    """A server on a free port that answers each command."""
+def start_server(answer):
+    """Start a server on a free port that answers each command with `answer`, and return its address."""
 
     class Handler(StreamRequestHandler):
         def handle(self):
@@ -36,8 +40,8 @@
     return f"127.0.0.1:{server.server_address[1]}"
 
 
-def host(words):
-    if b"slow" in words[-1]:
+def host_response(arguments):
+    if b"slow" in arguments[-1]:
         time.sleep(0.8)
     return VALUE
 
@@ -47,24 +51,24 @@
     return encode_command(b"API.WRITE", b"00000000000000a1", b"0123456789abcdef", text, body)
 
 
-def test_the_process_serves_moves_on_sighup_and_a_sigterm_answers_what_it_took_and_exits_with_0(tmp_path):
-    entry = {"instanceId": "h", "hostPort": stand_in(host), "lifecycle": "in_service"}
+def test_the_process_serves_follows_sighup_and_on_sigterm_answers_all_requests_and_exits_with_0(tmp_path):
+    entry = {"instanceId": "h", "hostPort": start_server(host_response), "lifecycle": "in_service"}
     listing = json.dumps({"generation": 2, "reset": True, "instances": [entry]}).encode() + b"\n"
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(listing), listing)
     with socket.create_server(("127.0.0.1", 0)) as free:
         address = free.getsockname()
-    told = {
+    platform_file = {
         "name": "g0",
         "listen": f"127.0.0.1:{address[1]}",
-        "discovery": stand_in(lambda _: chunked),
-        "counter": stand_in(lambda _: encode_bulk_string(b"1")),
+        "discovery": start_server(lambda _: chunked),
+        "counter": start_server(lambda _: encode_bulk_string(b"1")),
         "seed": "07",
         "settings": BORN,
     }
     path = tmp_path / "told.json"
-    path.write_text(json.dumps(told))
-    run = [sys.executable, "-m", "granitedock"]
-    process = subprocess.Popen([*run, "serve", "--told", str(path)], stderr=subprocess.PIPE)
+    path.write_text(json.dumps(platform_file))
+    command = [sys.executable, "-m", "granitedock"]
+    process = subprocess.Popen([*command, "serve", "--told", str(path)], stderr=subprocess.PIPE)
     try:
         for _ in range(100):
             try:
@@ -73,28 +77,30 @@
             except ConnectionRefusedError:
                 time.sleep(0.1)
         client.sendall(encode_command(b"PING"))
-        said = client.makefile("rb")
-        assert said.readline() == b"+PONG\r\n"  # discovery has spoken, so there is a host
+        replies = client.makefile("rb")
+        assert replies.readline() == b"+PONG\r\n"  # The endpoint list has arrived, so there is a host.
         client.sendall(request(b"fast"))
-        assert said.read(len(VALUE)) == VALUE
-        counters = subprocess.run([*run, "counters", told["listen"]], capture_output=True, timeout=10)
+        assert replies.read(len(VALUE)) == VALUE
+        counters = subprocess.run(
+            [*command, "counters", platform_file["listen"]], capture_output=True, timeout=10
+        )
         assert b"done:1" in counters.stdout.split() and counters.returncode == 0
         calls = []
-        elsewhere = stand_in(lambda words: calls.append(words) or encode_bulk_string(b"1"))
-        for text, most in ("{", 2), (json.dumps(told | {"counter": elsewhere}), 50):
-            assert not calls  # a file that can't be read changes nothing
+        other_counter = start_server(lambda arguments: calls.append(arguments) or encode_bulk_string(b"1"))
+        for text, requests_left in ("{", 2), (json.dumps(platform_file | {"counter": other_counter}), 50):
+            assert not calls  # An unreadable file changes nothing.
             path.write_text(text)
             process.send_signal(signal.SIGHUP)
-            while most and not calls:  # a slow machine hears the signal later
+            while requests_left and not calls:  # The signal may be handled later on a slow machine.
                 time.sleep(0.1)
                 client.sendall(request(b"fast"))
-                assert said.read(len(VALUE)) == VALUE
-                most -= 1
-        assert [words[0] for words in calls] == [b"TALLY"]
+                assert replies.read(len(VALUE)) == VALUE
+                requests_left -= 1
+        assert [arguments[0] for arguments in calls] == [b"TALLY"]
         client.sendall(request(b"slow"))
         time.sleep(0.2)
         process.send_signal(signal.SIGTERM)
-        assert said.read(len(VALUE)) == VALUE and said.read() == b""
+        assert replies.read(len(VALUE)) == VALUE and replies.read() == b""
         _, lines = process.communicate(timeout=10)
         events = [json.loads(line) for line in lines.splitlines()]
         assert process.returncode == 0
@@ -104,11 +110,11 @@
         process.wait()
 
 
-def test_the_service_imports_none_of_the_optional_parts_and_the_process_none_that_is_off():
-    parts = ("membership", "quota_sharing", "outlier_detection", "configuration")
+def test_the_service_imports_no_optional_package_and_the_process_none_that_is_disabled():
+    optional = ("membership", "quota_sharing", "outlier_detection", "configuration")
     for module in ("granitedock.service.gateway_service", "granitedock.gateway_process"):
         code = f"import sys, {module}\nprint(*(m for m in sys.modules if m.startswith('granitedock.')))"
         loaded = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
         names = loaded.stdout.split()
         assert module in names
-        assert not [name for name in names if name.split(".")[1] in parts]
+        assert not [name for name in names if name.split(".")[1] in optional]
