--- a/granitedock/service/lifecycle.py
+++ b/granitedock/service/lifecycle.py
@@ -132,9 +132,9 @@
     def rejects_requests(self) -> bool:
         """Whether new requests are rejected at once.
 
-        That is so during the shutdown, and also from SIGTERM on if no endpoint list has arrived by then. The
-        latter prevents attempts at draining hosts: the initial list may be outdated, and the list that would
-        show the drain never arrived.
+        That is so once the listener is closed, and also while the process drains without having received an
+        endpoint list. The latter prevents attempts at draining hosts: the initial list may be outdated, and
+        the list that would show the drain has not arrived.
         """
         return self.state in SHUTDOWN_STATES or (self.state is DRAINING and not self.has_endpoints)
 
