--- a/granitedock/model_checking/modelled_connections.py
+++ b/granitedock/model_checking/modelled_connections.py
@@ -55,7 +55,7 @@
         """As `abort`: all is written at once."""
         self.abort()
 
-    def end(self) -> None:
+    def close_both_sides(self) -> None:
         """As `abort`: all is written at once."""
         self.abort()
 
--- a/granitedock/service/__init__.py
+++ b/granitedock/service/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway on sockets, round the decisions."""
+"""The gateway's network service: sockets, timers and state machines around the request policy."""
--- a/granitedock/service/callbacks.py
+++ b/granitedock/service/callbacks.py
@@ -1,9 +1,9 @@
-"""Types of the callbacks that connections, timers and effects are given."""
+"""Types of the callbacks passed to connections, timers and effects."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-# Hands one input to the state machine: its name, then its arguments. Inputs that effects bring about at once
-# are queued behind the one being processed.
+# Passes one input to the state machine: its name, then its arguments. An input that an effect causes
+# synchronously is queued behind the one being handled.
 InputHandler = Callable[..., None]
--- a/granitedock/service/client_commands.py
+++ b/granitedock/service/client_commands.py
@@ -1,6 +1,6 @@
-"""Clients' commands that are no requests: PING, INFO and what else only shows something.
+"""Clients' commands other than requests: PING, INFO and further commands that only report a status.
 
-Owns the PINGs that wait for the gateway to serve, and the further commands that other parts add.
+Owns the PINGs that wait for the gateway to serve, and the status commands that other packages register.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class ClientCommands:
-    """Replies to commands that are no requests."""
+    """Replies to commands other than requests."""
 
     clients: ClientConnections
     replies: ReplyQueues
@@ -38,7 +38,7 @@
     def __init__(self, context: Context) -> None:
         self.context = context
         self.waiting_pings: list[tuple[ClientConnection, CommandReply]] = []
-        self.status_commands: dict[bytes, Callable[[], bytes]] = {}  # by name; the function words the reply
+        self.status_commands: dict[bytes, Callable[[], bytes]] = {}  # by name; each returns the reply
 
     def attach(
         self,
@@ -48,7 +48,7 @@
         hosts: HostConnections,
         lifecycle: Lifecycle,
     ) -> None:
-        """Set the machines that this one calls."""
+        """Set the state machines that this one calls."""
         self.clients = clients
         self.replies = replies
         self.requests = requests
@@ -56,7 +56,7 @@
         self.lifecycle = lifecycle
 
     def received(self, client: ClientConnection, name: bytes) -> None:
-        """A command of this name, in capitals, came."""
+        """Reply to a command; `name` is in capitals."""
         if not self.clients.accepts_commands(client):
             return
         if name == b"PING":
@@ -73,32 +73,33 @@
 
     def _ping(self, client: ClientConnection) -> None:
         if self.lifecycle.state is LifecycleState.STARTING:
-            waiting = CommandReply()
-            self.replies.append(client, waiting)
-            self.waiting_pings.append((client, waiting))
+            entry = CommandReply()
+            self.replies.append(client, entry)
+            self.waiting_pings.append((client, entry))
         else:
             self.replies.reply(client, CLOSING if self.lifecycle.shutting else PONG)
 
     def answer_pings(self, serving: bool) -> None:
-        """The gateway serves, or is to end: reply to each PING that waited.
+        """Reply to each queued PING, as the gateway begins to serve or to shut down.
 
-        Guards against a PING whose connection ended while we started (the load balancer in front gives up
-        when discovery is slow at a release): its queue is gone, and filling it would fail before the requests
-        taken meanwhile are released, leaving every one of them to its watchdog (herd+vast).
+        Skips a PING whose connection closed during the start, as when the load balancer in front times out
+        while discovery is slow at a release. The reply queue of that connection is gone; filling it would
+        fail before the requests queued at start are released, so that each of them would end only by its
+        watchdog (herd+vast).
         """
         answer = PONG if serving else CLOSING
-        for client, waiting in self.waiting_pings:
+        for client, entry in self.waiting_pings:
             if client.state is not ClientState.CLOSED:
-                self.replies.fill(client, waiting, answer)
+                self.replies.fill(client, entry, answer)
         self.waiting_pings = []
 
     def counters(self) -> list[tuple[bytes, int]]:
-        """The counters and gauges as INFO shows them, by name."""
+        """Return the counters and gauges that INFO reports, sorted by name."""
         gauges = {
             counter_names.TASKS_NOW: len(self.requests.in_flight),
             counter_names.CLIENT_LINKS_NOW: len(self.clients.connections),
             counter_names.HOST_LINKS_NOW: self.hosts.open_count,
             counter_names.HELD_BYTES_NOW: self.requests.held_bytes(),
         }
-        shown = {**self.context.counts, **gauges}
-        return [(name.encode(), number) for name, number in sorted(shown.items())]
+        figures = {**self.context.counts, **gauges}
+        return [(name.encode(), number) for name, number in sorted(figures.items())]
--- a/granitedock/service/client_connections.py
+++ b/granitedock/service/client_connections.py
@@ -1,7 +1,7 @@
-"""Clients' connections: accepted, checked from time to time, and closed.
+"""The lifetime of clients' connections: accepting, periodic checks and closing.
 
-Owns the state of each connection and whether new ones are accepted. Replies and their order are the reply
-queues' (`reply_queues`), requests the in-flight requests' (`in_flight_requests`).
+Owns the state of each connection and whether new ones are accepted. Replies and their order belong to the
+reply queues (`reply_queues`), requests to the in-flight requests (`in_flight_requests`).
 """
 
 from __future__ import annotations
@@ -22,48 +22,49 @@
     from granitedock.service.ports import ClientLinkPort
     from granitedock.service.reply_queues import CommandReply, ReplyQueues
 
-COMMANDS_PER_REQUEST = 16  # so many commands may wait for each request that may wait on a connection
-NOT_ENDED = "command not ended"
+# The limit of pending commands on a connection, as a multiple of its limit of queued requests.
+PENDING_COMMANDS_PER_REQUEST = 16
+COMMAND_NOT_ENDED = "command not ended"
 
 
 class ClientState(Enum):
     """The state of a client's connection."""
 
     OPEN = "open"
-    MALFORMED = "malformed"  # no command is read any more; what came before is still answered
-    CLOSING = "closing"  # our side is closed, or will be once all is written
+    MALFORMED = "malformed"  # further input is ignored; earlier commands are still answered
+    CLOSING = "closing"  # the sending direction is closed, or will be once all output is written
     CLOSED = "closed"
 
     __hash__ = object.__hash__
 
 
-# Bound once for the request path: Python 3.11 takes 0.2 us to look a member up on its enum.
+# Looked up once for the request path: in Python 3.11, access to an enum member takes 0.2 us.
 OPEN = ClientState.OPEN
 
 
 @dataclass(eq=False, slots=True)
 class ClientConnection:
-    """A client's connection. Times are Unix ms."""
+    """A client's connection. Times are in Unix ms."""
 
     link: ClientLinkPort
-    # Written by the reply queues.
+    # Written by `ReplyQueues`.
     pending: deque[CommandReply | InFlightRequest] = field(default_factory=deque)  # in order of arrival
     write_paused: bool = False
-    unread_bytes: int = 0  # written since the client stopped reading
-    idle_since: float = 0.0  # when it was accepted, or last got a reply
-    # Written by the client connections.
+    unread_bytes: int = 0  # bytes of replies written since the client stopped reading
+    idle_since: float = 0.0  # time of the last reply, or of accepting the connection
+    # Written by `ClientConnections`.
     state: ClientState = OPEN
-    sent_request: bool = False  # well-formed as a command, whether it was taken or not
+    sent_request: bool = False  # set by any well-formed request, even if it is rejected
     malformed_since: float = 0.0
     closing_since: float = 0.0
-    write_closed_at: float | None = None  # None while replies are not written
-    partial_since: float = 0.0  # when a command was first found begun and not ended; 0 where none is
-    received_bytes: int = 0  # when that command was last looked at
-    progress_at: float = 0.0  # and when that was more than before
+    write_closed_at: float | None = None  # None until all replies are written
+    partial_since: float = 0.0  # first check that saw the current partial command; 0 without one
+    received_bytes: int = 0  # total of the connection at the last check of the partial command
+    progress_at: float = 0.0  # last check at which that total had grown
 
 
 class ClientConnections:
-    """The state machine of all clients' connections of one gateway."""
+    """The state machine for all clients' connections of one gateway."""
 
     replies: ReplyQueues
     requests: InFlightRequests
@@ -75,38 +76,39 @@
         self.accept_paused = False
 
     def attach(self, replies: ReplyQueues, requests: InFlightRequests, lifecycle: Lifecycle) -> None:
-        """Set the machines that this one calls."""
+        """Set the state machines that this one calls."""
         self.replies = replies
         self.requests = requests
         self.lifecycle = lifecycle
 
-    # Connections that come.
+    # Accepting connections.
 
     def connected(self, link: ClientLinkPort) -> None:
-        """A client's connection was accepted."""
+        """Register an accepted connection; over the limits, evict idle ones, pause accepting or reset it."""
         context = self.context
         limits = context.limits
         client = link.record = ClientConnection(link, idle_since=context.now)
         self.connections[client] = None
         context.counts[counter_names.CLIENT_LINKS] += 1
         if len(self.connections) >= limits.client_links:
-            self._make_room(1)
+            self._evict_idle(1)
         if len(self.connections) > limits.client_over:
             context.counts[counter_names.CLIENT_LINKS_OVER] += 1
             context.emit(link.abort)
         elif len(self.connections) >= limits.client_most and not self.accept_paused:
-            self._accept(False)
+            self._set_accepting(False)
             context.schedule(context.now + limits.fresh_ms, Input.CLIENT_LIMIT_CHECK)
 
-    def _make_room(self, most: int) -> None:
-        """Close up to `most` connections: first those that have sent no request, then the longest idle.
+    def _evict_idle(self, max_count: int) -> None:
+        """Close up to `max_count` connections: first those that have sent no request, then the longest idle.
 
-        Guards against running out of descriptors. One that came or got a reply just now is left alone, as a
-        command may be on its way; where there are only such, accepting pauses. Hurts a client that opens
-        connections before it needs them, or sends a command in pieces.
+        Prevents the process from running out of file descriptors; the cost is borne by a client that opens
+        connections before it needs them, or sends a command in pieces. A connection that was accepted or
+        received a reply only recently stays open, as a command may be in flight; if all connections are such,
+        accepting pauses.
         """
         context = self.context
-        came_before = context.now - context.limits.fresh_ms
+        accepted_before = context.now - context.limits.fresh_ms
         idle_before = context.now - context.limits.rest_ms
         idle = [
             client
@@ -114,20 +116,20 @@
             if client.state is OPEN
             and not client.pending
             and not client.write_paused
-            and client.idle_since <= (idle_before if client.sent_request else came_before)
+            and client.idle_since <= (idle_before if client.sent_request else accepted_before)
         ]
-        for client in sorted(idle, key=lambda client: (client.sent_request, client.idle_since))[:most]:
+        for client in sorted(idle, key=lambda client: (client.sent_request, client.idle_since))[:max_count]:
             context.emit(
                 client.link.check_unread, Input.CLIENT_IDLE if client.sent_request else Input.CLIENT_SILENT
             )
 
     def check_limit(self) -> None:
-        """While accepting is paused: make room as fast as silent connections come."""
+        """While accepting is paused, evict idle connections as fast as new silent ones arrive."""
         if self.accept_paused:
-            self._make_room(len(self.connections))
+            self._evict_idle(len(self.connections))
             self.context.schedule(self.context.now + self.context.limits.fresh_ms, Input.CLIENT_LIMIT_CHECK)
 
-    def _accept(self, on: bool) -> None:
+    def _set_accepting(self, on: bool) -> None:
         self.accept_paused = not on
         self.context.emit(self.context.io.accept_connections, on)
         self.context.event_log.event(
@@ -136,29 +138,29 @@
             requests=len(self.requests.in_flight),
         )
 
-    # What a client sends.
+    # Input from a client.
 
     def accepts_commands(self, client: ClientConnection) -> bool:
-        """Whether a command that came may be taken.
+        """Return whether a received command is accepted; one too many makes the connection malformed.
 
-        Guards the memory against one connection with no end of commands behind a slow one.
+        Prevents one connection from using up memory with endless commands behind a slow one.
         """
         if client.state is not OPEN:
             return False
-        if len(client.pending) < COMMANDS_PER_REQUEST * self.context.limits.queue:
+        if len(client.pending) < PENDING_COMMANDS_PER_REQUEST * self.context.limits.queue:
             return True
         self.malformed(client, "too many commands wait")
         return False
 
     def accepts_requests(self, client: ClientConnection) -> bool:
-        """Whether a request that came may be taken; the connection counts as used from now on."""
+        """Return whether a received request is accepted; if so, the connection counts as used from now on."""
         if not self.accepts_commands(client):
             return False
         client.sent_request = True
         return True
 
     def malformed(self, client: ClientConnection, why: str) -> None:
-        """No command: say so behind the replies that are due, and close then."""
+        """Send an error reply behind the outstanding replies and then close, as the input is no command."""
         context = self.context
         context.counts[counter_names.MALFORMED] += 1
         context.event_log.event("client malformed", why=why)
@@ -167,46 +169,46 @@
             client.malformed_since = context.now
             self.replies.reply(client, b"-ERR %b\r\n" % why.encode("ascii", "replace")[:200])
 
-    # Connections that end.
+    # Closing connections.
 
     def disconnected(self, client: ClientConnection) -> None:
-        """The connection has ended."""
+        """Remove a disconnected connection, and resume accepting if it was paused and there is room again."""
         client.state = ClientState.CLOSED
         self.connections.pop(client, None)
         if self.accept_paused and len(self.connections) < self.context.limits.client_most:
-            self._accept(True)
+            self._set_accepting(True)
         self.replies.discard(client)
         if self.lifecycle.shutting and not self.connections:
             self.context.follow_up(self.lifecycle.signal, LifecycleEvent.NO_CLIENTS)
 
-    def silent(self, client: ClientConnection) -> None:
-        """Close one that never sent a request, as room is needed."""
+    def close_silent(self, client: ClientConnection) -> None:
+        """Reset a connection that has sent no request, to free its file descriptor."""
         if client.state is OPEN and not client.sent_request:
             self.context.counts[counter_names.CLIENT_LINKS_SILENT] += 1
             self._set_closing(client, None)
             self.context.emit(client.link.abort)
 
-    def idle(self, client: ClientConnection) -> None:
-        """Close one that has been idle for too long."""
+    def close_idle(self, client: ClientConnection) -> None:
+        """Close a connection that has been idle for too long."""
         if client.state is OPEN and not client.pending:
             self.context.counts[counter_names.CLIENT_LINKS_RESTED] += 1
             self._set_closing(client, self.context.now)
-            self.context.emit(client.link.end)
+            self.context.emit(client.link.close_both_sides)
 
     def close_if_idle(self, client: ClientConnection) -> None:
-        """While the process shuts: close a connection that waits for nothing, once its unread bytes are read.
+        """Close a connection without pending commands or unread bytes, while the process shuts down.
 
-        Guards requests that cross our close: one that we have read is answered.
+        Prevents the loss of requests that cross the close: each request that has been read is answered.
         """
         if client.state is OPEN and not client.pending:
             self.context.emit(client.link.check_unread, Input.CLIENT_SHUTDOWN)
 
-    def shutdown(self, client: ClientConnection) -> None:
-        """While the process shuts: nothing of the client's lies unread."""
+    def close_for_shutdown(self, client: ClientConnection) -> None:
+        """Close an idle connection without unread bytes, while the process shuts down."""
         if client.state is not OPEN or client.pending or not self.lifecycle.shutting:
             return
-        # Part of a command, or a connection that has only just come: the rest may be on its way. What a
-        # partial command had of its time before the listener closed does not count.
+        # The rest of a partial command, or the first request on a new connection, may be in flight, and has
+        # `fresh_ms` to arrive. For a partial command, time before the listener closed does not count.
         if client.link.has_partial_message():
             since = max(self.lifecycle.closed_at, client.idle_since)
         else:
@@ -215,18 +217,18 @@
             self._close(client)
 
     def replies_written(self, client: ClientConnection) -> None:
-        """No reply is due on this connection any more."""
+        """Close the connection if it is malformed or the process shuts down, as no reply is outstanding."""
         if client.state is ClientState.MALFORMED:
             self._close(client)
         elif self.lifecycle.shutting:
             self.close_if_idle(client)
 
     def write_closed(self, client: ClientConnection) -> None:
-        """All is written and our side closed; the client has `close_ms` to close its own."""
+        """Record that the sending direction is closed; the client has `close_ms` to close its own."""
         client.write_closed_at = self.context.now
 
     def _close(self, client: ClientConnection) -> None:
-        """Close our side once all replies are written, for which there is `flush_ms`."""
+        """Close the sending direction once all replies are written, within `flush_ms`."""
         self._set_closing(client, None)
         self.context.emit(client.link.close)
 
@@ -238,8 +240,11 @@
     # Periodic maintenance.
 
     def maintain(self) -> None:
-        """Guards against clients that do not close their side, send part of a command and no more, say
-        nothing, or keep a connection that they need no longer."""
+        """Check each connection against the time limits.
+
+        Prevents connections from staying open for clients that do not close their side, stop in the middle of
+        a command, send nothing, or keep a connection that they no longer need.
+        """
         for client in list(self.connections):
             self._inspect(client)
 
@@ -251,7 +256,7 @@
             if self.context.now - client.malformed_since > self.context.limits.spoilt_ms:
                 self.replies.fail_pending(client)
         elif client.write_paused:
-            client.partial_since = 0.0  # what it sent waits until it reads: neither partial nor idle
+            client.partial_since = 0.0  # input is not parsed until the client reads: neither partial nor idle
         elif self.lifecycle.shutting and not client.pending:
             self.close_if_idle(client)
         elif client.link.has_partial_message():
@@ -275,15 +280,16 @@
 
     def _inspect_idle(self, client: ClientConnection) -> None:
         limits = self.context.limits
-        patience = limits.rest_ms if client.sent_request else limits.half_ms
-        if not client.pending and self.context.now - client.idle_since > patience:
-            # It closes without a word, which a request on its way might take for its reply.
+        idle_limit_ms = limits.rest_ms if client.sent_request else limits.half_ms
+        if not client.pending and self.context.now - client.idle_since > idle_limit_ms:
+            # Closes without an error reply, which a request in flight could take for its own reply.
             self.context.emit(client.link.check_unread, Input.CLIENT_IDLE)
 
     def _inspect_partial(self, client: ClientConnection) -> None:
-        """A command has begun and not ended.
+        """Reject a partial command that makes no progress or takes too long in total.
 
-        Guards long commands on slow lines: its time counts from the last bytes; the whole is bounded.
+        Prevents long commands on slow connections from being rejected: `half_ms` counts from the last bytes
+        received. `half_most_ms` bounds the whole command.
         """
         now = self.context.now
         limits = self.context.limits
@@ -292,6 +298,6 @@
             client.received_bytes = client.link.received_bytes
             client.progress_at = now
             if now - client.partial_since > limits.half_most_ms:
-                self.malformed(client, NOT_ENDED)
+                self.malformed(client, COMMAND_NOT_ENDED)
         elif now - client.progress_at > limits.half_ms:
-            self.malformed(client, NOT_ENDED)
+            self.malformed(client, COMMAND_NOT_ENDED)
--- a/granitedock/service/client_protocol.py
+++ b/granitedock/service/client_protocol.py
@@ -1,7 +1,7 @@
-"""The protocol towards clients: their connections, and what their commands say.
+"""The protocol spoken with clients: their connections, and the parsing of their commands.
 
-Parses a command and takes out of it the few fields that decisions need; the rest stays the bytes that came.
-It never answers by itself, keeps a request or changes a state: it hands inputs to the state machine.
+Parses a command and extracts the few fields that decisions need; all other bytes are kept as received. The
+protocol never replies by itself, stores a request or changes a state: it passes inputs to the state machine.
 """
 
 from __future__ import annotations
@@ -25,89 +25,90 @@
 READ_COMMAND = b"API.READ"
 WRITE_COMMAND = b"API.WRITE"
 REQUEST_COMMANDS = (READ_COMMAND, WRITE_COMMAND)
-REQUEST_WORDS = (4, 5)  # how many a request may have: command, customer, id, fields; perhaps a body
-PARTS_BEFORE_FIELDS = 7  # the array's line, and a length and a text for each of three words
-PARTS_WITH_FIELDS = 9
+REQUEST_WORD_COUNTS = (4, 5)  # command, customer, id, fields, and an optional body
+PARTS_BEFORE_FIELDS = 7  # the array header, and the length and text of each of three words
+PARTS_WITH_FIELDS = 9  # and the length and text of the fields
 HEX_CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
-CUSTOMERS = 2**33
+CUSTOMER_NUMBERS = 2**33  # customers are numbered from 0
 REQUEST_ID = re.compile(rb"[!-~]{1,64}").fullmatch
-DECIMAL = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?").fullmatch  # no sign, exponent or word as float takes
+# Matches no sign, exponent or word, all of which `float` would accept.
+DECIMAL = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?").fullmatch
 INTEGER = re.compile(rb"[0-9]{1,9}").fullmatch
 
-# Reason texts, sent to the client.
+# Reasons, sent to the client in error replies.
 NOT_A_COMMAND = "not a command"
-WRONG_WORDS = "a task has four words or five"
-NO_CUSTOMER = "no such customer"
-NO_ID = "a task has an id"
-REPEATED_NAME = "a name stands twice"
-NO_NUMBER = "no such number"
-NO_UNITS = "no such units"
-NO_SUBSET = "no such set"
+WRONG_WORD_COUNT = "a task has four words or five"
+INVALID_CUSTOMER = "no such customer"
+INVALID_ID = "a task has an id"
+DUPLICATE_FIELD = "a name stands twice"
+INVALID_NUMBER = "no such number"
+INVALID_UNITS = "no such units"
+INVALID_SUBSET = "no such set"
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedRequest:
-    """A request as a client sent it, and its bytes round the time that it states."""
+    """A request as received from a client, with its bytes before and after its deadline field."""
 
     id: bytes
     request_class: str
     plan: str
     customer: int
-    idempotent: bool  # by the command it came as
-    keyed: bool  # it has an idempotency key
-    time_left_ms: float  # when the client sent it
+    idempotent: bool  # depends on the command: true for API.READ
+    keyed: bool  # carries an idempotency key
+    time_left_ms: float  # until the deadline, as of when the client sent the request
     units: float
-    subset_size: int  # of the gateways that share its customer's quota
-    subset_start: int
-    bytes_before: bytes  # the words before its fields
-    fields_before: bytes  # its fields up to the figure of the time
-    fields_after: bytes  # its fields from behind that figure
-    bytes_after: bytes  # the words behind its fields
+    subset_size: int  # number of gateways that share the customer's quota
+    subset_start: int  # number of the first of these gateways
+    bytes_before: bytes  # the words before the fields
+    fields_before: bytes  # the fields up to the digits of the time left
+    fields_after: bytes  # the fields after those digits
+    bytes_after: bytes  # the words after the fields
 
     def size(self) -> int:
-        """The bytes it holds in memory."""
+        """Return the length of the stored parts, in bytes."""
         return (
             len(self.bytes_before) + len(self.fields_before) + len(self.fields_after) + len(self.bytes_after)
         )
 
     def encode(self, time_left_ms: float) -> bytes:
-        """The same command for a host that has so long; all else is as it came."""
+        """Return the command with a new time left, in whole ms and at least 1; other bytes are unchanged."""
         time_left = max(1, int(time_left_ms))
         fields = encode_bulk_string(b"%b%d%b" % (self.fields_before, time_left, self.fields_after))
         return self.bytes_before + fields + self.bytes_after
 
 
 def parse_fields(text: bytes, limits: Limits) -> dict[bytes, bytes]:
-    """The fields of a request by their names, with the figures checked. Raises ValueError and KeyError."""
+    """Return the fields of a request by name, with the numbers checked. Raises ValueError and KeyError."""
     pairs = [pair.split(b"=", 1) for pair in text.split(b",")]
-    fields: dict[bytes, bytes] = dict(pairs)  # a ValueError where one is no pair
+    fields: dict[bytes, bytes] = dict(pairs)  # raises ValueError for a field without "="
     if len(fields) != len(pairs):
-        raise ValueError(REPEATED_NAME)
+        raise ValueError(DUPLICATE_FIELD)
     time_left = fields[b"d"]
     units = fields[b"units"]
     size = fields[b"spread"]
     start = fields[b"first"]
     if not (DECIMAL(time_left) and DECIMAL(units) and INTEGER(size) and INTEGER(start)):
-        raise ValueError(NO_NUMBER)
+        raise ValueError(INVALID_NUMBER)
     if not 0.0 < float(units) <= limits.units:
-        raise ValueError(NO_UNITS)
+        raise ValueError(INVALID_UNITS)
     if not (0 < int(size) <= limits.gateways and int(start) < limits.gateways):
-        raise ValueError(NO_SUBSET)
+        raise ValueError(INVALID_SUBSET)
     return fields
 
 
 def parse_request(words: list[Any], parts: list[bytes], limits: Limits) -> ParsedRequest:
-    """A request by the words of its command and the parts of its bytes. Raises RequestFormatError.
+    """Return the request in the words of a command and the parts of its bytes. Raises RequestFormatError.
 
-    Guards the decisions against figures that are none, or out of the range that the settings state: a request
-    is accepted in its exact form, and nothing is put right in it.
+    Prevents decisions on values that are no numbers or lie outside the range in the settings: a request is
+    accepted only in its exact form, and is never corrected.
     """
-    if len(words) not in REQUEST_WORDS or not all(type(word) is bytes for word in words):
-        raise RequestFormatError(WRONG_WORDS)
-    if not HEX_CUSTOMER(words[1]) or (customer := int(words[1], 16)) >= CUSTOMERS:
-        raise RequestFormatError(NO_CUSTOMER)
+    if len(words) not in REQUEST_WORD_COUNTS or not all(type(word) is bytes for word in words):
+        raise RequestFormatError(WRONG_WORD_COUNT)
+    if not HEX_CUSTOMER(words[1]) or (customer := int(words[1], 16)) >= CUSTOMER_NUMBERS:
+        raise RequestFormatError(INVALID_CUSTOMER)
     if not REQUEST_ID(words[2]):
-        raise RequestFormatError(NO_ID)
+        raise RequestFormatError(INVALID_ID)
     text: bytes = words[3]
     try:
         fields = parse_fields(text, limits)
@@ -136,36 +137,40 @@
 
 @implementer(IHalfCloseableProtocol)
 class ClientProtocol(RespReceiver):
-    """One connection of a client. It stops reading while the client leaves answers unread."""
+    """A client's connection. Parses no further input while the client leaves replies unread."""
 
-    record: Any = None  # the state machine's record of the connection
+    record: Any = None  # the state machine's `ClientConnection`
 
     def __init__(self, handle_input: InputHandler, limits: Limits) -> None:
         super().__init__(limits.line, limits.value, limits.whole, limits.items, 1)
         self.handle_input = handle_input
         self.limits = limits
-        self.dropped = 0  # bytes read and dropped since the last `drain_input`
+        self.dropped_bytes = 0  # read and dropped since `drain_input` last resumed reading
 
     def connectionMade(self) -> None:
-        """The connection was accepted."""
+        """Set up the accepted connection and pass it to the state machine."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self.handle_input(Input.CLIENT_CONNECTED, self)
 
     def connectionLost(self, _reason: Failure | None = None) -> None:
-        """The connection ended."""
+        """Notify the state machine that the connection is lost."""
         record = self.record
-        self.record = None  # else each keeps the other until a garbage collection finds the cycle
+        self.record = None  # breaks a reference cycle that otherwise lives until a garbage collection
         self.handle_input(Input.CLIENT_DISCONNECTED, record)
 
     def dataReceived(self, data: bytes) -> None:
-        """Guards the processor against peers that go on sending to a connection that is over: some is read
-        and dropped between two sweeps, and then no more, so that what is due there can still be answered
-        and read. A client that leaves answers unread is read a little further, so that its end is seen."""
+        """Parse received bytes, and bound the input that is read without being parsed.
+
+        Prevents peers that keep sending to a closing connection from using up the processor: between two
+        sweeps a bounded amount is read and dropped, then reading pauses; outstanding replies can still be
+        sent and read. From a client that leaves replies unread, a bounded amount is read and buffered, so
+        that its close is detected.
+        """
         if self.ignoring_input:
             self.received_bytes += len(data)
-            self.dropped += len(data)
-            if self.dropped > self.limits.unread:
+            self.dropped_bytes += len(data)
+            if self.dropped_bytes > self.limits.unread:
                 self.transport.pauseProducing()
             return
         super().dataReceived(data)
@@ -173,7 +178,7 @@
             self.transport.pauseProducing()
 
     def value_received(self, value: Any, parts: list[bytes]) -> None:
-        """A command came."""
+        """Pass a request or another command to the state machine, or reject the input."""
         if type(value) is not list or not value or type(value[0]) is not bytes:
             self.reject_input(NOT_A_COMMAND)
             return
@@ -188,33 +193,42 @@
             self.handle_input(Input.COMMAND_RECEIVED, self.record, value[0].upper())
 
     def malformed(self, why: str) -> None:
-        """The client sent what can't be read."""
+        """Notify the state machine of malformed input."""
         self.handle_input(Input.CLIENT_MALFORMED, self.record, why)
 
     def pauseProducing(self) -> None:
-        """Answers are not read: what comes is kept and not looked at. Guards against an end that is not seen:
-        where nothing at all is read, a client that has gone looks like one that is slow."""
+        """Stop parsing while the client leaves replies unread; input is still read, and buffered.
+
+        Prevents a close from going undetected: without any reading, a disconnected client looks like a slow
+        one.
+        """
         self.paused = True
         self.handle_input(Input.CLIENT_WRITE_PAUSED, self.record)
 
     def resumeProducing(self) -> None:
-        """The client reads its answers again."""
+        """Resume parsing, as the client reads its replies again."""
         self.handle_input(Input.CLIENT_WRITE_RESUMED, self.record)
         super().resumeProducing()
 
     # Effects of the state machine.
 
     def close(self) -> None:
-        """Close once all is written, and our direction only: a command that crosses it then meets an end that
-        says it was not read, where a full close would tear down what was written before."""
+        """Half-close the connection: close the sending direction once all output is written.
+
+        The client of a command that crosses the close can tell from it that the command was not read; a full
+        close would reset the connection and destroy output written before.
+        """
         self.ignoring_input = True
         self.transport.unregisterProducer()
         self.transport.resumeProducing()
         self.transport.loseWriteConnection()
 
-    def end(self) -> None:
-        """Close both directions. For an idle client, that has long read what was written: its descriptor is
-        free at once."""
+    def close_both_sides(self) -> None:
+        """Close both directions once all output is written.
+
+        Intended for an idle client, which has read all replies long before: its file descriptor is freed at
+        once.
+        """
         self.ignoring_input = True
         self.transport.unregisterProducer()
         self.transport.loseConnection()
@@ -225,32 +239,33 @@
         self.transport.abortConnection()
 
     def drain_input(self) -> None:
-        """Read and drop again, after a connection whose input is ignored was read no further, so that its end
-        is seen."""
-        if self.dropped > self.limits.unread:
-            self.dropped = 0
+        """Resume reading and dropping input if it is paused, so that the close by the client is detected."""
+        if self.dropped_bytes > self.limits.unread:
+            self.dropped_bytes = 0
             self.transport.resumeProducing()
 
     def check_unread(self, then: str) -> None:
-        """Bring the input `then` if nothing lies unread. Guards commands that came while this process was
-        slow against its end of the connection, and answers against the reset that a close over unread bytes
-        brings."""
+        """Handle the input `then` if no received byte is unread.
+
+        Prevents closing the connection over commands that arrived while this process was slow, and the loss
+        of replies by the reset that the kernel sends when a socket with unread bytes is closed.
+        """
         if self.transport.connected and not has_unread_input(self.transport):
             self.handle_input(then, self.record)
 
-    # Half closes, called by the transport.
+    # Half-closes, called by the transport.
 
     def writeConnectionLost(self) -> None:
-        """All is written, and our direction closed."""
+        """Notify the state machine that all output is written and the sending direction closed."""
         self.handle_input(Input.CLIENT_WRITE_CLOSED, self.record)
 
     def readConnectionLost(self) -> None:
-        """The client closed its direction, which is taken for the connection's end."""
+        """Treat the close of the client's direction as the end of the connection."""
         self.transport.connectionLost(Failure(ConnectionDone()))
 
 
 class ClientProtocolFactory(ServerFactory):
-    """Makes a protocol for each connection that is accepted."""
+    """Creates a protocol for each accepted connection."""
 
     noisy = False
 
@@ -259,5 +274,5 @@
         self.limits = limits
 
     def buildProtocol(self, addr: IAddress | None) -> ClientProtocol:  # noqa: ARG002 - Twisted's signature
-        """The protocol of a new connection."""
+        """Return the protocol for a new connection."""
         return ClientProtocol(self.handle_input, self.limits)
--- a/granitedock/service/listener.py
+++ b/granitedock/service/listener.py
@@ -12,26 +12,28 @@
 
 
 class ClientPort(Port):
-    """Guards requests on open connections against floods of new ones: few are accepted in a turn of the
-    event loop."""
+    """The listening port, which accepts a bounded number of connections in one iteration of the event loop.
+
+    Prevents a flood of new connections from delaying requests on open ones.
+    """
 
     def __init__(
         self, port: int, factory: ServerFactory, interface: str, reactor: IReactorFDSet, limits: Limits
     ) -> None:
         super().__init__(port, factory, limits.backlog, interface, reactor)
-        self.accepts_per_turn = limits.accepts
+        self.max_accepts_per_iteration = limits.accepts
 
     def doRead(self) -> None:
-        """Accept what waits, up to the bound for one turn."""
-        self.numberAccepts = self.accepts_per_turn
+        """Accept connections from the backlog, up to the limit for one iteration of the event loop."""
+        self.numberAccepts = self.max_accepts_per_iteration
         super().doRead()
 
     def close(self) -> None:
-        """Accept all that waits, then close.
+        """Accept all connections in the backlog, then close the port.
 
-        Guards requests on connections that wait to be accepted when the port closes: the kernel has completed
-        them, and closing would reset them. The port closes at once after the last of them, not a turn of the
-        event loop later (as `stopListening` does), in which more would come.
+        Prevents the loss of requests on connections that are still in the backlog: the kernel has completed
+        their handshakes, and closing the port would reset them. The port closes immediately after the last
+        one; `stopListening` closes it an iteration of the event loop later, in which more would arrive.
         """
         for _ in range(self.backlog):
             accepted_before = self.sessionno
--- a/granitedock/service/ports.py
+++ b/granitedock/service/ports.py
@@ -1,8 +1,8 @@
-"""What the service's state machines ask of the event loop: its methods, and those of open connections.
+"""The interfaces through which the service's state machines use the event loop and open connections.
 
-The state machines never call these themselves: they emit them as effects, which the loop carries out after
-the input. Only what merely looks (`has_partial_message`, `received_bytes`, `has_unread_bytes`) is called at
-once.
+The state machines emit calls of these methods as effects, which the event loop carries out after the input
+has been handled. Only queries without side effects (`has_partial_message`, `received_bytes`,
+`has_unread_bytes`) are called directly.
 """
 
 from __future__ import annotations
@@ -19,39 +19,39 @@
 
 
 class GatewayIO(Protocol):
-    """What the event loop does for the state machines beyond an open connection."""
+    """What the event loop does for the state machines, apart from open connections."""
 
     def start_timer(self, timer: Timer) -> None:
-        """Bring the timer's input when it is due, unless it is cancelled by then."""
+        """Schedule the timer: its input is handled when the timer expires, unless it is cancelled before."""
         ...
 
     def connect_host(self, connection: HostConnection, address: str) -> None:
-        """Connect; HOST_CONNECTED or HOST_DISCONNECTED comes of it."""
+        """Connect to a host; the result is the input HOST_CONNECTED or HOST_DISCONNECTED."""
         ...
 
     def connect_counter(self, connection: CounterConnection) -> None:
-        """Connect; COUNTER_CONNECTED or COUNTER_DISCONNECTED comes of it."""
+        """Connect to the counter; the result is the input COUNTER_CONNECTED or COUNTER_DISCONNECTED."""
         ...
 
     def connect_watch(self, watch: Watch) -> None:
-        """Connect to discovery; WATCH_CONNECTED or WATCH_DISCONNECTED comes of it."""
+        """Connect to discovery; the result is the input WATCH_CONNECTED or WATCH_DISCONNECTED."""
         ...
 
     def accept_connections(self, on: bool) -> None:
-        """Accept clients' connections, or leave them to the system's queue."""
+        """Accept clients' connections, or leave them in the listener's backlog."""
         ...
 
     def stop_listening(self) -> None:
-        """Accept what waits in the system's queue, then close the listener."""
+        """Accept the connections in the listener's backlog, then close the listener."""
         ...
 
     def stop_process(self) -> None:
-        """End the process after this turn of the loop."""
+        """Exit the process after this iteration of the event loop."""
         ...
 
 
 class EventLogPort(Protocol):
-    """The event log, and the counters that it shows."""
+    """The event log, and the counters that it reports."""
 
     counts: Counter[str]
 
@@ -64,52 +64,52 @@
     """An open connection."""
 
     def abort(self) -> None:
-        """Close at once; what is not written is lost."""
+        """Reset the connection at once; unwritten output is lost."""
         ...
 
 
 class ClientLinkPort(Link, Protocol):
-    """A client's open connection. `record` is its `ClientConnection`."""
+    """An open connection of a client. `record` is its `ClientConnection`."""
 
     record: Any
-    received_bytes: int  # bytes received
+    received_bytes: int  # in total
 
     def send(self, data: bytes) -> None:
-        """Write, or keep until the client reads."""
+        """Write the data, or buffer it until the client reads."""
         ...
 
     def close(self) -> None:
-        """Close our side once all is written; CLIENT_WRITE_CLOSED comes then."""
+        """Half-close: close the sending direction after all output; then CLIENT_WRITE_CLOSED is handled."""
         ...
 
-    def end(self) -> None:
-        """Close both sides once all is written."""
+    def close_both_sides(self) -> None:
+        """Close both directions once all output is written."""
         ...
 
     def check_unread(self, then: Input) -> None:
-        """Bring `then` if no received byte lies unread."""
+        """Handle the input `then` if no received byte is unread."""
         ...
 
     def drain_input(self) -> None:
-        """Read and drop more of what comes on a connection that is over."""
+        """Read and drop further input of a connection that is closing."""
         ...
 
     def has_partial_message(self) -> bool:
-        """Whether a command has begun and not ended."""
+        """Return whether a command is partly received."""
         ...
 
 
 class HostLinkPort(Link, Protocol):
     """An open connection to a host."""
 
-    received_bytes: int  # bytes received
+    received_bytes: int  # in total
 
     def send(self, data: bytes, at_once: bool) -> None:
-        """Write a request; HOST_REQUEST_WRITTEN or HOST_STALE comes of it."""
+        """Write a request; the result is the input HOST_REQUEST_WRITTEN or HOST_STALE."""
         ...
 
     def has_partial_message(self) -> bool:
-        """Whether a response has begun and not ended."""
+        """Return whether a response is partly received."""
         ...
 
 
@@ -121,7 +121,7 @@
         ...
 
     def has_partial_message(self) -> bool:
-        """Whether a reply has begun and not ended."""
+        """Return whether a reply is partly received."""
         ...
 
 
@@ -129,5 +129,5 @@
     """An open watch on discovery."""
 
     def has_unread_bytes(self) -> bool:
-        """Whether received bytes wait to be read."""
+        """Return whether the socket has received bytes that are unread."""
         ...
--- a/granitedock/service/reply_queues.py
+++ b/granitedock/service/reply_queues.py
@@ -1,7 +1,7 @@
-"""Replies to clients: each leaves in the order of the commands on its connection (RESP pipelining).
+"""The queues of replies to clients: replies are written in the order of the commands (RESP pipelining).
 
-Owns what waits for its reply on each connection, the bytes of replies that wait behind others, and write
-back-pressure.
+Owns the pending commands of each connection, the bytes of replies that are queued behind others, and write
+backpressure.
 """
 
 from __future__ import annotations
@@ -20,42 +20,42 @@
 
 @dataclass(eq=False, slots=True)
 class CommandReply:
-    """The place of a command that is no request among the replies of its connection."""
+    """A place in the reply queue of a connection for a command other than a request."""
 
     answer: bytes | None = None
 
 
 class ReplyQueues:
-    """The state machine of all reply queues of one gateway."""
+    """The state machine for all reply queues of one gateway."""
 
     clients: ClientConnections
     requests: InFlightRequests
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.buffered_bytes = 0  # replies that wait behind others
+        self.buffered_bytes = 0  # bytes of replies that are queued behind others
 
     def attach(self, clients: ClientConnections, requests: InFlightRequests) -> None:
-        """Set the machines that this one calls."""
+        """Set the state machines that this one calls."""
         self.clients = clients
         self.requests = requests
 
-    def append(self, client: ClientConnection, waiting: CommandReply | InFlightRequest) -> None:
-        """A command was taken whose reply comes later."""
-        client.pending.append(waiting)
+    def append(self, client: ClientConnection, entry: CommandReply | InFlightRequest) -> None:
+        """Queue an accepted command whose reply is filled in later."""
+        client.pending.append(entry)
 
     def reply(self, client: ClientConnection, answer: bytes) -> None:
-        """A command was taken whose reply is there already."""
-        waiting = CommandReply()
-        client.pending.append(waiting)
-        self.fill(client, waiting, answer)
-
-    def fill(self, client: ClientConnection, waiting: CommandReply | InFlightRequest, answer: bytes) -> None:
-        """A reply is there; it is written once those before it are."""
-        waiting.answer = answer
+        """Queue an accepted command together with its reply."""
+        entry = CommandReply()
+        client.pending.append(entry)
+        self.fill(client, entry, answer)
+
+    def fill(self, client: ClientConnection, entry: CommandReply | InFlightRequest, answer: bytes) -> None:
+        """Fill in a reply; it is written once all replies before it are."""
+        entry.answer = answer
         pending = client.pending
         self.buffered_bytes += len(answer)
-        if pending[0] is not waiting:
+        if pending[0] is not entry:
             return
         ready = []
         while pending and (reply := pending[0].answer) is not None:
@@ -69,7 +69,7 @@
         if client.write_paused:
             client.unread_bytes += len(data)
             if client.unread_bytes > self.context.limits.unread:
-                # Guards the memory against clients that read nothing.
+                # Prevents clients that read nothing from using up memory.
                 self.context.counts[counter_names.SLOW_READERS] += 1
                 self.context.emit(client.link.abort)
                 return
@@ -77,26 +77,26 @@
             self.clients.replies_written(client)
 
     def write_paused(self, client: ClientConnection) -> None:
-        """The client reads too slowly: what is written from now on is kept by the connection."""
+        """Count further output as unread: the client reads too slowly, and the connection buffers it."""
         client.write_paused = True
 
     def write_resumed(self, client: ClientConnection) -> None:
-        """The client has read what was written."""
+        """Reset the count of unread output, as the client has read the buffered bytes."""
         client.write_paused = False
         client.unread_bytes = 0
 
     def discard(self, client: ClientConnection) -> None:
-        """The connection has ended: nothing that waits there is written any more."""
-        for waiting in client.pending:
-            if waiting.answer is not None:
-                self.buffered_bytes -= len(waiting.answer)
-            elif isinstance(waiting, InFlightRequest):
-                waiting.answer = b""
-                self.requests.client_disconnected(waiting)
+        """Drop all pending entries of a disconnected connection, and notify its requests."""
+        for entry in client.pending:
+            if entry.answer is not None:
+                self.buffered_bytes -= len(entry.answer)
+            elif isinstance(entry, InFlightRequest):
+                entry.answer = b""
+                self.requests.client_disconnected(entry)
         client.pending.clear()
 
     def fail_pending(self, client: ClientConnection) -> None:
-        """Fail each request on this connection that has no reply."""
-        for waiting in list(client.pending):
-            if isinstance(waiting, InFlightRequest) and waiting.answer is None:
-                self.requests.abandon(waiting)
+        """Fail each request on this connection that has no reply yet."""
+        for entry in list(client.pending):
+            if isinstance(entry, InFlightRequest) and entry.answer is None:
+                self.requests.abandon(entry)
--- a/granitedock/service/resp.py
+++ b/granitedock/service/resp.py
@@ -1,7 +1,7 @@
 """RESP2 framing on Twisted's LineReceiver.
 
-Owns the bytes of one connection until they make a complete value, and keeps them as they came. Knows nothing
-of what a value means, and never holds more than its limits, whatever the peer sends.
+Buffers the bytes of one connection until they form a complete value, and keeps them as received. Does not
+interpret values, and never buffers more than its limits, whatever the peer sends.
 Source: the Redis serialization protocol specification, version 2.
 """
 
@@ -17,7 +17,7 @@
 NULL_BULK_STRING = b"$-1"
 ZERO_DIGIT = ord("0")
 
-# Reason texts, sent to the peer or logged.
+# Reasons, sent to the peer or logged.
 LINE_TOO_LONG = "line too long"
 VALUE_TOO_LONG = "value too long"
 ARRAY_TOO_LONG = "array too long"
@@ -26,7 +26,7 @@
 
 
 class ErrorReply:
-    """An error line of the peer, without its mark."""
+    """An error line from the peer, without its type byte."""
 
     __slots__ = ("text",)
 
@@ -34,32 +34,35 @@
         self.text = text
 
 
-# A simple string is a str, a bulk string bytes, a null None.
+# A simple string is represented as str, a bulk string as bytes and a null as None.
 RespValue: TypeAlias = "bytes | str | int | ErrorReply | list[RespValue] | None"
 
 
 def encode_bulk_string(text: bytes) -> bytes:
-    """A bulk string on the wire."""
+    """Return the wire encoding of a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(text), text)
 
 
 def encode_command(*words: bytes) -> bytes:
-    """A command on the wire: an array of bulk strings."""
+    """Return the wire encoding of a command: an array of bulk strings."""
     return b"*%d\r\n" % len(words) + b"".join(encode_bulk_string(word) for word in words)
 
 
 def parse_length(digits: bytes) -> int:
-    """A length in its canonical form, else -1: what is passed on must be in the usual form."""
+    """Return the length, or -1 if it is not in canonical form.
+
+    Only the canonical form is accepted, as values are forwarded with the bytes in which they arrive.
+    """
     return int(digits) if digits.isdigit() and (digits[0] != ZERO_DIGIT or digits == b"0") else -1
 
 
 def join_parts(parts: list[bytes]) -> bytes:
-    """A value's bytes from its parts, which stood between line ends."""
+    """Return the bytes of a value from its parts, which line ends separate."""
     return LINE_END.join(parts) + LINE_END
 
 
 def has_unread_input(transport: Any) -> bool:
-    """Whether the peer has sent what is not read yet, or has ended the connection."""
+    """Return whether the socket has unread bytes, or the peer has closed the connection."""
     try:
         transport.getHandle().recv(1, MSG_PEEK | MSG_DONTWAIT)
     except BlockingIOError:
@@ -70,85 +73,96 @@
 
 
 def parse_complete_values(data: bytes, max_items: int) -> list[tuple[Any, list[bytes]]] | None:
-    """The values, each with its parts, of data that holds complete ones only: bulk strings and arrays of
-    them, with no line end inside. None for anything else, and for all that is malformed."""
+    """Return the values in the data, each with its parts, or None unless all of it is complete and simple.
+
+    Simple values are bulk strings without a line end inside, and arrays of them. Malformed data gives None.
+    """
     parts = data.split(LINE_END)
     end = len(parts) - 1
     if parts[end]:
         return None
-    at = 0
-    found: list[tuple[Any, list[bytes]]] = []
+    position = 0
+    values: list[tuple[Any, list[bytes]]] = []
     try:
-        while at < end:
-            begin = at
+        while position < end:
+            start = position
             array: list[bytes | None] | None = None
             count = 1
-            if parts[at][:1] == b"*":
+            if parts[position][:1] == b"*":
                 array = []
-                count = parse_length(parts[at][1:])
-                at += 1
+                count = parse_length(parts[position][1:])
+                position += 1
                 if not 0 < count <= max_items:
                     return None
             value: bytes | None = None
             for _ in range(count):
-                if parts[at] == NULL_BULK_STRING:
+                if parts[position] == NULL_BULK_STRING:
                     value = None
-                    at += 1
+                    position += 1
                 else:
-                    value = parts[at + 1]
-                    if parts[at] != b"$%d" % len(value):
+                    value = parts[position + 1]
+                    if parts[position] != b"$%d" % len(value):
                         return None
-                    at += 2
+                    position += 2
                 if array is not None:
                     array.append(value)
-            found.append((value if array is None else array, parts[begin:at]))
+            values.append((value if array is None else array, parts[start:position]))
     except IndexError:
         return None
-    return found if at == end else None
+    return values if position == end else None
 
 
 class RespReceiver(LineReceiver):
-    """Calls `value_received` with each complete value and the parts of its bytes, which stood between line
-    ends, and `malformed` once, after which it ignores all input."""
+    """Calls `value_received` for each complete value, and `malformed` once, after which input is ignored.
+
+    A value comes with the parts of its bytes, which line ends separate.
+    """
 
     transport: Any
 
-    def __init__(self, max_line: int, max_value: int, max_total: int, max_items: int, max_depth: int) -> None:
-        """The most bytes of a line, of a bulk string and of a value with all it holds; the most items of an
-        array, and arrays in arrays."""
-        self.MAX_LENGTH = max_line
-        self.max_value = max_value
-        self.max_total = max_total
+    def __init__(
+        self, max_line_bytes: int, max_value_bytes: int, max_total_bytes: int, max_items: int, max_depth: int
+    ) -> None:
+        """Set the limits: bytes of a line, a bulk string and a whole value; items and nesting of arrays.
+
+        A whole value includes its nested values and the framing.
+        """
+        self.MAX_LENGTH = max_line_bytes
+        self.max_value_bytes = max_value_bytes
+        self.max_total_bytes = max_total_bytes
         self.max_items = max_items
         self.max_depth = max_depth
-        self.parts: list[bytes] = []  # the bytes of the value so far
-        self.size = 0  # of the value so far, in bytes, with what it announced
-        self.open_arrays: list[tuple[list[Any], int]] = []  # arrays begun, and how long each is to be
-        self.missing = 0  # bytes of the bulk string that are still to come, with its line end
-        self.chunks: list[bytes] = []  # of that bulk string, as they came
+        self.parts: list[bytes] = []  # the current value as received so far
+        self.size_bytes = 0  # of the current value, with bulk strings announced but not yet received
+        self.open_arrays: list[tuple[list[Any], int]] = []  # incomplete, each with its announced length
+        self.remaining_bytes = 0  # of the current bulk string, with its line end
+        self.chunks: list[bytes] = []  # received pieces of the current bulk string
         self.ignoring_input = False
-        self.received_bytes = 0  # bytes received in total
+        self.received_bytes = 0  # in total
 
     def value_received(self, value: Any, parts: list[bytes]) -> None:
-        """A complete value came (`RespValue`)."""
+        """Handle a complete value (`RespValue`)."""
         raise NotImplementedError
 
     def malformed(self, why: str) -> None:
-        """The peer sent what is no RESP2, or too much of it."""
+        """Handle input that is no RESP2 or exceeds the limits."""
         raise NotImplementedError
 
     def send(self, data: bytes) -> None:
-        """Write now, not a turn of the event loop later; what the socket does not take is written then."""
+        """Write now instead of in the next iteration of the event loop.
+
+        Bytes that the socket does not accept now are written then.
+        """
         self.transport.write(data)
         if self.transport.connected:
             self.transport.doWrite()
 
     def has_partial_message(self) -> bool:
-        """Whether a value has begun and not ended."""
+        """Return whether a value is partly received."""
         return bool(self.parts or self._buffer)
 
     def reject_input(self, why: str) -> None:
-        """Guards against peers that send what is no RESP2 or too much of it."""
+        """Drop and ignore all input of a peer that sends no RESP2 or too much of it; call `malformed`."""
         self.ignoring_input = True
         self.parts = []
         self.open_arrays = []
@@ -157,12 +171,12 @@
         self.malformed(why)
 
     def dataReceived(self, data: bytes) -> None:
-        """Bytes came."""
+        """Parse received bytes."""
         self.received_bytes += len(data)
         if self.ignoring_input:
             return
-        # The fast path for what nearly always comes. Anything else, and all that is malformed, takes the slow
-        # path from its first byte.
+        # The fast path covers nearly all input: complete, simple values. Any other input, malformed input
+        # included, takes the slow path from its first byte.
         if data and not (self.parts or self._buffer or self.paused):
             values = parse_complete_values(data, self.max_items)
             if values is not None:
@@ -175,53 +189,53 @@
     # The slow path: line by line.
 
     def lineLengthExceeded(self, _line: bytes) -> None:
-        """A line is too long."""
+        """Reject a line that is too long."""
         self.reject_input(LINE_TOO_LONG)
 
     def lineReceived(self, line: bytes) -> None:
-        """A line came that is no part of a bulk string."""
+        """Handle a line outside a bulk string, by its type byte."""
         if self.ignoring_input:
             return
-        mark = line[:1]
-        rest = line[1:]
+        type_byte = line[:1]
+        payload = line[1:]
         self.parts.append(line)
-        self.size += len(line) + len(LINE_END)
-        if self.size > self.max_total:
+        self.size_bytes += len(line) + len(LINE_END)
+        if self.size_bytes > self.max_total_bytes:
             self.reject_input(VALUE_TOO_LONG)
-        elif mark in (b"$", b"*"):
-            self.length_received(mark, rest)
-        elif mark == b"+":
-            self.add_value(rest.decode("latin-1"))
-        elif mark == b"-":
-            self.add_value(ErrorReply(rest))
-        elif mark == b":" and rest.removeprefix(b"-").isdigit():
-            self.add_value(int(rest))
+        elif type_byte in (b"$", b"*"):
+            self.length_received(type_byte, payload)
+        elif type_byte == b"+":
+            self.add_value(payload.decode("latin-1"))
+        elif type_byte == b"-":
+            self.add_value(ErrorReply(payload))
+        elif type_byte == b":" and payload.removeprefix(b"-").isdigit():
+            self.add_value(int(payload))
         else:
             self.reject_input(NOT_RESP2)
 
-    def length_received(self, mark: bytes, digits: bytes) -> None:
-        """The line that begins a bulk string or an array."""
+    def length_received(self, type_byte: bytes, digits: bytes) -> None:
+        """Handle the header line of a bulk string or an array."""
         length = parse_length(digits)
         if digits == NULL_LENGTH:
             self.add_value(None)
         elif length < 0:
             self.reject_input(NOT_RESP2)
-        elif mark == b"$":
+        elif type_byte == b"$":
             self.begin_bulk_string(length)
         else:
             self.begin_array(length)
 
     def begin_bulk_string(self, length: int) -> None:
-        """A bulk string of so many bytes follows."""
-        self.missing = length + len(LINE_END)
-        self.size += self.missing
-        if length > self.max_value or self.size > self.max_total:
+        """Begin a bulk string of `length` bytes, if it is within the limits."""
+        self.remaining_bytes = length + len(LINE_END)
+        self.size_bytes += self.remaining_bytes
+        if length > self.max_value_bytes or self.size_bytes > self.max_total_bytes:
             self.reject_input(VALUE_TOO_LONG)
         else:
             self.setRawMode()
 
     def begin_array(self, count: int) -> None:
-        """An array of so many items follows."""
+        """Begin an array of `count` items, if it is within the limits."""
         if count > self.max_items or len(self.open_arrays) >= self.max_depth:
             self.reject_input(ARRAY_TOO_LONG)
         elif count:
@@ -230,15 +244,15 @@
             self.add_value([])
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Bytes of a bulk string came, and perhaps more behind it."""
+        """Handle bytes of a bulk string, and any bytes that follow it."""
         if self.ignoring_input:
             return
-        if len(data) < self.missing:
+        if len(data) < self.remaining_bytes:
             self.chunks.append(data)
-            self.missing -= len(data)
+            self.remaining_bytes -= len(data)
             return
-        rest = data[self.missing :]
-        text = data[: self.missing] if rest else data
+        rest = data[self.remaining_bytes :]
+        text = data[: self.remaining_bytes] if rest else data
         if self.chunks:
             self.chunks.append(text)
             text = b"".join(self.chunks)
@@ -254,7 +268,7 @@
             self.setLineMode(rest)
 
     def add_value(self, value: Any) -> None:
-        """A value is complete: it goes into the array that is open, or out."""
+        """Add a complete value to the innermost incomplete array, or pass it to `value_received`."""
         while self.open_arrays:
             array, count = self.open_arrays[-1]
             array.append(value)
@@ -264,5 +278,5 @@
             value = array
         parts = self.parts
         self.parts = []
-        self.size = 0
+        self.size_bytes = 0
         self.value_received(value, parts)
--- a/tests/service/test_gateway_process.py
+++ b/tests/service/test_gateway_process.py
@@ -578,7 +578,7 @@
     wired.pass_ms(200)
     assert busy.closed == "ended"  # it asks no more, and holds a place that others need
     half.link.dataReceived(300000 * b"x")
-    assert half.closed == "closed" and half.link.dropped == 300000
+    assert half.closed == "closed" and half.link.dropped_bytes == 300000
 
 
 def test_no_end_of_commands_behind_a_slow_one_ends_the_connection():
