--- a/tests/helpers/fake_gateway.py
+++ b/tests/helpers/fake_gateway.py
@@ -1,4 +1,4 @@
-"""The one helper of the stories: a fake host, customers and a counter that answer as told."""
+"""Gateways for tests: one on fake hosts, customers and a counter, one with protocols on fake transports."""
 
 from collections import Counter
 
@@ -36,24 +36,24 @@
 NON_IDEMPOTENT = RequestClass(
     "one-shot", Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, 0, 2000, 8000, 1, 0, False
 )
-PLAN = Plan("plan", 0.01, 20, 0, 1, 0, 0.5, 0, 0, 0)  # ten units a second, twenty at once
+PLAN = Plan("plan", 0.01, 20, 0, 1, 0, 0.5, 0, 0, 0)  # ten units a second, bursts of twenty
 CAPPED = Plan("capped", 0.01, 20, 0, 1, 0, 0.5, 0.02, 40, 4)
 FEW_IN_FLIGHT = Plan("few out", 0, 0, 4, 1, 0, 0.5, 0, 0, 0)
 
 
 class GatewayHarness:
-    """A gateway's decisions, the effect handler of them, and a record of all effects. Times in ms."""
+    """A gateway policy with an effect handler that records all effects. Times are in ms."""
 
     def __init__(
         self, hosts=3, number=0, gateways=2, copies=False, at=100000.0, request_classes=None, **listed
     ):
         self.attempts = []
         self.attempt_deadlines = []
-        self.rejected = []  # (request, retry after)
+        self.rejected = []  # (request, retry after in ms)
         self.failed = []
         self.cancelled = []
         self.calls = []
-        self.timers = []  # (when, what)
+        self.timers = []  # (due time, reason)
         self.log_lines = []
         self.hosts = [Host() for _ in range(hosts)]
         settings = GatewaySettings(
@@ -90,7 +90,7 @@
     def log_decision(self, line):
         self.log_lines.append(line)
 
-    # What the surroundings do.
+    # Input from the environment.
 
     def update_endpoints(self, status, *hosts, started_at=0.0, zones=None, size=1.0):
         updates = [
@@ -100,7 +100,7 @@
         self.gateway.update_endpoints(updates, False)
 
     def pass_ms(self, ms):
-        """Let time pass, with the timers that are due on the way."""
+        """Advance the clock by `ms`, and fire the timers that expire meanwhile."""
         end = self.gateway.now + ms
         while due := sorted((timer for timer in self.timers if timer[0] <= end), key=lambda timer: timer[0]):
             self.timers.remove(due[0])
@@ -109,7 +109,7 @@
         self.gateway.advance_clock(end)
 
     def ask(self, request_class=READ, plan=PLAN, customer=None, units=1.0, subset_size=2, left=None):
-        """A new request, with `left` ms until its deadline."""
+        """Submit a new request with `left` ms until its deadline, and return it."""
         now = self.gateway.now
         left = request_class.deadline_ms if left is None else left
         request = Request(request_class, plan, customer or Customer(99), now, now + left, units, subset_size)
@@ -117,28 +117,28 @@
         return request
 
     def answer_call(self, outcome=Outcome.DONE, total=None, call=None):
-        """The counter answers the latest call, or the one given."""
+        """Finish the latest call to the counter, or the given one."""
         call = call or self.calls[-1]
         self.gateway.counter_call_finished(call, outcome, call.amount if total is None else total)
 
     def admit(self, request_class=READ, **more):
-        """A new request that the counter admits."""
+        """Submit a new request that the counter admits, and return it."""
         request = self.ask(request_class, **more)
         self.answer_call(total=1)
         return request
 
     def finish(self, outcome, took=50.0, attempt=None):
-        """The latest attempt ends, or the one given."""
+        """Finish the latest attempt, or the given one."""
         attempt = attempt or self.attempts[-1]
         self.gateway.attempt_finished(attempt, outcome, took, outcome is Outcome.DONE, 0, 0)
 
-    # What the gateway holds.
+    # State of the gateway.
 
     def capacity_share(self, host):
         return self.gateway.load_balancer.slow_start.capacity_share(host, self.gateway.now)
 
     def request_work(self, request_class):
-        """Of a request of one unit, in mean requests."""
+        """Return the work of a request of one unit, as a multiple of the mean request."""
         return self.gateway.load_balancer.estimates.relative_work(self.gateway.now, request_class, 1)
 
 
@@ -158,7 +158,7 @@
 
 
 class Line:
-    """A transport: what was written to it, and whether it has ended."""
+    """A fake transport, which records what is written to it and how it is closed."""
 
     def __init__(self, link, stuck=False):
         self.link, self.stuck, self.written, self.closed, self.disconnecting = link, stuck, b"", "", False
@@ -194,7 +194,7 @@
         return self
 
     def recv(self, _size, _flags):
-        """A look at what lies unread."""
+        """Return the first unread byte without reading it."""
         if not self.unread:
             raise BlockingIOError
         return self.unread[:1]
@@ -203,19 +203,19 @@
         raise OSError
 
     def took(self):
-        """What was written since the last look."""
+        """Return what was written since the last call."""
         data, self.written = self.written, b""
         return data
 
 
 class Wired:
-    """A state machine with real links on lines that lead nowhere; its own I/O, reactor and event log."""
+    """A state machine with real protocols on fake transports, and itself its I/O, reactor and event log."""
 
     def __init__(self, hosts=2, memory_mb=192, sockets=64):
         self.now, self.timers, self.dials, self.lines, self.counts = 100000.0, [], [], [], Counter()
         self.left = self.shut_at = self.takes_in = None
         self.next_id = 0x0123456789ABCDEF
-        self.since = None  # the earliest moment at which what is told may have come, as the loop says
+        self.since = None  # earliest arrival of the next input, as the event loop reports it
         self.limits = Limits.from_platform_file(
             {"limits": {"memory_mb": memory_mb, "sockets": sockets}, "settings": BORN}
         )
@@ -264,7 +264,7 @@
         self.left = self.now
 
     def comes_up(self, at=-1, stuck=False):
-        """A dial succeeds."""
+        """Complete a connection attempt, and return its fake transport."""
         make, record, _ = self.dials.pop(at)
         link = make(self.handle_input, self.limits)
         link.record = record
@@ -277,8 +277,8 @@
         self.handle_input(down, record)
 
     def counter_up(self):
-        """All connections to the counter, made at the start."""
-        self.watch = self.comes_up(0)  # dialled first
+        """Complete the watch on discovery and all connections to the counter, opened at the start."""
+        self.watch = self.comes_up(0)  # opened first
         return [self.comes_up(0) for _ in range(self.limits.counter_links)]
 
     def client(self):
--- a/tests/helpers/loopback.py
+++ b/tests/helpers/loopback.py
@@ -1,8 +1,8 @@
-"""A gateway on real loopback sockets whose loop turns, and whose clock moves, only when the story says so.
+"""A gateway on real loopback sockets whose event loop and clock advance only when the test says so.
 
-The sockets, the kernel's closes and resets, and the gateway's own links and loop are the real ones; hosts,
-counter, discovery and clients are plain sockets that the story holds. So each crossing is forced by the order
-of the story's own steps. Times are milliseconds.
+The sockets, the kernel's closes and resets, and the gateway's connections and event loop are real. Hosts,
+counter, discovery and clients are plain sockets that the test controls, so that the order of the test's steps
+forces each race. Times are in milliseconds.
 """
 
 import json
@@ -19,7 +19,7 @@
 from granitedock.service.resp import encode_command
 from granitedock.service.timer_queue import TimerQueue
 
-# Of this process, so that no outgoing connection of another one, on 127.0.0.1, takes the port meanwhile.
+# Unique to this process, so that no outgoing connection of another process on 127.0.0.1 takes the port.
 OWN_ADDRESS = f"127.{100 + os.getpid() // 250 % 100}.{os.getpid() % 250}.1"
 START_MS = 1_700_000_000_000.0
 WATCHED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -37,15 +37,15 @@
 
 
 class Peer:
-    """One end that the story holds: what came is read without waiting."""
+    """The test's end of a connection, read without blocking."""
 
     def __init__(self, sock):
         self.sock, self.came, self.ended = sock, b"", ""
         sock.setblocking(False)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # no byte waits for the system's timer
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # no byte is delayed by Nagle's algorithm
 
     def read(self, most=1 << 20):
-        """What came since the last look; `ended` says how the other side's end came, "closed" or "reset"."""
+        """Return what arrived since the last call; `ended` becomes "closed" or "reset" when the peer ends."""
         while not self.ended and most > 0:
             try:
                 data = self.sock.recv(min(most, 65536))
@@ -62,7 +62,7 @@
         return came
 
     def wait(self):
-        """Until there is something to read, as the system's own timers may have to run first."""
+        """Wait until there is something to read, as timers of the kernel may have to expire first."""
         assert select.select([self.sock], [], [], 10)[0]
 
     def send(self, data):
@@ -73,7 +73,7 @@
 
 
 class Server:
-    """A listening socket of the story's; connections to it are taken when the story looks."""
+    """A listening socket of the test, which accepts a connection when the test calls `take`."""
 
     def __init__(self, backlog=64):
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=backlog)
@@ -88,8 +88,10 @@
 
 
 class Live:
-    """The gateway with `hosts` hosts. The counter answers at once unless `counts` is off. `configuration`: an
-    operators' file of the configuration service."""
+    """A gateway with `hosts` hosts. The counter answers at once unless `counts` is off.
+
+    `configuration`: an operators' file of the configuration service.
+    """
 
     def __init__(
         self,
@@ -105,13 +107,14 @@
         self.t, self.next_id, self.version = START_MS, 1, 1
         clock = Clock(lambda: self.t / 1000.0, lambda: self.t / 1000.0)
         self.reactor = GatewayReactor(TimerQueue(clock), self.t)
-        # Its own timers too (a dial's, above all) go by the story's clock: on a busy machine one had run out
-        # between two steps, and nothing in a story whose time stands still dials again.
+        # The reactor's own timers, above all connect timeouts, use the test's clock as well. In real time a
+        # timeout expired between two steps on a busy machine, and there is no reconnect while the test's
+        # clock stands still.
         self.reactor.seconds = lambda: self.t / 1000.0
         self.hosts = [Server() for _ in range(hosts)]
         self.counter, self.discovery = Server(), Server()
         self.counter_peers, self.watches, self.counts, self.held = [], [], True, deque()
-        self.host_peers = []  # kept, as a socket that nobody holds closes
+        self.host_peers = []  # referenced here, as a socket without a reference closes
         with socket.create_server((OWN_ADDRESS, 0)) as free:
             self.listen = free.getsockname()
         born = BORN | {"Lanes": lanes or BORN["Lanes"]} | settings
@@ -140,7 +143,7 @@
             self.lists()
 
     def later(self, delay, act, *args, **named):
-        """The end of the process, which the story only notes; all else is Twisted's own."""
+        """Record the exit of the process instead of scheduling it; all other calls go to Twisted."""
         if act == self.reactor.stop:
             self.left.append(self.t)
             return None
@@ -155,7 +158,7 @@
         return {"generation": self.version, "reset": True, "instances": entries}
 
     def turn(self, turns=6):
-        """Some turns of the loop, with the counter's answers between them."""
+        """Run iterations of the event loop, with the counter's answers between them."""
         for _ in range(turns):
             self.reactor.iterate(0)
             while peer := self.counter.take():
@@ -173,14 +176,14 @@
         self.turn()
 
     def watch(self):
-        """The newest watch, its request read."""
+        """Return the newest watch, with its request read."""
         while peer := self.discovery.take():
             self.watches.append(peer)
         self.watches[-1].read()
         return self.watches[-1]
 
     def next_watch(self, within_ms=6000.0):
-        """The first watch that opens from now on; earlier ones got no answer."""
+        """Advance the clock until a new watch opens, and return it; earlier ones get no answer."""
         end, seen = self.t + within_ms, self.watch()
         while self.watch() is seen:
             assert self.t < end
@@ -195,7 +198,7 @@
         self.turn()
 
     def client(self, narrow=0):
-        """`narrow`: the bytes that the system holds on each side of a connection, where it matters."""
+        """Connect a client. `narrow`: the size of the socket buffers on each side, in bytes, unless 0."""
         sock = socket.socket()
         if narrow:
             self.service.effects.port.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, narrow)
@@ -211,7 +214,7 @@
         return encode_command(word, b"00000000000000a1", b"%016x" % self.next_id, text, *body)
 
     def at_host(self, number=0):
-        """The oldest connection to this host that was not seen yet, if there is one."""
+        """Return the oldest connection to this host that is not accepted yet, or None."""
         for _ in range(3):
             self.turn()
             if (peer := self.hosts[number].take()) is not None:
@@ -220,14 +223,13 @@
         return None
 
     def answered(self, host, client):
-        """The host answers what it has, and the client gets that answer and nothing else."""
+        """Answer a request from the host, and check that the client receives this answer and nothing else."""
         host.send(VALUE)
         self.turn()
         assert client.read() == VALUE
 
     def hold_dials(self):
-        """From now on connections to hosts come up only when the story lets them (`release`): as late as
-        connections on poor ways do."""
+        """Delay all further connections to hosts until `release` is called, as on a slow network."""
         hosts = self.service.effects.hosts
         dial = type(hosts).connect
         hosts.connect = lambda lane, address: self.held.append((lane, address))
