--- a/granitedock/configuration/__init__.py
+++ b/granitedock/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Plans and request classes in force while gateways run: documents, changes, control processes, followers."""
+"""Runtime configuration of plans and request classes: document, changes, control processes and followers."""
--- a/granitedock/configuration/change_codec.py
+++ b/granitedock/configuration/change_codec.py
@@ -1,9 +1,9 @@
-"""Changes and edits as JSON objects, in the words that operators write. No I/O.
+"""Converts changes and edits from and to the JSON objects that operators write. No I/O.
 
     {"base": 7, "plans": {"upsert": [{"Name": "gold", "Refill": 50, ...}], "remove": ["old"]},
      "classes": {"upsert": [...], "remove": [...]}}
 
-A fault rejects the whole change and is reported as SOURCE: FIELD: WHAT (`change_validation.py`).
+A fault rejects the whole change and is reported as SOURCE: FIELD: REASON (`change_validation.py`).
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from granitedock.configuration.errors import ChangeRejectedError
 from granitedock.platform_file import CLASS_RULES, PLAN_RULES
 
-MOST_CHANGE_BYTES = 16 * 1024 * 1024
+MAX_CHANGE_BYTES = 16 * 1024 * 1024
 PLATFORM_SECTIONS = {Section.PLANS: ("Tariffs", PLAN_RULES), Section.CLASSES: ("Lanes", CLASS_RULES)}
-"""The key of each section in the settings of a platform's file, and the rules of its records."""
+"""The key of each section in the settings of a platform file, and the rules of its records."""
 
 
 def without_nulls(record: Record) -> Record:
-    """The record without the fields that are null: they mean the same as fields that are left out."""
+    """Return the record without null fields, which mean the same as absent fields."""
     return {name: value for name, value in record.items() if value is not None}
 
 
 def edit_from_record(record: Record) -> Edit:
-    """The edit in an object that has the form of a change."""
+    """Return the edit in an object that has the form of a change."""
     upserts: dict[Section, tuple[Record, ...]] = {}
     removals: dict[Section, tuple[str, ...]] = {}
     for section in Section:
@@ -41,7 +41,7 @@
 
 
 def edit_to_record(edit: Edit) -> Record:
-    """An edit in the form of a change, without its base."""
+    """Return the edit in the form of a change, without its base."""
     record: Record = {}
     for section in Section:
         part: Record = {}
@@ -55,9 +55,9 @@
 
 
 def change_from_record(record: Any, source: str) -> Change:
-    """The change in a JSON value; `source` names the file or address that it came from.
+    """Return the change in a JSON value; `source` names the file or address that it came from.
 
-    Raises ChangeRejectedError.
+    Raises ChangeRejectedError for an invalid change.
     """
     if faults := change_faults(record):
         raise ChangeRejectedError(source, faults)
@@ -67,9 +67,11 @@
 
 
 def parse_change(data: bytes, source: str) -> Change:
-    """The change in JSON text. Raises ChangeRejectedError."""
-    if len(data) > MOST_CHANGE_BYTES:
-        raise ChangeRejectedError(source, [f"(whole change): more than {MOST_CHANGE_BYTES:,} bytes"])
+    """Return the change in JSON text. Raises ChangeRejectedError for an oversized or invalid one."""
+    if len(data) > MAX_CHANGE_BYTES:
+        raise ChangeRejectedError(
+            source, [f"(whole change): exceeds the limit of {MAX_CHANGE_BYTES:,} bytes"]
+        )
     try:
         return change_from_record(orjson.loads(data), source)
     except orjson.JSONDecodeError as fault:
@@ -77,7 +79,7 @@
 
 
 def edit_from_platform_settings(settings: Record) -> Edit:
-    """All plans and classes of a platform's file (its `settings`) as upserts."""
+    """Return all plans and classes in the `settings` of a platform file as upserts."""
     upserts: dict[Section, tuple[Record, ...]] = {}
     for section, (key, rules) in PLATFORM_SECTIONS.items():
         known = {rule.name for rule in rules}
--- a/granitedock/configuration/change_validation.py
+++ b/granitedock/configuration/change_validation.py
@@ -1,7 +1,7 @@
-"""What is wrong with a change as operators write it, by the field rules of the platform's file. No I/O.
+"""Validates changes as operators write them, with the field rules of the platform file. No I/O.
 
-Each fault is `FIELD: WHAT`. Unknown fields are faults here, other than in the platform's file, which may hold
-more than a gateway reads.
+Each fault has the form `FIELD: REASON`. Unknown fields are faults here, but not in the platform file, which
+may have fields that a gateway does not read.
 """
 
 from __future__ import annotations
@@ -18,64 +18,64 @@
 EDIT_FIELDS = {"upsert", "remove"}
 
 
-def is_whole_number(value: Any) -> bool:
-    """Whether the value is an integer from 0; True and False are none."""
+def is_non_negative_integer(value: Any) -> bool:
+    """Return whether the value is an integer of at least 0; a bool is not an integer here."""
     return type(value) is int and value >= 0
 
 
 def unknown_field_faults(record: Record, known: set[str], prefix: str) -> list[str]:
-    """A fault for each field that is not known; `prefix` stands before the field's name."""
+    """Return a fault for each unknown field; `prefix` precedes the field's name."""
     return [f"{prefix}{name}: no such field" for name in sorted(record.keys() - known)]
 
 
-def upsert_faults(records: Any, section: Section, place: str) -> list[str]:
-    """What is wrong with the records to upsert."""
+def upsert_faults(records: Any, section: Section, field_path: str) -> list[str]:
+    """Return the faults in the records to upsert."""
     if type(records) is not list or not all(type(record) is dict for record in records):
-        return [f"{place}: a list of objects is wanted"]
+        return [f"{field_path}: expected a list of objects"]
     rules = SECTION_RULES[section]
     known = {rule.name for rule in rules}
-    found: list[str] = []
+    faults: list[str] = []
     for index, record in enumerate(records):
-        prefix = f"{place}[{index}]."
-        found += record_errors(record, rules, prefix)
-        found += unknown_field_faults(record, known, prefix)
-    return found
+        prefix = f"{field_path}[{index}]."
+        faults += record_errors(record, rules, prefix)
+        faults += unknown_field_faults(record, known, prefix)
+    return faults
 
 
-def removal_faults(names: Any, place: str) -> list[str]:
-    """What is wrong with the names to remove."""
+def removal_faults(names: Any, field_path: str) -> list[str]:
+    """Return the faults in the names to remove."""
     if type(names) is not list or not all(type(name) is str and name for name in names):
-        return [f"{place}: a list of names is wanted"]
+        return [f"{field_path}: expected a list of non-empty names"]
     return []
 
 
 def section_faults(edit: Any, section: Section) -> list[str]:
-    """What is wrong with one section of a change."""
-    place = section.value
+    """Return the faults in one section of a change."""
+    field_path = section.value
     if type(edit) is not dict:
-        return [f"{place}: an object is wanted"]
+        return [f"{field_path}: expected an object"]
     upserts = edit.get("upsert", [])
     removals = edit.get("remove", [])
-    found = unknown_field_faults(edit, EDIT_FIELDS, f"{place}.")
-    found += upsert_faults(upserts, section, f"{place}.upsert")
-    found += removal_faults(removals, f"{place}.remove")
-    if not found:
+    faults = unknown_field_faults(edit, EDIT_FIELDS, f"{field_path}.")
+    faults += upsert_faults(upserts, section, f"{field_path}.upsert")
+    faults += removal_faults(removals, f"{field_path}.remove")
+    if not faults:
         counts = Counter([*(record["Name"] for record in upserts), *removals])
         duplicates = sorted(name for name, count in counts.items() if count > 1)
-        found += [f"{place}: {name!r} stands twice" for name in duplicates]
-    return found
+        faults += [f"{field_path}: {name!r} is listed more than once" for name in duplicates]
+    return faults
 
 
 def change_faults(change: Any) -> list[str]:
-    """What is wrong with a whole change; nothing where it is valid."""
+    """Return the faults in a whole change; the list is empty if the change is valid."""
     if type(change) is not dict:
-        return ["(whole change): an object is wanted"]
-    found = unknown_field_faults(change, CHANGE_FIELDS, "")
-    if not is_whole_number(change.get("base")):
-        found.append("base: a whole number from 0 is wanted: the version that the change was made on")
+        return ["(whole change): expected an object"]
+    faults = unknown_field_faults(change, CHANGE_FIELDS, "")
+    if not is_non_negative_integer(change.get("base")):
+        faults.append("base: expected a non-negative integer (the version the change is based on)")
     sections = [section for section in Section if section.value in change]
     for section in sections:
-        found += section_faults(change[section.value], section)
-    if not found and not sum(len(part) for section in sections for part in change[section.value].values()):
-        found.append("(whole change): nothing is put or removed")
-    return found
+        faults += section_faults(change[section.value], section)
+    if not faults and not sum(len(part) for section in sections for part in change[section.value].values()):
+        faults.append("(whole change): expected at least one record to upsert or name to remove")
+    return faults
--- a/granitedock/configuration/control_client.py
+++ b/granitedock/configuration/control_client.py
@@ -1,4 +1,4 @@
-"""Requests to a control process from the command line (http.client)."""
+"""HTTP client of control processes for the command line (http.client)."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def request(address: str, method: str, path: str, body: bytes | None, timeout_s: float) -> Record:
-    """The object that the control process answers. Raises ControlRequestError."""
+    """Return the object in the control process's response. Raises ControlRequestError."""
     host, _, port = address.rpartition(":")
     try:
         connection = HTTPConnection(host.strip("[]"), int(port), timeout=timeout_s)
@@ -34,15 +34,15 @@
 
 
 def apply(address: str, change: bytes, timeout_s: float) -> AppliedChangeRecord:
-    """Apply a change (JSON). Raises ControlRequestError."""
+    """Send a change in JSON text to be applied. Raises ControlRequestError."""
     return cast(AppliedChangeRecord, request(address, "POST", http_paths.CHANGES, change, timeout_s))
 
 
 def document(address: str, timeout_s: float) -> DocumentRecord:
-    """The whole document. Raises ControlRequestError."""
+    """Return the whole document. Raises ControlRequestError."""
     return cast(DocumentRecord, request(address, "GET", http_paths.DOCUMENT, None, timeout_s))
 
 
 def status(address: str, timeout_s: float) -> ControlStatusRecord:
-    """The status of a control process. Raises ControlRequestError."""
+    """Return the status of a control process. Raises ControlRequestError."""
     return cast(ControlStatusRecord, request(address, "GET", http_paths.STATUS, None, timeout_s))
--- a/granitedock/configuration/control_connection.py
+++ b/granitedock/configuration/control_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection to a control process (h11 on Twisted): a watch, or requests one after another."""
+"""One HTTP connection to a control process (h11 on Twisted): a watch, or consecutive requests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from zope.interface import implementer
 
 from granitedock.configuration import http_paths
-from granitedock.configuration.change_codec import MOST_CHANGE_BYTES, parse_change
+from granitedock.configuration.change_codec import MAX_CHANGE_BYTES, parse_change
 from granitedock.configuration.control_node import ControlNode
 from granitedock.configuration.document import digest_text
 from granitedock.configuration.errors import (
@@ -32,47 +32,47 @@
 from granitedock.configuration.messages import InForce, Resend, VersionedChange
 from granitedock.configuration.watch_request import parse_watch_request
 
-MOST_REPORT_BYTES = 4096  # one line of a follower
-MOST_REASON = 200  # characters of a reason in the log
-IDLE_MS = 30_000.0  # a connection that completes no request, and is no watch
-LINES_AT_ONCE = 8  # written to one follower in a turn of the loop
+MAX_REPORT_LINE_BYTES = 4096  # The limit of one line that a follower sends.
+MAX_LOGGED_REASON_CHARACTERS = 200
+IDLE_TIMEOUT_MS = 30_000.0  # For a connection that is no watch and completes no request.
+MAX_LINES_PER_TURN = 8  # Lines written to one follower in one turn of the event loop.
 JSON_HEADERS = [("Content-Type", "application/json")]
 WATCH_HEADERS = [("Content-Type", "application/x-ndjson"), ("Transfer-Encoding", "chunked")]
-CONTROLS_MESSAGE = "control's message from a follower"
+UNEXPECTED_MESSAGE = "expected in_force or resend from a follower, got a message of a control process"
 
 
 class ConnectionOwner(Protocol):
-    """What a connection asks of its server (`control_server.py`)."""
+    """The interface of the server that a connection belongs to (`control_server.py`)."""
 
     node: ControlNode
     reactor: Any
 
-    def opened(self, connection: ControlConnection) -> None:
-        """A connection is up."""
+    def connection_opened(self, connection: ControlConnection) -> None:
+        """Record a new connection."""
         ...
 
-    def closed(self, connection: ControlConnection) -> None:
-        """A connection has ended."""
+    def connection_closed(self, connection: ControlConnection) -> None:
+        """Remove a connection that has ended."""
         ...
 
-    def next_snapshots(self) -> None:
-        """Write to the followers whose turn for a snapshot has come."""
+    def start_queued_snapshots(self) -> None:
+        """Start queued snapshots up to the limit, and write to their followers."""
         ...
 
-    def rejected(self, why: str) -> None:
-        """A request or a report was malformed."""
+    def request_rejected(self, reason: str) -> None:
+        """Count and log a malformed request or report."""
         ...
 
     def change_applied(self, change: VersionedChange, source: str) -> None:
-        """A change came in force."""
+        """Log a change that has come into force."""
         ...
 
 
 @implementer(IPushProducer)
 class ControlConnection(protocol.Protocol):
-    """The server's end of one connection; `session` is its follower once it is a watch."""
+    """The server side of one connection; `session` is set once the connection is a watch."""
 
-    transport: Any  # Twisted's, set while the connection is up
+    transport: Any  # Twisted sets it while the connection is open.
 
     def __init__(self, server: ConnectionOwner) -> None:
         self.server = server
@@ -84,31 +84,34 @@
         self.body: list[bytes] = []
         self.body_size = 0
         self.session: FollowerSession | None = None
-        self.buffer = LineBuffer(MOST_REPORT_BYTES)
-        self.paused = False  # the transport has bytes enough to write
+        self.buffer = LineBuffer(MAX_REPORT_LINE_BYTES)
+        self.paused = False  # Whether the transport applies backpressure.
         self.ended = False
-        self.idle_since = server.node.clock()  # it came up, or was last answered
+        self.idle_since = server.node.clock()  # Time of the connection's start or of its last response.
 
     @property
     def writable(self) -> bool:
-        """Whether it is up, and its transport takes more bytes."""
+        """Whether the connection is open and its transport accepts more bytes."""
         return not self.paused and not self.ended
 
     def connectionMade(self) -> None:
-        """Twisted: the connection is up."""
+        """Register with the transport and the server; called by Twisted on a new connection."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self.server.opened(self)
+        self.server.connection_opened(self)
 
-    def connectionLost(self, reason: Any = None) -> None:  # noqa: ARG002 - Twisted passes it by position
-        """Twisted: the connection has ended."""
+    def connectionLost(self, reason: Any = None) -> None:  # noqa: ARG002 - Twisted passes the reason by position.
+        """Remove the connection from the server; called by Twisted when the connection has ended."""
         self.ended = True
-        self.server.closed(self)
+        self.server.connection_closed(self)
 
-    # Requests.
+    # HTTP requests.
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted: bytes of requests, or of a follower's reports."""
+        """Handle bytes of requests or of a follower's reports; called by Twisted.
+
+        A violation of HTTP or a malformed report closes the connection.
+        """
         if self.ended:
             return
         try:
@@ -116,48 +119,54 @@
             while not self.ended and (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
                 self.handle_event(event)
         except (h11.RemoteProtocolError, MalformedLineError) as fault:
-            self.server.rejected(str(fault))
+            self.server.request_rejected(str(fault))
             self.close()
 
     def handle_event(self, event: Any) -> None:
-        """One event of h11; an error is answered. Raises MalformedLineError."""
+        """Handle one event of h11 and answer an HttpError with its status.
+
+        Raises MalformedLineError for a malformed report of a follower.
+        """
         try:
             if isinstance(event, h11.Request):
-                self.request_begins(event)
+                self.handle_request_head(event)
             elif isinstance(event, h11.Data):
-                self.body_received(bytes(event.data))
+                self.handle_body(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                self.request_complete()
+                self.handle_request_end()
             elif isinstance(event, h11.ConnectionClosed):
                 self.close()
         except HttpError as fault:
-            self.server.rejected("; ".join(fault.errors)[:MOST_REASON])
+            self.server.request_rejected("; ".join(fault.errors)[:MAX_LOGGED_REASON_CHARACTERS])
             self.respond(fault.status, {"errors": fault.errors})
 
-    def request_begins(self, request: h11.Request) -> None:
-        """The head of a request; a watch is answered at once."""
+    def handle_request_head(self, request: h11.Request) -> None:
+        """Record the head of a request; a watch is answered immediately. Raises HttpError."""
         target = urlsplit(request.target.decode("ascii", "replace"))
         self.method = request.method.decode()
         self.path = target.path
         self.body = []
         self.body_size = 0
         if target.path == http_paths.WATCH:
-            self.begin_watch(target.query)
+            self.start_watch(target.query)
+
+    def handle_body(self, data: bytes) -> None:
+        """Buffer a part of a request's body, or handle the complete lines among a follower's reports.
 
-    def body_received(self, data: bytes) -> None:
-        """A part of a request's body, or of a follower's reports. Raises HttpError, MalformedLineError."""
+        Raises HttpError for a body above the limit, and MalformedLineError for a malformed report.
+        """
         if self.session is not None:
             for line in self.buffer.lines(data):
-                self.report_received(self.session, line)
+                self.handle_report(self.session, line)
             return
         self.body_size += len(data)
-        if self.body_size > MOST_CHANGE_BYTES:
-            problem = f"(whole change): more than {MOST_CHANGE_BYTES:,} bytes"
+        if self.body_size > MAX_CHANGE_BYTES:
+            problem = f"(whole change): exceeds the limit of {MAX_CHANGE_BYTES:,} bytes"
             raise HttpError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, [problem])
         self.body.append(data)
 
-    def request_complete(self) -> None:
-        """Answer a request that is complete; a watch ends. Raises HttpError."""
+    def handle_request_end(self) -> None:
+        """Answer a complete request, or close a watch whose body has ended. Raises HttpError."""
         if self.session is not None:
             self.close()
             return
@@ -175,11 +184,11 @@
             self.http.start_next_cycle()
 
     def apply_change(self) -> AppliedChangeRecord:
-        """Apply the change in the body, in force here before it is answered. Raises HttpError."""
+        """Apply the change in the body; it is in force here before the response is sent. Raises HttpError."""
         peer = self.transport.getPeer()
         source = f"{peer.host}:{peer.port}"
         try:
-            made = self.node.apply(parse_change(b"".join(self.body), source), source)
+            versioned_change = self.node.apply(parse_change(b"".join(self.body), source), source)
         except VersionConflictError as fault:
             raise HttpError(HTTPStatus.CONFLICT, fault.faults) from None
         except ChangeRejectedError as fault:
@@ -188,11 +197,11 @@
             raise HttpError(HTTPStatus.MISDIRECTED_REQUEST, [str(fault)]) from None
         except ConfigurationError as fault:
             raise HttpError(HTTPStatus.INTERNAL_SERVER_ERROR, [str(fault)]) from None
-        self.server.change_applied(made, source)
-        return {"version": made.version, "digest": digest_text(made.digest)}
+        self.server.change_applied(versioned_change, source)
+        return {"version": versioned_change.version, "digest": digest_text(versioned_change.digest)}
 
     def respond(self, status: int, content: Any) -> None:
-        """Send a whole answer; after an error the connection ends."""
+        """Send a complete response; any status but 200 also closes the connection."""
         body = orjson.dumps(content)
         headers = [*JSON_HEADERS, ("Content-Length", str(len(body)))]
         if status != HTTPStatus.OK:
@@ -204,86 +213,87 @@
             self.ended = True
             self.transport.loseConnection()
 
-    # A watch.
+    # The watch of a follower.
 
-    def begin_watch(self, query: str) -> None:
-        """Answer a watch, and add its follower. Raises HttpError."""
+    def start_watch(self, query: str) -> None:
+        """Answer a watch request and open a session for its follower. Raises HttpError."""
         watch = parse_watch_request(query, self.node.store.cluster)
         self.transport.write(self.http.send(h11.Response(status_code=HTTPStatus.OK, headers=WATCH_HEADERS)))
         now = self.node.clock()
         self.session = self.publisher.open_session(
             watch.name, watch.role, self, watch.version, watch.digest, now
         )
-        self.write_next()
-        self.server.next_snapshots()
+        self.write_pending_lines()
+        self.server.start_queued_snapshots()
 
-    def report_received(self, session: FollowerSession, line: bytes) -> None:
-        """One line of the follower. Raises MalformedLineError."""
+    def handle_report(self, session: FollowerSession, line: bytes) -> None:
+        """Handle one line of the follower. Raises MalformedLineError."""
         message = decode(line)
         if not isinstance(message, InForce | Resend):
-            raise MalformedLineError(CONTROLS_MESSAGE)
+            raise MalformedLineError(UNEXPECTED_MESSAGE)
         self.publisher.message_received(session, message)
-        self.write_next()
+        self.write_pending_lines()
 
-    def write_next(self) -> None:
-        """Write some of what the follower needs, while its connection takes it; the rest in later turns."""
+    def write_pending_lines(self) -> None:
+        """Write pending lines while the transport accepts them, at most MAX_LINES_PER_TURN in one turn."""
         session = self.session
         if session is None:
             return
         now = self.node.clock()
         lines: list[bytes] = []
-        while self.writable and len(lines) < LINES_AT_ONCE:
+        while self.writable and len(lines) < MAX_LINES_PER_TURN:
             line = self.publisher.next_line(session, now)
             if line is None:
                 break
             lines.append(line)
         if lines:
             self.write(b"".join(lines))
-            if len(lines) == LINES_AT_ONCE:
+            if len(lines) == MAX_LINES_PER_TURN:
                 self.server.reactor.callLater(0.0, self.continue_writing)
-            self.server.next_snapshots()
+            self.server.start_queued_snapshots()
 
     def continue_writing(self) -> None:
-        """Write on in a later turn of the loop."""
+        """Write further pending lines in a later turn of the event loop."""
         if self.writable:
-            self.write_next()
+            self.write_pending_lines()
 
     def write(self, data: bytes) -> None:
-        """Write lines to the follower."""
+        """Write encoded lines to the follower and count their bytes."""
         self.publisher.counts["bytes_out"] += len(data)
         self.transport.write(self.http.send(h11.Data(data=data)))
 
     def heartbeat(self) -> None:
-        """Send the follower a heartbeat.
+        """Send a heartbeat on a watch that is not paused, or close a connection idle for IDLE_TIMEOUT_MS.
 
-        Guards the descriptors against connections that never complete a request.
+        Closing idle connections prevents those that never complete a request from exhausting the file
+        descriptors.
         """
         if self.ended:
             return
         if self.session is None:
-            if self.node.clock() - self.idle_since > IDLE_MS:
+            if self.node.clock() - self.idle_since > IDLE_TIMEOUT_MS:
                 self.publisher.counts["idle"] += 1
                 self.close()
         elif not self.paused:
             self.write(HEARTBEAT)
 
-    # The transport.
+    # Calls from and to the transport.
 
     def close(self) -> None:
-        """End the connection at once."""
+        """Abort the connection without flushing it."""
         self.ended = True
         self.transport.unregisterProducer()
         self.transport.abortConnection()
 
     def pauseProducing(self) -> None:
-        """Twisted: the transport has bytes enough to write."""
+        """Stop writing; called by Twisted when the send buffer is full."""
         self.paused = True
 
     def resumeProducing(self) -> None:
-        """Twisted: the transport has room again."""
+        """Resume writing; called by Twisted when the send buffer has room again."""
         self.paused = False
         if self.session is not None and not self.ended:
-            self.write_next()
+            self.write_pending_lines()
 
     def stopProducing(self) -> None:
-        """Twisted: the connection is about to end, which `connectionLost` says."""
+        """Do nothing on Twisted's notice that the connection is closing; `connectionLost` handles the end."""
--- a/granitedock/configuration/control_node.py
+++ b/granitedock/configuration/control_node.py
@@ -1,7 +1,7 @@
-"""One control process: the document, its store and its followers, as the writer or as a replica.
+"""The core of one control process, a writer or a replica: the document, its store and its followers.
 
-Carries out changes on the store and the publisher; sockets are those of `control_server.py` (its followers)
-and `follower_connection.py` (whom a replica follows).
+It applies changes to the store and the publisher and opens no socket. `control_server.py` serves its
+followers, and `follower_connection.py` connects a replica to the control process that it follows.
 """
 
 from __future__ import annotations
@@ -41,15 +41,15 @@
 from granitedock.configuration.quota_windows import with_window
 from granitedock.configuration.replicated_document import ReplicatedDocument
 
-PAGE_ENTRIES = 250  # of a snapshot: some 30 KB, read in about a millisecond
-NO_CLASS_LEFT = "classes: none would be left"
+PAGE_ENTRIES = 250  # A snapshot page of 250 entries is about 30 KB and is read in about 1 ms.
+NO_CLASS_REMAINS = "classes: none would be left"
 
 
 class ControlNode:
-    """The document at one control process.
+    """The document at one control process, in memory and in its store.
 
-    `writer`: it takes changes of operators. `clock()` is monotonic ms, `notify(sessions)` has them written
-    to.
+    `writer` states whether the process accepts operators' changes. `clock()` returns monotonic ms, and
+    `notify(sessions)` writes pending lines to these followers.
     """
 
     def __init__(
@@ -64,23 +64,23 @@
         self.clock = clock
         self.notify = notify
         self.document: ReplicatedDocument[bytes] = ReplicatedDocument(self)
-        self.follower: Follower | None = None  # of a replica
+        self.follower: Follower | None = None  # Set at a replica.
         store.load(self.contents)
         self.publisher = Publisher(store.cluster, self.snapshot_lines)
         self.publisher.load(self.contents.version, self.contents.digest, store.changes(), clock())
 
     @property
     def contents(self) -> Contents[bytes]:
-        """What is in force; values are canonical JSON."""
+        """The contents in force; each value is the record as canonical JSON."""
         return self.document.contents
 
     def record(self, section: Section, name: str) -> Record | None:
-        """The entry's record, or None where there is none."""
+        """Return the entry's record, or None if there is no such entry."""
         value = self.contents.values[section].get(name)
         return None if value is None else orjson.loads(value)
 
     def snapshot_lines(self) -> list[bytes]:
-        """The lines of the whole document."""
+        """Return the encoded lines of a snapshot of the whole document."""
         contents = self.contents
         records = {section: map(orjson.loads, contents.values[section].values()) for section in Section}
         edits = list(split_into_pages(records, PAGE_ENTRIES))
@@ -91,12 +91,14 @@
         messages.append(SnapshotEnds(version, digest))
         return [encode(message) for message in messages]
 
-    # The writer.
+    # Changes at the writer.
 
     def apply(self, change: Change, source: str) -> VersionedChange:
-        """Apply the operators' change, stored before it is published; `source` names where it came from.
+        """Apply an operator's change: store it, put it in force, and publish it to the followers.
 
-        Raises ChangeRejectedError, VersionConflictError, NotWriterError or StoreError; then nothing changed.
+        `source` names the file or address that the change came from. Returns the change with its version.
+        Raises ChangeRejectedError, VersionConflictError, NotWriterError or StoreError; the document is then
+        unchanged.
         """
         if not self.writer:
             raise NotWriterError(source)
@@ -108,15 +110,15 @@
             prepared = contents.prepare(edit)
         except ConfigurationError as fault:
             raise ChangeRejectedError(source, [str(fault)]) from None
-        self.check_class_left(prepared, source)
-        made = VersionedChange(contents.version + 1, prepared.digest, time.time() * 1000.0, edit)
-        self.store.append(made)
-        contents.commit(prepared, made.version)
-        self.notify(self.publisher.publish(made, self.clock()))
-        return made
+        self.check_class_remains(prepared, source)
+        versioned_change = VersionedChange(contents.version + 1, prepared.digest, time.time() * 1000.0, edit)
+        self.store.append(versioned_change)
+        contents.commit(prepared, versioned_change.version)
+        self.notify(self.publisher.publish(versioned_change, self.clock()))
+        return versioned_change
 
     def with_windows(self, edit: Edit) -> Edit:
-        """The edit with the windows of the plans that it upserts."""
+        """Return the edit with a window in each plan that it upserts."""
         plans = edit.upserts.get(Section.PLANS, ())
         completed = tuple(with_window(plan, self.record(Section.PLANS, plan["Name"])) for plan in plans)
         upserts = dict(edit.upserts)
@@ -124,48 +126,54 @@
             upserts[Section.PLANS] = completed
         return Edit(upserts, edit.removals)
 
-    def check_class_left(self, prepared: PreparedEdit[bytes], source: str) -> None:
-        """Guards gateways against a document without any class, by which no request can be served."""
-        left = set(self.contents.values[Section.CLASSES])
-        left -= {name for section, name in prepared.removals if section is Section.CLASSES}
-        left |= {entry.name for entry in prepared.entries if entry.section is Section.CLASSES}
-        if not left:
-            raise ChangeRejectedError(source, [NO_CLASS_LEFT])
+    def check_class_remains(self, prepared: PreparedEdit[bytes], source: str) -> None:
+        """Raise ChangeRejectedError if the prepared edit would remove the last request class.
+
+        Prevents gateways from receiving a document without any class, with which they can serve no request.
+        """
+        remaining = set(self.contents.values[Section.CLASSES])
+        remaining -= {name for section, name in prepared.removals if section is Section.CLASSES}
+        remaining |= {entry.name for entry in prepared.entries if entry.section is Section.CLASSES}
+        if not remaining:
+            raise ChangeRejectedError(source, [NO_CLASS_REMAINS])
 
     def import_settings(self, settings: Record, source: str) -> VersionedChange:
-        """Make version 1 out of a platform's file, where the store is empty. Raises ChangeRejectedError."""
+        """Apply a platform file's settings as version 1 of an empty store.
+
+        Raises ChangeRejectedError if the store already has a version.
+        """
         if self.contents.version:
-            problem = f"the store is at version {self.contents.version}, not empty"
+            problem = f"expected an empty store to import into, got one at version {self.contents.version}"
             raise ChangeRejectedError(source, [problem])
         return self.apply(Change(0, edit_from_platform_settings(settings)), source)
 
-    # `DocumentConsumer` of the replicated document (at a replica).
+    # Methods of `DocumentConsumer`, which the replicated document calls at a replica.
 
     @staticmethod
     def make_value(_section: Section, record: Record) -> bytes:
-        """The record as canonical JSON."""
+        """Return the record as canonical JSON."""
         return canonical_json(record)
 
     def snapshot_started(self) -> None:
-        """Nothing is kept of a document on its way but its incoming contents."""
+        """Do nothing: the replicated document itself keeps the contents of an incomplete snapshot."""
 
     def apply_change(self, change: VersionedChange, _prepared: PreparedEdit[bytes]) -> None:
-        """Store and publish a change of the writer's."""
+        """Store and publish a change that the writer made."""
         self.store.append(change)
         self.notify(self.publisher.publish(change, self.clock()))
 
     def apply_snapshot(self, _before: Contents[bytes], after: Contents[bytes]) -> None:
-        """Store and publish a whole document."""
+        """Store and publish a whole document received as a snapshot."""
         entries = (
             (section, orjson.loads(value)) for section in Section for value in after.values[section].values()
         )
         self.store.replace(entries, after.version, after.digest)
         self.notify(self.publisher.publish_snapshot(after.version, after.digest, self.clock()))
 
-    # What it can be asked.
+    # Records of the HTTP interface.
 
     def document_record(self) -> DocumentRecord:
-        """The whole document, in the platform's words."""
+        """Return the whole document, with the field names of the platform file."""
         contents = self.contents
         sections = {
             section.value: [orjson.loads(value) for _, value in sorted(contents.values[section].items())]
@@ -175,10 +183,10 @@
         return cast(DocumentRecord, record)
 
     def status(self) -> ControlStatusRecord:
-        """Version, digest, entries, followers and counters, as JSON can hold them."""
+        """Return version, digest, numbers of entries, followers and counters as a JSON-compatible record."""
         contents = self.contents
         now = self.clock()
-        followers = [cast(FollowerRecord, asdict(one)) for one in self.publisher.status(now)]
+        followers = [cast(FollowerRecord, asdict(follower)) for follower in self.publisher.status(now)]
         return {
             "cluster": self.store.cluster,
             "writer": self.writer,
--- a/granitedock/configuration/control_process.py
+++ b/granitedock/configuration/control_process.py
@@ -1,4 +1,4 @@
-"""`granitedock control`: one control process, the writer or a replica, until SIGTERM."""
+"""Runs one control process, the writer or a replica, until SIGTERM (`granitedock control`)."""
 
 from __future__ import annotations
 
@@ -21,32 +21,32 @@
 from granitedock.configuration.settings import ControlFile
 from granitedock.event_log import EventLog
 
-MOST_LOG_LINES_A_SECOND = 50
+MAX_LOG_LINES_PER_SECOND = 50
 REPLICA = "replica"
 
 
-def notify_nobody(_followers: object) -> None:
-    """Stands for the server until there is one."""
+def discard_notification(_followers: object) -> None:
+    """Discard a notification; the node uses this function until its server replaces it."""
 
 
 class ControlProcess:
-    """A control process by its file. Raises StoreError."""
+    """A control process as its settings file describes it. Raises StoreError."""
 
     def __init__(self, file: ControlFile, reactor: Any = default_reactor) -> None:
         self.file = file
         self.reactor = reactor
-        self.log = EventLog(file.name, lambda: time() * 1000.0, MOST_LOG_LINES_A_SECOND)
+        self.log = EventLog(file.name, lambda: time() * 1000.0, MAX_LOG_LINES_PER_SECOND)
         store = DocumentStore(Path(file.store), file.cluster)
-        self.node = ControlNode(store, not file.follow, self.now, notify_nobody)
+        self.node = ControlNode(store, not file.follow, self.now, discard_notification)
         self.server = ControlServer(reactor, self.node, self.log.event)
         self.transport: FollowerTransport | None = None
 
     def now(self) -> float:
-        """Monotonic ms."""
+        """Return monotonic ms."""
         return self.reactor.seconds() * 1000.0
 
     def start(self) -> str:
-        """Serve, and follow where the file says whom; the address. Raises CannotListenError."""
+        """Start to serve and, at a replica, to follow. Returns the address. Raises CannotListenError."""
         address = self.server.listen(self.file.listen)
         if self.file.follow:
             self.start_following()
@@ -61,7 +61,7 @@
         return address
 
     def start_following(self) -> None:
-        """Follow the control processes that the file names, as a replica."""
+        """Start to follow the control processes that the settings file names, as a replica."""
         self.transport = FollowerTransport(self.reactor, REPLICA, self.node.publisher.counts)
         self.node.follower = Follower(
             FollowerSettings(self.file.name, self.file.cluster, self.file.follow),
@@ -73,9 +73,10 @@
         self.transport.start(self.node.follower)
 
     def import_settings(self, settings: Record, source: str) -> None:
-        """Make a platform's file version 1 of an empty store. Raises ConfigurationError.
+        """Apply a platform file as version 1 of an empty store. Raises ConfigurationError.
 
-        Where there is a version, nothing is done, so that a restart by the same command goes on by the store.
+        The import is skipped if the store has a version, so that a restart with the same command continues
+        from the store.
         """
         if self.node.contents.version:
             self.log.event("import skipped", file=source, version=self.node.contents.version)
@@ -83,7 +84,7 @@
             self.node.import_settings(settings, source)
 
     def end(self) -> Any:
-        """Stop following and serving; a Deferred of the listener's end."""
+        """Stop following and serving. Returns a Deferred that fires when the listener has stopped."""
         if self.transport is not None:
             self.transport.stop()
         ended = self.server.close()
@@ -92,9 +93,9 @@
 
 
 def run(file: ControlFile, settings: Record | None, source: str) -> int:
-    """Serve until SIGTERM; `settings` of a platform's file become version 1 of an empty store.
+    """Serve until SIGTERM or SIGINT; the `settings` of a platform file become version 1 of an empty store.
 
-    The process's exit status. Raises ConfigurationError.
+    Returns the process's exit status. Raises ConfigurationError.
     """
     process = ControlProcess(file)
     if settings is not None:
@@ -105,8 +106,8 @@
         print(f"granitedock: cannot listen at {file.listen}: {fault}", file=sys.stderr)
         return 1
     print(address, flush=True)
-    reactor: Any = default_reactor  # Twisted's module stands for the reactor, whose type it does not state
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: reactor.callFromThread(reactor.stop))
+    reactor: Any = default_reactor  # Twisted states no type for its reactor module.
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: reactor.callFromThread(reactor.stop))
     reactor.run(installSignalHandlers=False)
     return 0
--- a/granitedock/configuration/control_server.py
+++ b/granitedock/configuration/control_server.py
@@ -1,4 +1,4 @@
-"""The listener of a control process, and its periodic work for all connections (paths: `http_paths.py`)."""
+"""The listener of a control process and its periodic work on all connections (paths: `http_paths.py`)."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ControlServer:
-    """The listener of one control process. `log(event, **figures)` logs what an operator should see."""
+    """The listener of one control process; `log(event, **figures)` logs an event for operators."""
 
     def __init__(self, reactor: Any, node: ControlNode, log: EventLogger) -> None:
         self.reactor = reactor
@@ -28,7 +28,10 @@
         node.notify = self.notify
 
     def listen(self, address: str) -> str:
-        """Listen at HOST:PORT (port 0: any free one); the address. Raises CannotListenError."""
+        """Listen at HOST:PORT, where port 0 means any free port.
+
+        Returns the address with the actual port. Raises CannotListenError.
+        """
         host, _, port = address.rpartition(":")
         factory = Factory.forProtocol(lambda: ControlConnection(self))
         factory.noisy = False
@@ -37,7 +40,10 @@
         return f"{host}:{self.port.getHost().port}"
 
     def close(self) -> Any:
-        """Stop listening and end all connections; a Deferred of the listener's end."""
+        """Stop listening and abort all connections.
+
+        Returns a Deferred that fires when the listener has stopped.
+        """
         stopped = self.port.stopListening()
         self.port = None
         for connection in list(self.connections):
@@ -45,45 +51,45 @@
         return stopped
 
     def notify(self, sessions: list[FollowerSession]) -> None:
-        """Write to these followers, as far as their connections take it."""
+        """Write pending lines to these followers, as far as their connections accept them."""
         for session in sessions:
             if session.connection.writable:
-                session.connection.write_next()
+                session.connection.write_pending_lines()
 
-    def next_snapshots(self) -> None:
-        """Write to the followers whose turn for a snapshot has come."""
-        self.notify(self.node.publisher.next_snapshots())
+    def start_queued_snapshots(self) -> None:
+        """Start queued snapshots up to the limit, and write to their followers."""
+        self.notify(self.node.publisher.start_queued_snapshots())
 
     def heartbeat(self) -> None:
-        """Each second: a heartbeat for the followers, and an end to snapshots that do not progress."""
+        """Send heartbeats and close connections whose snapshot has stalled; runs every HEARTBEAT_S."""
         if self.port is None:
             return
         publisher = self.node.publisher
-        for session in publisher.stalled(self.node.clock()):
+        for session in publisher.stalled_sessions(self.node.clock()):
             publisher.counts["stalled"] += 1
             session.connection.close()
         for connection in list(self.connections):
             connection.heartbeat()
         self.reactor.callLater(HEARTBEAT_S, self.heartbeat)
 
-    # What connections report.
+    # Events of connections (`ConnectionOwner`).
 
-    def opened(self, connection: ControlConnection) -> None:
-        """A connection is up."""
+    def connection_opened(self, connection: ControlConnection) -> None:
+        """Record a new connection."""
         self.connections.add(connection)
 
-    def closed(self, connection: ControlConnection) -> None:
-        """A connection has ended; a follower's place goes to the next."""
+    def connection_closed(self, connection: ControlConnection) -> None:
+        """Remove a connection that has ended; its snapshot slot, if any, goes to the next queued session."""
         self.connections.discard(connection)
         if connection.session is not None:
             self.node.publisher.close_session(connection.session)
-            self.next_snapshots()
+            self.start_queued_snapshots()
 
-    def rejected(self, why: str) -> None:
-        """A request or a report was malformed: it is counted and logged, and its connection ends."""
+    def request_rejected(self, reason: str) -> None:
+        """Count and log a malformed request or report; the caller closes its connection."""
         self.node.publisher.counts["refused"] += 1
-        self.log("request rejected", why=why)
+        self.log("request rejected", why=reason)
 
     def change_applied(self, change: VersionedChange, source: str) -> None:
-        """A change of the operators' came in force."""
+        """Log an operator's change that has come into force."""
         self.log("configuration changed", version=change.version, entries=len(change.edit), by=source)
--- a/granitedock/configuration/document.py
+++ b/granitedock/configuration/document.py
@@ -1,8 +1,9 @@
-"""The document that gateways are configured by: plans and request classes under one version and digest.
+"""The document that configures gateways: plans and request classes under one version and digest.
 
-Records have the form of the platform's file (`platform_file.py`). The digest is the sum of each entry's own,
-modulo 2^128 (a set hash after Bellare and Micciancio, 1997), so that a change costs what it names and not the
-whole document. It detects faults, not tampering: a control process is trusted. No I/O.
+Records have the form of the platform file (`platform_file.py`). The document's digest is the sum of the
+digests of its entries modulo 2^128 (a set hash after Bellare and Micciancio, 1997), so that the cost of a
+change is proportional to the entries that it names and not to the whole document. The digest detects faults,
+not tampering, because a control process is trusted. No I/O.
 """
 
 from __future__ import annotations
@@ -18,55 +19,55 @@
 from granitedock.configuration.errors import ConfigurationError
 
 Record = dict[str, Any]
-"""One JSON object: an entry in the platform's words, or a part of a message or answer."""
+"""One JSON object: an entry with the platform file's field names, or a part of a message or response."""
 Value = TypeVar("Value")
 DIGEST_BYTES = 16
-MODULUS = 2 ** (8 * DIGEST_BYTES)
+DIGEST_MODULUS = 2 ** (8 * DIGEST_BYTES)
 
 
 class Section(Enum):
-    """The kinds of entries. Routes and services are to be further ones."""
+    """The kinds of entries; routes and services are planned as further kinds."""
 
     CLASSES = "classes"
     PLANS = "plans"
 
-    __hash__ = object.__hash__  # one object a member; the default hashes the name at each look-up
+    __hash__ = object.__hash__  # Each member is one object; the default hashes the name at each look-up.
 
 
 DIGEST_PREFIXES = {section: section.value.encode() + b"\0" for section in Section}
 
 
 def canonical_json(record: Record) -> bytes:
-    """The record as JSON with sorted keys, from which digests are made."""
+    """Return the record as JSON with sorted keys, the input of digests."""
     return orjson.dumps(record, option=orjson.OPT_SORT_KEYS)
 
 
 def entry_digest(section: Section, record: Record) -> int:
-    """The digest of one entry."""
+    """Return the digest of one entry."""
     full_digest = sha256(DIGEST_PREFIXES[section] + canonical_json(record)).digest()
     return int.from_bytes(full_digest[:DIGEST_BYTES], "big")
 
 
 def digest_text(digest: int) -> str:
-    """The digest as 32 hex digits."""
+    """Return the digest as 32 hex digits."""
     return f"{digest:0{2 * DIGEST_BYTES}x}"
 
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """Records to upsert and names to remove, by section; other entries stay as they are."""
+    """Records to upsert and names to remove, by section; other entries remain unchanged."""
 
     upserts: dict[Section, tuple[Record, ...]] = field(default_factory=dict)
     removals: dict[Section, tuple[str, ...]] = field(default_factory=dict)
 
     def upserted(self) -> Iterator[tuple[Section, Record]]:
-        """Each record to upsert, with its section."""
+        """Yield each record to upsert, with its section."""
         for section, records in self.upserts.items():
             for record in records:
                 yield section, record
 
     def removed(self) -> Iterator[tuple[Section, str]]:
-        """Each name to remove, with its section."""
+        """Yield each name to remove, with its section."""
         for section, names in self.removals.items():
             for name in names:
                 yield section, name
@@ -77,14 +78,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An edit of the version `base`; it makes the version after it."""
+    """An edit based on version `base`; applying it makes the next version."""
 
     base: int
     edit: Edit
 
 
 class PreparedEntry(NamedTuple, Generic[Value]):
-    """An entry that is about to be put: what is kept of its record, and its digest."""
+    """An entry to be upserted: the value made of its record, and its digest."""
 
     section: Section
     name: str
@@ -94,7 +95,7 @@
 
 @dataclass(slots=True)
 class PreparedEdit(Generic[Value]):
-    """An edit worked out against contents and not yet in force; `digest` is the whole document's after it."""
+    """An edit checked against contents and not yet in force; `digest` is the whole document's after it."""
 
     entries: list[PreparedEntry[Value]]
     removals: list[tuple[Section, str]]
@@ -102,7 +103,7 @@
 
 
 class Contents(Generic[Value]):
-    """All entries as one process keeps them: each value is what `make_value` makes of its record."""
+    """All entries in one process's memory; each value is the result of `make_value` for its record."""
 
     def __init__(self, make_value: Callable[[Section, Record], Value]) -> None:
         self.make_value = make_value
@@ -112,7 +113,7 @@
         self.digests: dict[Section, dict[str, int]] = {section: {} for section in Section}
 
     def prepare(self, edit: Edit) -> PreparedEdit[Value]:
-        """Work out what the edit would do, without doing it.
+        """Compute the effect of the edit without applying it.
 
         Raises ConfigurationError for the removal of an entry that does not exist.
         """
@@ -130,13 +131,13 @@
             make_value = self.make_value
             for record in records:
                 name = record["Name"]
-                own_digest = entry_digest(section, record)
-                digest += own_digest - known_digests.get(name, 0)
-                entries.append(PreparedEntry(section, name, make_value(section, record), own_digest))
-        return PreparedEdit(entries, removals, digest % MODULUS)
+                record_digest = entry_digest(section, record)
+                digest += record_digest - known_digests.get(name, 0)
+                entries.append(PreparedEntry(section, name, make_value(section, record), record_digest))
+        return PreparedEdit(entries, removals, digest % DIGEST_MODULUS)
 
     def commit(self, prepared: PreparedEdit[Value], version: int) -> None:
-        """Put a prepared edit in force, as this version."""
+        """Apply a prepared edit as this version."""
         for section, name in prepared.removals:
             del self.values[section][name]
             del self.digests[section][name]
@@ -147,12 +148,12 @@
         self.digest = prepared.digest
 
     def count(self) -> int:
-        """The number of entries of all sections."""
+        """Return the number of entries in all sections."""
         return sum(len(values) for values in self.values.values())
 
 
 def split_into_pages(records: Mapping[Section, Iterable[Record]], size: int) -> Iterator[Edit]:
-    """All records as upserts, in edits of at most `size` entries."""
+    """Yield all records as upserts, in edits of at most `size` entries."""
     page: dict[Section, list[Record]] = {}
     count = 0
     for section, section_records in records.items():
@@ -160,13 +161,13 @@
             page.setdefault(section, []).append(record)
             count += 1
             if count == size:
-                yield upserting(page)
+                yield upsert_edit(page)
                 page = {}
                 count = 0
     if count:
-        yield upserting(page)
+        yield upsert_edit(page)
 
 
-def upserting(records: Mapping[Section, list[Record]]) -> Edit:
-    """An edit that upserts these records and removes none."""
+def upsert_edit(records: Mapping[Section, list[Record]]) -> Edit:
+    """Return an edit that upserts these records and removes none."""
     return Edit({section: tuple(section_records) for section, section_records in records.items()})
--- a/granitedock/configuration/document_store.py
+++ b/granitedock/configuration/document_store.py
@@ -1,8 +1,8 @@
-"""The document and the log of its changes on disk: one SQLite file, write-ahead log, synchronous.
+"""The document and its change log on disk: one SQLite file with a write-ahead log and synchronous commits.
 
-A change is one transaction: entries, log, version and digest, all or none. At the opening the digest is
-computed anew from the entries; a file whose entries do not add up to the digest that it states is corrupt
-(`torn` in its errors) and is not served.
+A change is one transaction over entries, log, version and digest. On loading, the digest is recomputed from
+the entries. A file whose entries do not add up to the stored digest is corrupt (`torn` in its errors) and is
+not served.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from granitedock.configuration.change_codec import edit_from_record, edit_to_record
 from granitedock.configuration.document import (
-    MODULUS,
+    DIGEST_MODULUS,
     Contents,
     Record,
     Section,
@@ -27,7 +27,7 @@
 from granitedock.configuration.messages import VersionedChange
 
 FORMAT = 1
-MOST_LOGGED_VERSIONS = 4096  # followers further behind get a snapshot
+MAX_LOGGED_VERSIONS = 4096  # A follower that is further behind gets a snapshot.
 CREATE_TABLES = """
 CREATE TABLE IF NOT EXISTS state (
     one INTEGER PRIMARY KEY CHECK (one = 1), format INTEGER NOT NULL, cluster TEXT NOT NULL,
@@ -61,68 +61,74 @@
             self.database.execute("PRAGMA synchronous=FULL")
             self.database.executescript(CREATE_TABLES)
             self.database.execute(INSERT_STATE, (FORMAT, cluster, digest_text(0)))
-            self.check()
+            self.check_integrity()
         except sqlite3.Error as fault:
             raise StoreError(path, f"cannot be used as a store: {fault}") from None
 
-    def check(self) -> None:
-        """Guards against serving another cluster's document, or one that a fault of the disk has changed."""
+    def check_integrity(self) -> None:
+        """Raise StoreError for a file of another format or cluster, or a corrupt one.
+
+        Prevents serving another cluster's document, or one that a disk fault has changed.
+        """
         stored_format, cluster = self.database.execute(SELECT_FORMAT).fetchone()
         if stored_format != FORMAT:
-            raise StoreError(self.path, f"format {stored_format}, and this program writes {FORMAT}")
+            raise StoreError(self.path, f"format {stored_format}; this program writes format {FORMAT}")
         if cluster != self.cluster:
             raise StoreError(self.path, f"the store of cluster {cluster!r}, not {self.cluster!r}")
         result = self.database.execute("PRAGMA quick_check").fetchone()[0]
         if result != "ok":
             raise StoreError(self.path, f"torn: {result}")
 
-    # Reading.
+    # Read operations.
 
     def state(self) -> tuple[int, str]:
-        """Version, and digest as text."""
+        """Return the version, and the digest as text."""
         return self.database.execute(SELECT_STATE).fetchone()
 
     def entries(self) -> Iterator[tuple[Section, Record]]:
-        """All entries, each with its section."""
+        """Yield all entries, each with its section."""
         for section, _, record in self.database.execute(SELECT_ENTRIES):
             yield Section(section), orjson.loads(record)
 
     def load(self, contents: Contents[bytes]) -> None:
-        """Fill empty contents with what is stored; the file is corrupt where the digest differs."""
+        """Fill empty contents with the stored entries, version and digest.
+
+        Raises StoreError if the file is unreadable or the computed digest differs from the stored one.
+        """
         try:
             version, stated_digest = self.state()
             total = 0
             for section, record in self.entries():
-                own_digest = entry_digest(section, record)
+                record_digest = entry_digest(section, record)
                 name = record["Name"]
                 contents.values[section][name] = contents.make_value(section, record)
-                contents.digests[section][name] = own_digest
-                total += own_digest
+                contents.digests[section][name] = record_digest
+                total += record_digest
         except (sqlite3.Error, orjson.JSONDecodeError, KeyError, TypeError, ValueError) as fault:
             raise StoreError(self.path, f"torn: {type(fault).__name__}: {fault}") from None
         contents.version = version
-        contents.digest = total % MODULUS
+        contents.digest = total % DIGEST_MODULUS
         computed = digest_text(contents.digest)
         if computed != stated_digest:
             problem = f"torn: its entries make digest {computed}, and it states {stated_digest}"
             raise StoreError(self.path, problem)
 
     def changes(self) -> list[VersionedChange]:
-        """The log that is kept, oldest first."""
+        """Return the retained changes, oldest first."""
         return [
             VersionedChange(version, int(digest, 16), at_ms, edit_from_record(orjson.loads(edit)))
             for version, digest, at_ms, edit in self.database.execute(SELECT_CHANGES)
         ]
 
-    # Writing.
+    # Write operations.
 
     def append(self, change: VersionedChange) -> None:
-        """Store one change of the version before it, whole or not at all."""
+        """Store one change to the stored version, atomically."""
         try:
             with Transaction(self.database):
                 version = self.state()[0]
                 if change.version != version + 1:
-                    problem = f"version {version}, and the change makes {change.version}"
+                    problem = f"stored version is {version}, cannot append version {change.version}"
                     raise StoreError(self.path, problem)
                 removed = [(section.value, name) for section, name in change.edit.removed()]
                 self.database.executemany(DELETE_ENTRY, removed)
@@ -133,7 +139,7 @@
             raise StoreError(self.path, f"cannot be written: {fault}") from None
 
     def replace(self, entries: Iterable[tuple[Section, Record]], version: int, digest: int) -> None:
-        """Store a whole snapshot in the place of all that was there; the log begins anew."""
+        """Replace the whole document by a snapshot, atomically, and clear the log."""
         try:
             with Transaction(self.database):
                 self.database.execute("DELETE FROM entries")
@@ -144,19 +150,19 @@
             raise StoreError(self.path, f"cannot be written: {fault}") from None
 
     def upsert_entries(self, entries: Iterable[tuple[Section, Record]]) -> None:
-        """Put entries, within a transaction."""
+        """Upsert entries within a transaction."""
         rows = ((section.value, record["Name"], canonical_json(record)) for section, record in entries)
         self.database.executemany(UPSERT_ENTRY, rows)
 
     def log_change(self, change: VersionedChange) -> None:
-        """Append to the log and drop its oldest version, within a transaction."""
+        """Append a change to the log and delete versions beyond the limit, within a transaction."""
         edit = orjson.dumps(edit_to_record(change.edit))
         row = (change.version, digest_text(change.digest), change.at_ms, edit)
         self.database.execute(INSERT_CHANGE, row)
-        self.database.execute(DELETE_OLD_CHANGES, (change.version - MOST_LOGGED_VERSIONS,))
+        self.database.execute(DELETE_OLD_CHANGES, (change.version - MAX_LOGGED_VERSIONS,))
 
     def update_state(self, version: int, digest: int) -> None:
-        """State version and digest, within a transaction."""
+        """Store version and digest within a transaction."""
         self.database.execute(UPDATE_STATE, (version, digest_text(digest)))
 
     def close(self) -> None:
@@ -165,7 +171,7 @@
 
 
 class Transaction:
-    """Begins at once for writing; commits at the end of its block, or rolls all back."""
+    """A write transaction, begun on entry; commits at the end of its block, or rolls back on an exception."""
 
     def __init__(self, database: sqlite3.Connection) -> None:
         self.database = database
--- a/granitedock/configuration/errors.py
+++ b/granitedock/configuration/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the configuration service. The text of each names where and what."""
+"""Errors of the configuration service; the text of each names the object and the fault."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class ConfigurationError(GranitedockError, ValueError):
-    """Something of the configuration that cannot be used; its text names where and what."""
+    """An unusable part of the configuration; the text names the object and the fault."""
 
 
 class DigestMismatchError(ConfigurationError):
-    """Entries that lead to another digest than the one stated with them."""
+    """Entries whose computed digest differs from the digest stated with them."""
 
 
 class MalformedLineError(ConfigurationError):
-    """A line that is no message of the protocol, or a message that may not come at this point."""
+    """A line that is no message of the protocol, or a message that is not allowed in the current state."""
 
 
 class ChangeRejectedError(ConfigurationError):
-    """A change that is not valid; `faults` has a line for each fault, SOURCE: FIELD: WHAT."""
+    """An invalid change; `faults` has a line `SOURCE: FIELD: REASON` for each fault."""
 
     def __init__(self, source: str, faults: list[str]) -> None:
         self.faults = [f"{source}: {fault}" for fault in faults[:MAX_REPORTED_ERRORS]]
@@ -32,32 +32,34 @@
 
 
 class VersionConflictError(ChangeRejectedError):
-    """A change based on another version than the present one: another change was made first."""
+    """A change based on another version than the current one, because another change was applied first."""
 
     def __init__(self, source: str, base: int, version: int) -> None:
         super().__init__(source, [f"base: the present version is {version}, not {base}"])
 
 
 class NotWriterError(ConfigurationError):
-    """A change that was sent to a replica."""
+    """A change sent to a replica."""
 
     def __init__(self, source: str) -> None:
-        super().__init__(f"{source}: this control process is a replica, and takes no change")
+        super().__init__(
+            f"{source}: this control process is a replica and rejects changes; send the change to the writer"
+        )
 
 
 class StoreError(ConfigurationError):
-    """A store that cannot be used; its text names the file and why."""
+    """An unusable store; the text names the file and the fault."""
 
     def __init__(self, path: Path, problem: str) -> None:
         super().__init__(f"{path}: {problem}")
 
 
 class ControlRequestError(ConfigurationError):
-    """A control process that does not answer, or answers with an error; its text names the address."""
+    """A control process that does not answer or answers with an error; the text names its address."""
 
 
 class HttpError(GranitedockError):
-    """A request that is answered by an HTTP error: its status, and a text for each fault."""
+    """An HTTP error response to a request: its status, and a text for each fault."""
 
     def __init__(self, status: HTTPStatus, errors: list[str]) -> None:
         super().__init__(status, errors)
--- a/granitedock/configuration/follower_session.py
+++ b/granitedock/configuration/follower_session.py
@@ -1,4 +1,4 @@
-"""What a control process knows of one connected follower."""
+"""The state that a control process keeps for one connected follower."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
     @property
     def writable(self) -> bool:
-        """Whether it is up, and its transport takes more bytes."""
+        """Whether the connection is open and its transport accepts more bytes."""
         ...
 
-    def write_next(self) -> None:
-        """Write some of what the follower needs."""
+    def write_pending_lines(self) -> None:
+        """Write pending lines to the follower, up to a limit per turn."""
         ...
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         ...
 
 
 @dataclass(eq=False, slots=True)
 class FollowerSession:
-    """One connection of a gateway or a replica; times in ms of the process's clock.
+    """One connection of a gateway or a replica; times are in ms of the process's clock.
 
-    `cursor` is the version written to it last, once any was; `version` and `digest` are what it says to have
-    in force.
+    `cursor` is the last version written to the follower, or initially the version that it reports on
+    connecting. `version` and `digest` are those that the follower reports to have in force.
     """
 
     name: str
@@ -38,17 +38,17 @@
     cursor: int
     version: int
     digest: int
-    since: float
+    connected_at: float
     progressed_at: float
-    pages: Iterator[bytes] | None = None  # of the snapshot on its way
+    remaining_lines: Iterator[bytes] | None = None  # Unsent lines of the snapshot in progress.
     snapshot_version: int = 0
-    queued: bool = False  # for its turn to get a snapshot
+    queued: bool = False  # Whether the session waits for a snapshot slot.
     greeting: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
 class FollowerStatus:
-    """How one follower stands: `lag_ms` is how long the first version that it lacks has been known here."""
+    """The status of one follower; `lag_ms` is the time since the first version that it lacks became known."""
 
     name: str
     role: str
--- a/granitedock/configuration/http_paths.py
+++ b/granitedock/configuration/http_paths.py
@@ -1,13 +1,13 @@
-"""The paths of a control process's HTTP port.
+"""Paths of a control process's HTTP port.
 
-| request | answer |
+| request | response |
 | --- | --- |
-| `POST /configuration/watch?name&role&cluster&after&digest` | lines of `message_codec.py`, without end |
-| `POST /configuration/changes` | 200 with version and digest; 409 another base; 400 a fault; 421 a replica |
+| `POST /configuration/watch?name&role&cluster&after&digest` | endless lines of `message_codec.py` |
+| `POST /configuration/changes` | 200 version and digest; 400 a fault; 409 another base; 421 a replica |
 | `GET /configuration/document` | the whole document |
 | `GET /configuration/status` | version, followers, counters |
 
-An error is `{"errors": [...]}`, and ends its own connection only.
+An error response is `{"errors": [...]}`; it closes only its own connection.
 """
 
 WATCH = "/configuration/watch"
--- a/granitedock/configuration/http_records.py
+++ b/granitedock/configuration/http_records.py
@@ -1,4 +1,4 @@
-"""The JSON objects that control processes and gateways answer with."""
+"""JSON objects in the responses of control processes and gateways."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class FollowingRecord(TypedDict):
-    """Whom a follower follows: the address, the state of its connection, its own order, its counters."""
+    """A follower's control process and connection state, its order of addresses, and its counters."""
 
     control: str
     state: str
@@ -17,7 +17,7 @@
 
 
 class FollowerRecord(TypedDict):
-    """One follower of a control process; `lag_ms` is 0 where it lacks no version."""
+    """One follower of a control process; `lag_ms` is 0 if it lacks no version."""
 
     name: str
     role: str
@@ -42,7 +42,7 @@
 
 
 class DocumentRecord(TypedDict):
-    """A whole document in the platform's words."""
+    """A whole document, with the field names of the platform file."""
 
     version: int
     digest: str
@@ -51,7 +51,7 @@
 
 
 class AppliedChangeRecord(TypedDict):
-    """The version and digest that a change made."""
+    """The version and digest that result from a change."""
 
     version: int
     digest: str
--- a/granitedock/configuration/publisher.py
+++ b/granitedock/configuration/publisher.py
@@ -1,9 +1,10 @@
-"""What a control process sends to its followers, and what it knows of them. No I/O.
+"""Selects the lines that a control process sends to its followers, and tracks their versions. No I/O.
 
-Each follower has a cursor, the last version that was written to it. What it needs next is worked out when its
-connection has room (`next_line`), so no queue grows behind a slow one. A follower too far behind the log that
-is kept, or with another digest, gets a whole snapshot; only so many at once, so that a fleet that restarts
-does not ask for all of the process's core and memory in one moment.
+Each follower has a cursor, the last version that was written to it. Its next line is computed when its
+connection has room (`next_line`), so no send queue grows for a slow follower. A follower that is further
+behind than the retained log, or that has another digest, gets a whole snapshot. The number of concurrent
+snapshots is limited, so that a fleet that restarts does not occupy the process's whole core and memory at
+once.
 """
 
 from __future__ import annotations
@@ -17,12 +18,15 @@
 from granitedock.configuration.message_codec import encode
 from granitedock.configuration.messages import Current, FromFollower, InForce, Resend, VersionedChange
 
-MOST_SNAPSHOTS = 16  # on their way at once
-STALLED_MS = 5000.0  # a snapshot of which nothing could be written for so long gives up its place
+MAX_ACTIVE_SNAPSHOTS = 16
+SNAPSHOT_STALL_TIMEOUT_MS = 5000.0  # A snapshot without a written line for this long loses its slot.
 
 
 class Publisher:
-    """Followers and what they are sent. `make_snapshot()` gives the lines of the whole present document."""
+    """Sessions, the change log and the snapshots in progress.
+
+    `make_snapshot()` returns the encoded lines of the whole current document.
+    """
 
     def __init__(self, cluster: str, make_snapshot: Callable[[], list[bytes]]) -> None:
         self.cluster = cluster
@@ -31,74 +35,74 @@
         self.digest = 0
         self.log = ChangeLog()
         self.sessions: dict[FollowerSession, None] = {}
-        self.queue: deque[FollowerSession] = deque()  # for their turn to get a snapshot
-        self.active: dict[FollowerSession, None] = {}  # with a snapshot on its way
+        self.snapshot_queue: deque[FollowerSession] = deque()  # Sessions that wait for a snapshot slot.
+        self.active_snapshots: dict[FollowerSession, None] = {}  # Sessions whose snapshot is in progress.
         self.cached_version = -1
-        self.cached_lines: list[bytes] = []  # of the last snapshot
+        self.cached_lines: list[bytes] = []  # Lines of the snapshot of `cached_version`.
         self.counts: Counter[str] = Counter()
 
-    # What is published.
+    # Publishing versions.
 
     def load(self, version: int, digest: int, changes: list[VersionedChange], now: float) -> None:
-        """Take what the store holds at the start."""
+        """Load the version, digest and logged changes of the store at the start."""
         self.version = version
         self.digest = digest
         for change in changes:
             self.log.add(change, now)
 
     def publish(self, change: VersionedChange, now: float) -> list[FollowerSession]:
-        """Take a new version; the followers that have to be written to."""
+        """Publish a new version. Returns the sessions to write to."""
         self.version = change.version
         self.digest = change.digest
         self.log.add(change, now)
         return list(self.sessions)
 
     def publish_snapshot(self, version: int, digest: int, now: float) -> list[FollowerSession]:
-        """Take a whole document in the place of the one before (at a replica); the followers to write to."""
+        """Publish a whole new document, as a replica does. Returns the sessions to write to."""
         self.version = version
         self.digest = digest
         self.log.restart(version, digest, now)
         return list(self.sessions)
 
-    # Followers.
+    # Sessions of followers.
 
     def open_session(
         self, name: str, role: str, connection: SessionConnection, version: int, digest: int, now: float
     ) -> FollowerSession:
-        """Add a follower that has `version` in force.
+        """Open a session for a follower that has `version` in force.
 
-        Guards its newer version where this process is behind it: the first line says what is here, and
-        nothing older is ever sent.
+        Prevents a process that is behind the follower from replacing its newer version: the first line then
+        states the version of this process, and no older version is ever sent.
         """
         session = FollowerSession(name, role, connection, version, version, digest, now, now)
         self.sessions[session] = None
         self.counts["followers_opened"] += 1
         if version > self.version or (version == self.version and digest == self.digest):
             session.greeting = encode(Current(self.cluster, self.version, self.digest))
-        elif not self.log.reaches_on_from(version, digest):
-            self.begin_snapshot(session)
+        elif not self.log.can_resume_from(version, digest):
+            self.start_snapshot(session)
         return session
 
     def close_session(self, session: FollowerSession) -> None:
-        """Forget a follower whose connection has ended."""
+        """Remove the session of a follower whose connection has ended."""
         self.sessions.pop(session, None)
-        self.active.pop(session, None)
+        self.active_snapshots.pop(session, None)
 
     def message_received(self, session: FollowerSession, message: FromFollower) -> None:
-        """Take what a follower says of itself."""
+        """Handle a follower's message: start a snapshot, or record the version that it has in force."""
         if isinstance(message, Resend):
             self.counts["resends"] += 1
-            self.begin_snapshot(session)
+            self.start_snapshot(session)
         elif isinstance(message, InForce):
             session.version = message.version
             session.digest = message.digest
 
-    # What a follower is sent.
+    # Lines for a follower.
 
     def next_line(self, session: FollowerSession, now: float) -> bytes | None:
-        """The next line that the follower needs, or None while there is none.
+        """Return the next line for the follower, or None if there is none at present.
 
-        Asked for again when its connection has room, or when something changed.
+        The connection calls this again when it has room or when a new version is published.
         """
         line = self.pending_line(session)
         if line is not None:
@@ -106,76 +110,83 @@
         return line
 
     def pending_line(self, session: FollowerSession) -> bytes | None:
-        """The next line of the greeting, the snapshot on its way, or the changes after the cursor."""
+        """Return the greeting, the next line of the snapshot in progress, or the change after the cursor."""
         if session.greeting:
             greeting = session.greeting
             session.greeting = b""
             return greeting
-        if session.pages is not None:
-            line = next(session.pages, None)
+        if session.remaining_lines is not None:
+            line = next(session.remaining_lines, None)
             if line is not None:
                 return line
-            self.snapshot_sent(session)
+            self.finish_snapshot(session)
         if session.queued or session.cursor >= self.version:
             return None
-        # A follower without a version needs the whole document, as it may have plans of the platform's file,
-        # which no change would remove.
+        # A follower at version 0 needs the whole document, because it may have plans of the platform file
+        # that no change would remove.
         line = self.log.lines.get(session.cursor + 1) if session.cursor else None
         if line is None:
-            self.begin_snapshot(session)
-            return self.pending_line(session) if session.pages is not None else None
+            self.start_snapshot(session)
+            return self.pending_line(session) if session.remaining_lines is not None else None
         session.cursor += 1
         return line
 
     # Snapshots.
 
-    def begin_snapshot(self, session: FollowerSession) -> None:
-        """Begin a snapshot for a follower, or queue it for its turn."""
-        if session.queued or session.pages is not None:
+    def start_snapshot(self, session: FollowerSession) -> None:
+        """Start a snapshot for a follower, or queue the session if all snapshot slots are in use."""
+        if session.queued or session.remaining_lines is not None:
             return
-        if len(self.active) >= MOST_SNAPSHOTS:
+        if len(self.active_snapshots) >= MAX_ACTIVE_SNAPSHOTS:
             session.queued = True
-            self.queue.append(session)
+            self.snapshot_queue.append(session)
             return
         if self.cached_version != self.version:
             self.cached_lines = self.make_snapshot()
             self.cached_version = self.version
-        self.active[session] = None
+        self.active_snapshots[session] = None
         self.counts["snapshots"] += 1
-        session.pages = iter(self.cached_lines)
+        session.remaining_lines = iter(self.cached_lines)
         session.snapshot_version = self.version
 
-    def snapshot_sent(self, session: FollowerSession) -> None:
-        """All lines of a snapshot are written."""
-        session.pages = None
+    def finish_snapshot(self, session: FollowerSession) -> None:
+        """Move the cursor to the snapshot's version and free its slot once all of its lines are written."""
+        session.remaining_lines = None
         session.cursor = session.snapshot_version
-        self.active.pop(session, None)
+        self.active_snapshots.pop(session, None)
 
-    def next_snapshots(self) -> list[FollowerSession]:
-        """Begin the snapshots whose turn has come; the followers that have to be written to."""
-        begun = []
-        while self.queue and len(self.active) < MOST_SNAPSHOTS:
-            session = self.queue.popleft()
+    def start_queued_snapshots(self) -> list[FollowerSession]:
+        """Start queued snapshots up to the limit. Returns the sessions to write to."""
+        started = []
+        while self.snapshot_queue and len(self.active_snapshots) < MAX_ACTIVE_SNAPSHOTS:
+            session = self.snapshot_queue.popleft()
             if session in self.sessions:
                 session.queued = False
-                self.begin_snapshot(session)
-                begun.append(session)
-        return begun
+                self.start_snapshot(session)
+                started.append(session)
+        return started
+
+    def stalled_sessions(self, now: float) -> list[FollowerSession]:
+        """Return the sessions whose snapshot makes no progress.
 
-    def stalled(self, now: float) -> list[FollowerSession]:
-        """Snapshots that do not progress: their connections are to end, so that others get their turn."""
-        return [session for session in self.active if now - session.progressed_at > STALLED_MS]
+        The caller closes their connections, so that queued sessions get the snapshot slots.
+        """
+        return [
+            session
+            for session in self.active_snapshots
+            if now - session.progressed_at > SNAPSHOT_STALL_TIMEOUT_MS
+        ]
 
     # Status.
 
     def lag_ms(self, session: FollowerSession, now: float) -> float:
-        """How long the first version that the follower lacks has been known here; 0 where it lacks none."""
+        """Return for how many ms the first version that the follower lacks has been known here; 0 if none."""
         if session.version >= self.version:
             return 0.0
-        return now - self.log.known_at.get(session.version + 1, session.since)
+        return now - self.log.known_at.get(session.version + 1, session.connected_at)
 
     def status(self, now: float) -> list[FollowerStatus]:
-        """How each follower stands, by role and name."""
+        """Return the status of each follower, sorted by role and name."""
         return [
             FollowerStatus(
                 session.name,
@@ -183,7 +194,7 @@
                 session.version,
                 digest_text(session.digest),
                 self.lag_ms(session, now),
-                now - session.since,
+                now - session.connected_at,
             )
             for session in sorted(self.sessions, key=lambda session: (session.role, session.name))
         ]
--- a/granitedock/configuration/status_report.py
+++ b/granitedock/configuration/status_report.py
@@ -1,4 +1,4 @@
-"""The status of several control processes, put together for an operator."""
+"""Combines the status of several control processes for an operator."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 @dataclass(slots=True)
 class ClusterStatus:
-    """The status of each control process, by address, and the errors of those that gave none."""
+    """The status of each control process, or the error of its request, by address."""
 
     controls: dict[str, ControlStatusRecord] = field(default_factory=dict)
     failed: dict[str, str] = field(default_factory=dict)
 
     @property
     def version(self) -> int:
-        """The newest version that any control process has."""
+        """The newest version at any control process."""
         return max((control["version"] for control in self.controls.values()), default=0)
 
     def gateways(self) -> list[FollowerRecord]:
-        """The gateways that follow any of the control processes."""
+        """Return the gateways that follow any of the control processes."""
         return [
             follower
             for control in self.controls.values()
@@ -36,20 +36,20 @@
         ]
 
     def lagging(self) -> list[FollowerRecord]:
-        """The gateways that have an older version than the newest."""
+        """Return the gateways whose version is older than the newest."""
         return [gateway for gateway in self.gateways() if gateway["version"] < self.version]
 
     def healthy(self) -> bool:
-        """Whether all control processes answered and no gateway lags."""
+        """Return whether all control processes answered and no gateway lags."""
         return not self.failed and not self.lagging()
 
     def as_json(self) -> Record:
-        """All of it, as JSON can hold it."""
+        """Return the whole status as a JSON-compatible record."""
         return {"version": self.version, "controls": self.controls, "failed": self.failed}
 
 
 def collect(addresses: Iterable[str], timeout_s: float) -> ClusterStatus:
-    """Ask each address; one that does not answer is named."""
+    """Request the status of each address; an address whose request fails is in `failed`."""
     cluster = ClusterStatus()
     for address in addresses:
         try:
@@ -60,7 +60,7 @@
 
 
 def report_lines(cluster: ClusterStatus, all_gateways: bool) -> Iterator[str]:
-    """A line for each control process, the gateways by version, and those that lag (or all of them)."""
+    """Yield report lines: control processes, gateways by version, and the lagging gateways or all of them."""
     for address, control in cluster.controls.items():
         role = "writer" if control["writer"] else "replica"
         entries = f"{control['plans']} plans, {control['classes']} classes"
--- a/granitedock/configuration/watch_request.py
+++ b/granitedock/configuration/watch_request.py
@@ -1,4 +1,4 @@
-"""The query with which a follower opens its watch on a control process."""
+"""The query of a follower's request for a watch on a control process."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     digest: int
 
     def query(self) -> str:
-        """The request's query."""
+        """Return the query of the request."""
         return urlencode(
             {
                 "name": self.name,
@@ -34,23 +34,25 @@
 
 
 def single_value(fields: dict[str, list[str]], name: str) -> str:
-    """The one value of a query's field. Raises HttpError."""
+    """Return the single value of a field of the query. Raises HttpError."""
     values = fields.get(name, [])
     if len(values) != 1:
-        raise HttpError(HTTPStatus.BAD_REQUEST, [f"{name}: wanted once in the request's query"])
+        raise HttpError(
+            HTTPStatus.BAD_REQUEST, [f"{name}: expected exactly one value in the request's query"]
+        )
     return values[0]
 
 
-def parse_watch_request(query: str, own_cluster: str) -> WatchRequest:
-    """The request of a query to a control process of `own_cluster`. Raises HttpError."""
+def parse_watch_request(query: str, local_cluster: str) -> WatchRequest:
+    """Return the request in a query to a control process of `local_cluster`. Raises HttpError."""
     fields = parse_qs(query, keep_blank_values=True)
     name = single_value(fields, "name")
     role = single_value(fields, "role")
     cluster = single_value(fields, "cluster")
     version_digits = single_value(fields, "after")
     digest_digits = single_value(fields, "digest")
-    if cluster != own_cluster:
-        raise HttpError(HTTPStatus.CONFLICT, [f"cluster: this is {own_cluster!r}, not {cluster!r}"])
+    if cluster != local_cluster:
+        raise HttpError(HTTPStatus.CONFLICT, [f"cluster: this is {local_cluster!r}, not {cluster!r}"])
     try:
         version = int(version_digits)
         digest = int(digest_digits, 16)
--- a/tests/configuration/test_change_codec.py
+++ b/tests/configuration/test_change_codec.py
@@ -11,14 +11,20 @@
 @pytest.mark.parametrize(
     ("record", "fault"),
     [
-        ([], "(whole change): an object is wanted"),
-        ({"plans": {"upsert": [PLAN]}}, "base: a whole number from 0 is wanted"),
-        ({"base": True, "plans": {"upsert": [PLAN]}}, "base: a whole number from 0 is wanted"),
-        ({"base": 1}, "(whole change): nothing is put or removed"),
+        ([], "(whole change): expected an object"),
+        (
+            {"plans": {"upsert": [PLAN]}},
+            "base: expected a non-negative integer (the version the change is based on)",
+        ),
+        (
+            {"base": True, "plans": {"upsert": [PLAN]}},
+            "base: expected a non-negative integer (the version the change is based on)",
+        ),
+        ({"base": 1}, "(whole change): expected at least one record to upsert or name to remove"),
         ({"base": 1, "plan": {}}, "plan: no such field"),
-        ({"base": 1, "plans": []}, "plans: an object is wanted"),
+        ({"base": 1, "plans": []}, "plans: expected an object"),
         ({"base": 1, "plans": {"put": [PLAN]}}, "plans.put: no such field"),
-        ({"base": 1, "plans": {"upsert": PLAN}}, "plans.upsert: a list of objects is wanted"),
+        ({"base": 1, "plans": {"upsert": PLAN}}, "plans.upsert: expected a list of objects"),
         ({"base": 1, "plans": {"upsert": [PLAN | {"Refil": 1}]}}, "plans.upsert[0].Refil: no such field"),
         (
             {"base": 1, "plans": {"upsert": [PLAN | {"WindowMs": 1}]}},
@@ -33,9 +39,12 @@
             {"base": 1, "plans": {"upsert": [PLAN | {"Refill": "9"}]}},
             "plans.upsert[0].Refill: a number from 0",
         ),
-        ({"base": 1, "plans": {"upsert": [PLAN, PLAN]}}, "plans: 'gold' stands twice"),
-        ({"base": 1, "plans": {"upsert": [PLAN], "remove": ["gold"]}}, "plans: 'gold' stands twice"),
-        ({"base": 1, "plans": {"remove": "gold"}}, "plans.remove: a list of names is wanted"),
+        ({"base": 1, "plans": {"upsert": [PLAN, PLAN]}}, "plans: 'gold' is listed more than once"),
+        (
+            {"base": 1, "plans": {"upsert": [PLAN], "remove": ["gold"]}},
+            "plans: 'gold' is listed more than once",
+        ),
+        ({"base": 1, "plans": {"remove": "gold"}}, "plans.remove: expected a list of non-empty names"),
         (
             {"base": 1, "classes": {"upsert": [CLASS | {"Repeat": "twice"}]}},
             "classes.upsert[0].Repeat: one of",
@@ -51,8 +60,8 @@
 def test_a_change_that_is_no_json_or_has_no_end_is_refused(monkeypatch):
     with pytest.raises(ChangeRejectedError, match="new.json: .*not JSON"):
         parse_change(b"{", "new.json")
-    monkeypatch.setattr("granitedock.configuration.change_codec.MOST_CHANGE_BYTES", 10)
-    with pytest.raises(ChangeRejectedError, match="more than 10 bytes"):
+    monkeypatch.setattr("granitedock.configuration.change_codec.MAX_CHANGE_BYTES", 10)
+    with pytest.raises(ChangeRejectedError, match="exceeds the limit of 10 bytes"):
         parse_change(b" " * 11, "new.json")
 
 
--- a/tests/configuration/test_publisher.py
+++ b/tests/configuration/test_publisher.py
@@ -7,30 +7,30 @@
 
 def test_snapshots_are_on_their_way_to_only_so_many_at_once(writer, monkeypatch):
     """A rack of 25 gateways starts in one moment."""
-    monkeypatch.setattr(publisher_module, "MOST_SNAPSHOTS", 4)
+    monkeypatch.setattr(publisher_module, "MAX_ACTIVE_SNAPSHOTS", 4)
     publisher, most = writer.publisher, 0
     rack = [publisher.open_session(f"g{n}", "gateway", None, 0, 0, 0.0) for n in range(25)]
     done = set()
     while len(done) < len(rack):
-        most = max(most, len(publisher.active))
+        most = max(most, len(publisher.active_snapshots))
         for follower in rack:
             publisher.next_line(follower, 0.0)
             if follower.cursor == 1:
                 done.add(follower)
-        publisher.next_snapshots()
-    assert most == 4 and not publisher.active and not publisher.queue
+        publisher.start_queued_snapshots()
+    assert most == 4 and not publisher.active_snapshots and not publisher.snapshot_queue
     assert publisher.counts["snapshots"] == 25
 
 
 def test_a_snapshot_that_does_not_move_gives_up_its_place(writer, monkeypatch):
-    monkeypatch.setattr(publisher_module, "MOST_SNAPSHOTS", 1)
+    monkeypatch.setattr(publisher_module, "MAX_ACTIVE_SNAPSHOTS", 1)
     publisher = writer.publisher
     stuck = publisher.open_session("stuck", "gateway", None, 0, 0, 0.0)
     waiting = publisher.open_session("waiting", "gateway", None, 0, 0, 0.0)
     assert publisher.next_line(stuck, 0.0) and publisher.next_line(waiting, 0.0) is None
-    assert publisher.stalled(5001.0) == [stuck]
+    assert publisher.stalled_sessions(5001.0) == [stuck]
     publisher.close_session(stuck)
-    assert publisher.next_snapshots() == [waiting]
+    assert publisher.start_queued_snapshots() == [waiting]
     assert publisher.next_line(waiting, 5002.0)
 
 
