--- a/tests/configuration/test_change_codec.py
+++ b/tests/configuration/test_change_codec.py
@@ -1,4 +1,4 @@
-"""Changes as operators write them: what is accepted, and what is rejected with its source and field."""
+"""Parsing of operators' changes: valid ones are accepted; a fault is reported with its source and field."""
 
 import pytest
 from configuration_helpers import CLASS, PLAN, change
@@ -51,13 +51,13 @@
         ),
     ],
 )
-def test_a_change_that_is_not_right_is_refused_whole_with_its_source_and_field(record, fault):
-    with pytest.raises(ChangeRejectedError) as refused:
+def test_an_invalid_change_is_rejected_whole_with_its_source_and_field(record, fault):
+    with pytest.raises(ChangeRejectedError) as rejected:
         change_from_record(record, "new.json")
-    assert any(line.startswith(f"new.json: {fault}") for line in refused.value.faults), refused.value.faults
+    assert any(line.startswith(f"new.json: {fault}") for line in rejected.value.faults), rejected.value.faults
 
 
-def test_a_change_that_is_no_json_or_has_no_end_is_refused(monkeypatch):
+def test_a_change_that_is_not_json_or_exceeds_the_size_limit_is_rejected(monkeypatch):
     with pytest.raises(ChangeRejectedError, match="new.json: .*not JSON"):
         parse_change(b"{", "new.json")
     monkeypatch.setattr("granitedock.configuration.change_codec.MAX_CHANGE_BYTES", 10)
@@ -65,6 +65,6 @@
         parse_change(b" " * 11, "new.json")
 
 
-def test_a_change_is_typed():
-    made = change(7, [PLAN], ["old"])
-    assert isinstance(made, Change) and (made.base, len(made.edit)) == (7, 2)
+def test_a_parsed_change_has_its_base_and_edit():
+    parsed = change(7, [PLAN], ["old"])
+    assert isinstance(parsed, Change) and (parsed.base, len(parsed.edit)) == (7, 2)
--- a/tests/configuration/test_control_node.py
+++ b/tests/configuration/test_control_node.py
@@ -1,4 +1,4 @@
-"""A control process without sockets: versions, digests, and the import of a platform's file."""
+"""A control node without sockets: versions, digests, and the import of a platform file."""
 
 import pytest
 from configuration_helpers import PLAN, change, control_node
@@ -11,12 +11,13 @@
 from granitedock.lab.scale.platform import platform_settings
 
 
-def test_a_change_makes_exactly_one_version_and_a_refused_one_none(tmp_path):
+def test_an_applied_change_makes_exactly_one_version_and_a_rejected_one_makes_none(tmp_path):
+    """A rejected change must leave both the document in memory and the stored one unchanged."""
     writer = control_node(tmp_path / "w.db")
-    made = writer.apply(change(1, [PLAN], ["tenant-00001"]), "test")
-    assert (made.version, writer.contents.version) == (2, 2)
+    versioned_change = writer.apply(change(1, [PLAN], ["tenant-00001"]), "test")
+    assert (versioned_change.version, writer.contents.version) == (2, 2)
     before = writer.document_record()
-    for wrong, fault in (
+    for rejected_change, expected_error in (
         (change(1, [PLAN]), VersionConflictError),
         (change(3, [PLAN]), VersionConflictError),
         (change(2, [PLAN], ["tenant-00001"]), ChangeRejectedError),
@@ -25,14 +26,15 @@
             ChangeRejectedError,
         ),
     ):
-        with pytest.raises(fault):
-            writer.apply(wrong, "test")
+        with pytest.raises(expected_error):
+            writer.apply(rejected_change, "test")
         assert writer.document_record() == before == control_node(tmp_path / "w.db").document_record()
     with pytest.raises(NotWriterError):
         control_node(tmp_path / "r.db", writes=False).apply(change(0, [PLAN]), "test")
 
 
-def test_the_digest_is_the_same_whatever_the_order_and_the_way(tmp_path):
+def test_the_digest_depends_on_the_entries_and_not_on_the_order_of_their_changes(tmp_path):
+    """Two stores that reach the same entries by different changes must agree on the digest."""
     one, other = control_node(tmp_path / "a.db"), control_node(tmp_path / "b.db")
     one.apply(change(1, [PLAN | {"Name": "a"}, PLAN | {"Name": "b"}]), "test")
     other.apply(change(1, [PLAN | {"Name": "b"}]), "test")
@@ -42,13 +44,14 @@
     assert one.contents.digest == other.contents.digest
 
 
-def test_a_start_by_the_same_command_leaves_the_import_alone_where_there_is_a_version(tmp_path):
+def test_a_restart_with_the_same_command_skips_the_import_if_the_store_has_a_version(tmp_path):
+    """A second import would overwrite the changes that operators made since the first start."""
     file = ControlFile(name="c", listen="127.0.0.1:0", store=str(tmp_path / "c.db"), cluster="lab")
     first = ControlProcess(file)
     first.import_settings(platform_settings(2), "platform.json")
     first.node.apply(change(1, [PLAN]), "test")
     first.node.store.close()
-    again = ControlProcess(file)
-    again.import_settings(platform_settings(9), "platform.json")
-    assert again.node.contents.version == 2
-    assert "tenant-00008" not in again.node.contents.values[Section.PLANS]
+    restarted = ControlProcess(file)
+    restarted.import_settings(platform_settings(9), "platform.json")
+    assert restarted.node.contents.version == 2
+    assert "tenant-00008" not in restarted.node.contents.values[Section.PLANS]
--- a/tests/configuration/test_document_store.py
+++ b/tests/configuration/test_document_store.py
@@ -1,4 +1,4 @@
-"""The store of a control process: corrupt files, and a process killed in the middle of a change."""
+"""The store of a control process: corrupt files, and a process killed while it applies a change."""
 
 import signal
 import sqlite3
@@ -14,7 +14,8 @@
 from granitedock.configuration.errors import StoreError
 
 
-def test_a_store_that_is_torn_is_not_served(tmp_path):
+def test_a_corrupt_store_is_not_served(tmp_path):
+    """A record altered on disk no longer matches the digest; a zeroed page makes the file unreadable."""
     path = tmp_path / "w.db"
     control_node(path).store.close()
     with sqlite3.connect(path) as database:
@@ -26,7 +27,8 @@
         control_node(path)
 
 
-def test_a_store_of_another_cluster_or_that_cannot_be_written_is_named(tmp_path):
+def test_an_error_names_a_store_of_another_cluster_or_one_that_cannot_be_written(tmp_path):
+    """A change that cannot be stored must also leave the document in memory unchanged."""
     path = tmp_path / "w.db"
     writer = control_node(path)
     with pytest.raises(StoreError, match="w.db: the store of cluster 'lab', not 'other'"):
@@ -40,7 +42,7 @@
     assert writer.document_record() == before
 
 
-KILLED = """
+PROGRAM_KILLED_IN_APPLY = """
 import os, signal, sys
 sys.path[:0] = [{root!r}, {helpers!r}]
 from pathlib import Path
@@ -54,13 +56,16 @@
 
 
 @pytest.mark.parametrize("step", ["upsert_entries", "log_change", "update_state"])
-def test_control_killed_in_the_middle_of_an_apply_has_the_version_before_whole(tmp_path, step):
+def test_a_control_process_killed_while_applying_restarts_with_the_whole_previous_version(tmp_path, step):
+    """SIGKILL strikes at each step of the transaction; no part of the unfinished change may remain."""
     path, root = tmp_path / "w.db", Path(__file__).parents[2]
-    code = KILLED.format(root=str(root), helpers=str(root / "tests" / "helpers"), path=str(path), step=step)
-    ended = subprocess.run([sys.executable, "-c", code], capture_output=True)
-    assert ended.returncode == -signal.SIGKILL, ended.stderr.decode()
-    again = control_node(path)
-    assert again.contents.version == 2
-    assert "tenant-00001" in again.contents.values[Section.PLANS]
-    assert [one.version for one in again.store.changes()] == [1, 2]
-    assert again.apply(change(2, [PLAN | {"Name": "silver"}], ["tenant-00001"]), "test").version == 3
+    code = PROGRAM_KILLED_IN_APPLY.format(
+        root=str(root), helpers=str(root / "tests" / "helpers"), path=str(path), step=step
+    )
+    completed = subprocess.run([sys.executable, "-c", code], capture_output=True)
+    assert completed.returncode == -signal.SIGKILL, completed.stderr.decode()
+    restarted = control_node(path)
+    assert restarted.contents.version == 2
+    assert "tenant-00001" in restarted.contents.values[Section.PLANS]
+    assert [logged.version for logged in restarted.store.changes()] == [1, 2]
+    assert restarted.apply(change(2, [PLAN | {"Name": "silver"}], ["tenant-00001"]), "test").version == 3
--- a/tests/configuration/test_publisher.py
+++ b/tests/configuration/test_publisher.py
@@ -1,40 +1,42 @@
-"""What a control process sends to its followers, and in which order. Times in ms."""
+"""What a control process sends to its followers, and in which order. Times are in ms."""
 
 from configuration_helpers import PLAN, LoopbackTransport, change
 
 from granitedock.configuration import publisher as publisher_module
 
 
-def test_snapshots_are_on_their_way_to_only_so_many_at_once(writer, monkeypatch):
-    """A rack of 25 gateways starts in one moment."""
+def test_the_number_of_concurrent_snapshots_is_limited(writer, monkeypatch):
+    """25 gateways start at once; their snapshots together must not occupy the process's core and memory."""
     monkeypatch.setattr(publisher_module, "MAX_ACTIVE_SNAPSHOTS", 4)
-    publisher, most = writer.publisher, 0
-    rack = [publisher.open_session(f"g{n}", "gateway", None, 0, 0, 0.0) for n in range(25)]
-    done = set()
-    while len(done) < len(rack):
-        most = max(most, len(publisher.active_snapshots))
-        for follower in rack:
-            publisher.next_line(follower, 0.0)
-            if follower.cursor == 1:
-                done.add(follower)
+    publisher, max_active = writer.publisher, 0
+    sessions = [publisher.open_session(f"g{n}", "gateway", None, 0, 0, 0.0) for n in range(25)]
+    completed = set()
+    while len(completed) < len(sessions):
+        max_active = max(max_active, len(publisher.active_snapshots))
+        for session in sessions:
+            publisher.next_line(session, 0.0)
+            if session.cursor == 1:
+                completed.add(session)
         publisher.start_queued_snapshots()
-    assert most == 4 and not publisher.active_snapshots and not publisher.snapshot_queue
+    assert max_active == 4 and not publisher.active_snapshots and not publisher.snapshot_queue
     assert publisher.counts["snapshots"] == 25
 
 
-def test_a_snapshot_that_does_not_move_gives_up_its_place(writer, monkeypatch):
+def test_a_stalled_snapshot_is_reported_and_its_slot_goes_to_the_next_session(writer, monkeypatch):
+    """A follower that reads nothing would otherwise keep its snapshot slot while it stays connected."""
     monkeypatch.setattr(publisher_module, "MAX_ACTIVE_SNAPSHOTS", 1)
     publisher = writer.publisher
-    stuck = publisher.open_session("stuck", "gateway", None, 0, 0, 0.0)
+    stalled = publisher.open_session("stalled", "gateway", None, 0, 0, 0.0)
     waiting = publisher.open_session("waiting", "gateway", None, 0, 0, 0.0)
-    assert publisher.next_line(stuck, 0.0) and publisher.next_line(waiting, 0.0) is None
-    assert publisher.stalled_sessions(5001.0) == [stuck]
-    publisher.close_session(stuck)
+    assert publisher.next_line(stalled, 0.0) and publisher.next_line(waiting, 0.0) is None
+    assert publisher.stalled_sessions(5001.0) == [stalled]
+    publisher.close_session(stalled)
     assert publisher.start_queued_snapshots() == [waiting]
     assert publisher.next_line(waiting, 5002.0)
 
 
-def test_a_change_of_many_entries_goes_out_in_pages(writer):
+def test_a_change_of_many_entries_is_sent_as_a_snapshot_in_pages(writer):
+    """A single line with 600 entries would stall the event loop of the gateway that decodes it."""
     transport = LoopbackTransport({"a": writer})
     transport.start()
     transport.hears_all()
@@ -46,7 +48,7 @@
     assert transport.same(writer)
 
 
-def test_lag_counts_from_when_the_first_version_that_is_lacking_was_known(writer):
+def test_lag_counts_from_the_time_the_first_missing_version_became_known(writer):
     transport = LoopbackTransport({"a": writer})
     transport.start()
     transport.hears_all()
--- a/tests/configuration/test_replication.py
+++ b/tests/configuration/test_replication.py
@@ -1,4 +1,4 @@
-"""Whatever happens between a follower and two control processes, it ends at the writer's version."""
+"""A follower converges on the writer's version under line loss, duplication, disconnects and lag."""
 
 from random import Random
 
@@ -15,25 +15,26 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(STEPS, st.integers(0, 2**32))
-def test_whatever_is_lost_doubled_or_cut_all_end_at_the_same_version_and_digest(
+def test_a_follower_converges_whatever_lines_are_lost_or_doubled_and_connections_cut(
     tmp_path_factory, steps, seed
 ):
-    """Lines are lost and doubled, connections cut, and the follower changes between two control processes,
-    one of which lags; it never goes back, and once all is quiet it has what the writer has."""
+    """Lines are lost and doubled, connections are cut, and the follower changes between two control
+    processes, one of which lags. Its version must never decrease, and once the faults stop it must have the
+    writer's version, digest and plans."""
     folder = tmp_path_factory.mktemp("any")
-    chance = Random(seed)
+    rng = Random(seed)
     writer, replica = control_node(folder / "w.db", plans=3), control_node(folder / "r.db", plans=3)
     transport = LoopbackTransport({"a": writer, "b": replica})
     transport.start()
-    had = 0
+    previous_version = 0
     for step in steps:
         if step == "change":
-            names = [f"n{chance.randrange(4)}" for _ in range(2)]
-            put = {name: PLAN | {"Name": name, "Refill": chance.randrange(1, 90)} for name in names}
-            made = writer.apply(change(writer.contents.version, put.values()), "test")
-            if chance.random() < 0.5:
-                for late in writer.store.changes()[replica.contents.version : made.version]:
-                    replica.document.apply_change(late)
+            names = [f"n{rng.randrange(4)}" for _ in range(2)]
+            plans_by_name = {name: PLAN | {"Name": name, "Refill": rng.randrange(1, 90)} for name in names}
+            applied = writer.apply(change(writer.contents.version, plans_by_name.values()), "test")
+            if rng.random() < 0.5:
+                for missed in writer.store.changes()[replica.contents.version : applied.version]:
+                    replica.document.apply_change(missed)
         elif step == "cut":
             transport.cut()
             transport.up()
@@ -51,16 +52,18 @@
             transport.sent.clear()
         if transport.connection is not transport.follower.connection:
             transport.up()
-        assert transport.document.version >= had
-        had = transport.document.version
-    for late in writer.store.changes()[replica.contents.version :]:
-        replica.document.apply_change(late)
+        assert transport.document.version >= previous_version
+        previous_version = transport.document.version
+    for missed in writer.store.changes()[replica.contents.version :]:
+        replica.document.apply_change(missed)
     for _ in range(2):
         transport.cut()
         transport.up()
         transport.hears_all()
     assert transport.same(writer)
-    held = transport.document.contents.values[Section.PLANS].values()
-    assert sorted(map(canonical_json, held)) == sorted(map(canonical_json, writer.document_record()["plans"]))
-    for core in (writer, replica):
-        core.store.close()
+    follower_plans = transport.document.contents.values[Section.PLANS].values()
+    assert sorted(map(canonical_json, follower_plans)) == sorted(
+        map(canonical_json, writer.document_record()["plans"])
+    )
+    for control in (writer, replica):
+        control.store.close()
