--- a/granitedock/configuration/document_store.py
+++ b/granitedock/configuration/document_store.py
@@ -123,7 +123,7 @@
     # Write operations.
 
     def append(self, change: VersionedChange) -> None:
-        """Store one change to the stored version, atomically."""
+        """Store the change that makes the next version, atomically."""
         try:
             with Transaction(self.database):
                 version = self.state()[0]
