--- a/tests/configuration/test_change_codec.py
+++ b/tests/configuration/test_change_codec.py
@@ -1,4 +1,4 @@
-"""Changes as operators write them: what is accepted, and what is rejected with its source and field."""
+"""Parsing of operators' changes: valid ones are accepted; a fault is reported with its source and field."""
 
 import pytest
 from configuration_helpers import CLASS, PLAN, change
@@ -11,14 +11,20 @@
 @pytest.mark.parametrize(
     ("record", "fault"),
     [
-        ([], "(whole change): an object is wanted"),
-        ({"plans": {"upsert": [PLAN]}}, "base: a whole number from 0 is wanted"),
-        ({"base": True, "plans": {"upsert": [PLAN]}}, "base: a whole number from 0 is wanted"),
-        ({"base": 1}, "(whole change): nothing is put or removed"),
+        ([], "(whole change): expected an object"),
+        (
+            {"plans": {"upsert": [PLAN]}},
+            "base: expected a non-negative integer (the version the change is based on)",
+        ),
+        (
+            {"base": True, "plans": {"upsert": [PLAN]}},
+            "base: expected a non-negative integer (the version the change is based on)",
+        ),
+        ({"base": 1}, "(whole change): expected at least one record to upsert or name to remove"),
         ({"base": 1, "plan": {}}, "plan: no such field"),
-        ({"base": 1, "plans": []}, "plans: an object is wanted"),
+        ({"base": 1, "plans": []}, "plans: expected an object"),
         ({"base": 1, "plans": {"put": [PLAN]}}, "plans.put: no such field"),
-        ({"base": 1, "plans": {"upsert": PLAN}}, "plans.upsert: a list of objects is wanted"),
+        ({"base": 1, "plans": {"upsert": PLAN}}, "plans.upsert: expected a list of objects"),
         ({"base": 1, "plans": {"upsert": [PLAN | {"Refil": 1}]}}, "plans.upsert[0].Refil: no such field"),
         (
             {"base": 1, "plans": {"upsert": [PLAN | {"WindowMs": 1}]}},
@@ -33,29 +39,32 @@
             {"base": 1, "plans": {"upsert": [PLAN | {"Refill": "9"}]}},
             "plans.upsert[0].Refill: a number from 0",
         ),
-        ({"base": 1, "plans": {"upsert": [PLAN, PLAN]}}, "plans: 'gold' stands twice"),
-        ({"base": 1, "plans": {"upsert": [PLAN], "remove": ["gold"]}}, "plans: 'gold' stands twice"),
-        ({"base": 1, "plans": {"remove": "gold"}}, "plans.remove: a list of names is wanted"),
+        ({"base": 1, "plans": {"upsert": [PLAN, PLAN]}}, "plans: 'gold' is listed more than once"),
+        (
+            {"base": 1, "plans": {"upsert": [PLAN], "remove": ["gold"]}},
+            "plans: 'gold' is listed more than once",
+        ),
+        ({"base": 1, "plans": {"remove": "gold"}}, "plans.remove: expected a list of non-empty names"),
         (
             {"base": 1, "classes": {"upsert": [CLASS | {"Repeat": "twice"}]}},
             "classes.upsert[0].Repeat: one of",
         ),
     ],
 )
-def test_a_change_that_is_not_right_is_refused_whole_with_its_source_and_field(record, fault):
-    with pytest.raises(ChangeRejectedError) as refused:
+def test_an_invalid_change_is_rejected_whole_with_its_source_and_field(record, fault):
+    with pytest.raises(ChangeRejectedError) as rejected:
         change_from_record(record, "new.json")
-    assert any(line.startswith(f"new.json: {fault}") for line in refused.value.faults), refused.value.faults
+    assert any(line.startswith(f"new.json: {fault}") for line in rejected.value.faults), rejected.value.faults
 
 
-def test_a_change_that_is_no_json_or_has_no_end_is_refused(monkeypatch):
+def test_a_change_that_is_not_json_or_exceeds_the_size_limit_is_rejected(monkeypatch):
     with pytest.raises(ChangeRejectedError, match="new.json: .*not JSON"):
         parse_change(b"{", "new.json")
-    monkeypatch.setattr("granitedock.configuration.change_codec.MOST_CHANGE_BYTES", 10)
-    with pytest.raises(ChangeRejectedError, match="more than 10 bytes"):
+    monkeypatch.setattr("granitedock.configuration.change_codec.MAX_CHANGE_BYTES", 10)
+    with pytest.raises(ChangeRejectedError, match="exceeds the limit of 10 bytes"):
         parse_change(b" " * 11, "new.json")
 
 
-def test_a_change_is_typed():
-    made = change(7, [PLAN], ["old"])
-    assert isinstance(made, Change) and (made.base, len(made.edit)) == (7, 2)
+def test_a_parsed_change_has_its_base_and_edit():
+    parsed = change(7, [PLAN], ["old"])
+    assert isinstance(parsed, Change) and (parsed.base, len(parsed.edit)) == (7, 2)
