--- a/granitedock/lab/simulators/membership_simulation.py
+++ b/granitedock/lab/simulators/membership_simulation.py
@@ -238,7 +238,7 @@
         for address in effects.connection_probes:
             self.schedule(CONNECTION_PROBE_MS, self.connection_probe_ended, node, member, address)
         node.timer_number += 1
-        wait_ms = max(MIN_TIMER_MS, member.due(self.now) - self.now)
+        wait_ms = max(MIN_TIMER_MS, member.next_tick_at(self.now) - self.now)
         self.schedule(wait_ms, self.timer_fired, node, node.timer_number)
 
     # The simulated network.
--- a/granitedock/membership/anti_entropy.py
+++ b/granitedock/membership/anti_entropy.py
@@ -11,63 +11,68 @@
 from granitedock.membership.protocol_state import ProtocolState
 from granitedock.membership.timers import LONG_AGO, NEVER, Timer
 
-OLD_ADDRESSES = 16  # of removed members, tried among the seeds
-JOIN_AT_ONCE = 3  # seeds tried together while no other member is live
-REMOVALS_PER_FORGET = 10  # how often the periodic maintenance runs within `forget_ms`
+MAX_OLD_ADDRESSES = 16  # Addresses of removed members that are tried along with the seeds.
+SEEDS_PER_JOIN = 3  # Seeds contacted together while no other member is live.
+REMOVALS_PER_FORGET = 10  # Runs of the periodic maintenance within `forget_ms`.
 
 
 class AntiEntropy:
-    """Keeps tables alike and partitions joinable: sync, join, revival and removal of members."""
+    """Synchronizes member tables, joins seeds and former partitions, and removes ended members."""
 
     def __init__(self, state: ProtocolState, seeds: tuple[str, ...]) -> None:
         self.state = state
         self.seeds = tuple(seed for seed in seeds if seed != state.table.local.address)
-        self.old_addresses: deque[str] = deque(maxlen=OLD_ADDRESSES)
+        self.old_addresses: deque[str] = deque(maxlen=MAX_OLD_ADDRESSES)
         self.join_wait_ms = state.timing.seeds_ms
-        self.cursor = ""  # the name after which the next page begins
+        self.cursor = ""  # The name after which the next page begins.
         self.pulled_at = LONG_AGO
 
     # Pages.
 
-    def page(self, after: str, budget: float) -> tuple[list[MemberUpdate], str]:
-        """The members with names after `after`, in up to `budget` bytes, and where to go on (empty: end)."""
+    def next_page(self, after: str, budget: float) -> tuple[list[MemberUpdate], str]:
+        """Return the members with names after `after`, in up to `budget` bytes, and the name to resume after.
+
+        That name is empty at the end of the table.
+        """
         table = self.state.table
         names = table.all_names()
         page: list[MemberUpdate] = []
-        spent = 0
+        used_bytes = 0
         last = ""
         for name in names[bisect_right(names, after) :]:
             if name == table.local.name:
                 update = MemberUpdate(table.local)
             else:
                 update = self.state.update_of(table.records[name])
-            spent += update_size(update)
-            if spent > budget:
+            used_bytes += update_size(update)
+            if used_bytes > budget:
                 return page, last
             page.append(update)
             last = name
         return page, ""
 
     def sync(self) -> None:
-        """Guards against gossip that all senders lost: the whole table goes round, a page at a time.
+        """Send one page of the member table to a random live member, as a push.
 
-        Hurts: half a datagram each interval, the same among forty members as among a thousand.
+        Over several intervals the whole table is sent. Prevents tables from staying different after gossip
+        that every sender lost; the cost is half a datagram in each interval, the same with forty members as
+        with a thousand.
         """
         state = self.state
         state.timers[Timer.SYNC] = state.now + state.timing.sync_ms * (0.5 + state.random.random())
         others = state.table.live_others()
         if others:
-            page, self.cursor = self.page(self.cursor, state.update_budget / 2)
+            page, self.cursor = self.next_page(self.cursor, state.update_budget / 2)
             target = state.table.records[state.random.choice(others)].member.address
             state.send(target, MessageKind.PAGE, first=page)
 
     def on_pull(self, message: Message, sender: Member) -> None:
-        """Answer with the page that was asked for."""
-        page, resume_after = self.page(message.word, self.state.update_budget)
+        """Answer a pull with the requested page."""
+        page, resume_after = self.next_page(message.word, self.state.update_budget)
         self.state.send(sender.address, MessageKind.PAGE, 1, resume_after, page)
 
     def on_page(self, message: Message, sender: Member) -> None:
-        """Send back what is newer here; pull the next page of a table that we asked for."""
+        """Send back the records that are newer here, and pull the next page of a requested table."""
         state = self.state
         newer = []
         for update in message.updates:
@@ -84,20 +89,21 @@
         if message.word and message.number:
             state.send(sender.address, MessageKind.PULL, 0, message.word)
 
-    # Members out of reach.
+    # Members that are not reachable.
 
     def join(self) -> None:
-        """Guards against standing alone, or on one side of a partition, for ever.
+        """Contact the missing seeds and the old addresses of removed members.
 
-        Seeds that are not among the live members, and old addresses of removed ones, are tried again and
-        again at growing random waits. Hurts: a datagram now and then to an address where nobody may be.
+        The attempts are repeated at growing random intervals. Prevents a gateway from staying alone, or on
+        one side of a partition, for ever; the cost is an occasional datagram to an address at which no
+        process may listen.
         """
         state = self.state
         live = {state.table.records[name].member.address for name in state.table.live_others()}
         candidates = dict.fromkeys((*self.seeds, *self.old_addresses))
         missing = [address for address in candidates if address not in live]
         if not live:
-            for address in missing[:JOIN_AT_ONCE]:
+            for address in missing[:SEEDS_PER_JOIN]:
                 state.send(address, MessageKind.PULL)
         elif missing:
             state.send(state.random.choice(missing), MessageKind.PULL)
@@ -105,20 +111,24 @@
         self.join_wait_ms = min(state.timing.seeds_most_ms, 2 * self.join_wait_ms)
 
     def member_joined(self) -> None:
-        """A new live member may be the first of many: seeds are tried sooner."""
+        """Shorten the interval of attempts at seeds: a new live member may be the first of many."""
         self.join_wait_ms = min(self.join_wait_ms, self.state.timing.seeds_most_ms / 4)
 
     def member_returned(self, member: Member) -> None:
-        """One that was not live is again: pull its table, as it may know a whole side of a partition."""
+        """Pull the table of a member that is live again.
+
+        It may know of all members on its side of a former partition.
+        """
         state = self.state
         if state.now - self.pulled_at > state.timing.sync_ms:
             self.pulled_at = state.now
             state.send(member.address, MessageKind.PULL)
 
     def revive(self) -> None:
-        """One of those that are not live is told so.
+        """Ping one member that is not live, with the claim that it is not live.
 
-        If it lives after all, it refutes, and both sides of what was a partition learn of each other.
+        If the member is live after all, it refutes the claim, and both sides of a former partition discover
+        each other.
         """
         state = self.state
         state.timers[Timer.REVIVE] = NEVER
@@ -133,13 +143,13 @@
                 state.connection_probes.append(member.address)
 
     def remove_expired(self) -> None:
-        """Periodic maintenance: members that have not been live for long are forgotten."""
+        """Remove members that have not been live for `forget_ms`, as periodic maintenance."""
         state = self.state
         state.timers[Timer.MAINTENANCE] = state.now + state.timing.forget_ms / REMOVALS_PER_FORGET
         for name in list(state.table.not_live):
             record = state.table.records[name]
             member = record.member
-            if state.now - record.since > state.timing.forget_ms:
+            if state.now - record.state_since > state.timing.forget_ms:
                 if member.state is not MemberState.LEFT and member.address not in self.seeds:
                     self.old_addresses.append(member.address)
                 state.table.remove(name)
--- a/granitedock/membership/broadcast_queue.py
+++ b/granitedock/membership/broadcast_queue.py
@@ -1,4 +1,4 @@
-"""Updates that wait to be gossiped: each is sent a bounded number of times, the least sent first."""
+"""The queue of updates to gossip: each is sent a limited number of times, the least sent first."""
 
 from __future__ import annotations
 
@@ -9,22 +9,23 @@
 
 from granitedock.membership.member import MemberUpdate
 
-BASE_TRANSMITS = 8  # to which the natural logarithm of the number of members is added
-MAX_UPDATES = 40  # looked at for one datagram
+BASE_TRANSMITS = 8  # The natural logarithm of the number of members is added to this.
+MAX_UPDATES_PER_DATAGRAM = 40  # Updates considered for one datagram.
 
 
 def transmit_limit(members: int) -> int:
-    """How often one member sends an update, in a group of `members`.
+    """Return how often one member sends an update in a cluster of `members`.
 
-    If each sends it T times at random, a member misses it with probability e^-T, so that one in e^8 misses
-    any, whatever the group's size; anti-entropy repairs that.
+    If each member sends an update T times to random targets, a member misses it with probability e^-T. The
+    limit thus lets one update in e^8 miss any member, whatever the size of the cluster; anti-entropy repairs
+    that.
     """
     return math.ceil(BASE_TRANSMITS + math.log(members + 1))
 
 
 @dataclass(slots=True)
 class Broadcast:
-    """An update in the queue, with how often it was sent; `order` is that of queueing."""
+    """A queued update and the number of its transmissions; `order` is its position in the queue."""
 
     transmits: int
     order: int
@@ -32,15 +33,15 @@
 
 
 def least_sent_first(broadcast: Broadcast) -> tuple[int, int]:
-    """The sort key of the queue."""
+    """Return the sort key of the queue."""
     return (broadcast.transmits, broadcast.order)
 
 
 class BroadcastQueue:
-    """The updates that a member has still to send.
+    """The updates that a member still has to send.
 
-    A newer update of a member replaces all older ones; those of several accusers of the same incarnation
-    stand beside each other.
+    A newer update of a member replaces all its older ones. Suspicions of the same incarnation from several
+    sources are queued side by side.
     """
 
     def __init__(self) -> None:
@@ -48,11 +49,11 @@
         self.sequence = 0
 
     def __len__(self) -> int:
-        """The number of members that updates wait of."""
+        """Return the number of members with queued updates."""
         return len(self.broadcasts)
 
     def add(self, update: MemberUpdate) -> None:
-        """Queue an update, in place of those that it supersedes."""
+        """Queue an update and drop those that it supersedes."""
         self.sequence += 1
         precedence = update.member.precedence()
         kept = [
@@ -64,14 +65,17 @@
         self.broadcasts[update.member.name] = [*kept, Broadcast(0, self.sequence, update)]
 
     def take(self, budget: float, members: int, size: Callable[[MemberUpdate], int]) -> list[MemberUpdate]:
-        """As many updates as fit into `budget` bytes by `size`, each counted as sent once more."""
+        """Return as many updates as fit into `budget` bytes, with their sizes from `size`.
+
+        Each returned update counts as sent once more.
+        """
         chosen: list[MemberUpdate] = []
         limit = transmit_limit(members)
-        spent = 0
+        used_bytes = 0
         waiting = (broadcast for queued in self.broadcasts.values() for broadcast in queued)
-        for broadcast in heapq.nsmallest(MAX_UPDATES, waiting, key=least_sent_first):
-            spent += size(broadcast.update)
-            if spent > budget:
+        for broadcast in heapq.nsmallest(MAX_UPDATES_PER_DATAGRAM, waiting, key=least_sent_first):
+            used_bytes += size(broadcast.update)
+            if used_bytes > budget:
                 break
             chosen.append(broadcast.update)
             broadcast.transmits += 1
@@ -80,7 +84,7 @@
         return chosen
 
     def remove(self, broadcast: Broadcast) -> None:
-        """Drop one that was sent often enough."""
+        """Remove an update that has reached its transmit limit."""
         name = broadcast.update.member.name
         queued = self.broadcasts[name]
         queued.remove(broadcast)
--- a/granitedock/membership/codec.py
+++ b/granitedock/membership/codec.py
@@ -1,10 +1,10 @@
-"""The datagrams between gateways: MessagePack, a version and the cluster's name in each, 1,200 bytes at most.
+"""The datagrams between gateways: MessagePack, with a version and the cluster's name, of up to 1,200 bytes.
 
-One message is an array [version, cluster, kind, sender, number, word, updates]; a member is [name, address,
-started_at, refutations, state, slot, settings_checksum], and in updates an eighth item says who suspects it
-(text) or how many ms ago it ended (a number). Messages of payload kinds have an eighth item, an array of rows
-in the form of their service. Whatever is not exactly so is a `MalformedMessageError`, with
-why; nothing else is raised.
+A message is an array [version, cluster, kind, sender, number, word, updates]. A member is [name, address,
+started_at, refutations, state, slot, settings_checksum]; in updates, an eighth item names the member that
+suspects it (text) or gives the ms since its end (a number). Messages of payload kinds have an eighth item, an
+array of rows in the format of their service. Any other datagram raises `MalformedMessageError` with the
+reason, and no other error is raised.
 """
 
 from __future__ import annotations
@@ -21,36 +21,36 @@
 
 VERSION = 1
 MAX_BYTES = 1200
-MAX_NAME = 64  # characters
-HEADER_BYTES = 40  # round the cluster's name, the sender and the updates
-MEMBER_BYTES = 40  # of a member's numbers, at most
-ADDRESSES_CACHED = 4096
+MAX_NAME_LENGTH = 64  # Characters.
+HEADER_BYTES = 40  # A message without the cluster's name, the sender, the word and the updates.
+MEMBER_BYTES = 40  # The maximum size of a member's numbers.
+MAX_CACHED_ADDRESSES = 4096
 MAX_PORT = 65_535
 
-# Bounds of the numbers in datagrams: each is below.
+# Exclusive upper bounds of the numbers in datagrams.
 MAX_TIME = 2**53
 MAX_COUNT = 2**32
 MAX_SLOT = 2**20
 MAX_AGE_MS = 2**40
 
-ITEMS = 7  # of a message's array, without a payload
+MESSAGE_ITEMS = 7  # Items in a message's array, without a payload.
 MEMBER_ITEMS = 7
 PROTOCOL_KINDS = frozenset(int(kind) for kind in MessageKind)
 
 
 def update_size(update: MemberUpdate) -> int:
-    """An upper bound of the bytes that an update takes."""
+    """Return an upper bound of the encoded size of an update, in bytes."""
     member = update.member
     return len(member.name) + len(member.address) + len(update.suspected_by) + MEMBER_BYTES
 
 
 def update_budget(cluster: str, sender: Member) -> int:
-    """The bytes left for updates in a message of this sender, with the longest word."""
-    return MAX_BYTES - HEADER_BYTES - MAX_NAME - len(cluster) - update_size(MemberUpdate(sender))
+    """Return the bytes left for updates in a message of this sender, with the longest word."""
+    return MAX_BYTES - HEADER_BYTES - MAX_NAME_LENGTH - len(cluster) - update_size(MemberUpdate(sender))
 
 
 def encode(cluster: str, message: Message, payload_types: PayloadTypes = NO_PAYLOADS) -> bytes:
-    """The message as a datagram.
+    """Return the message as a datagram.
 
     Raises PayloadKindError for a kind that is neither a MessageKind nor one of `payload_types`.
     """
@@ -66,14 +66,14 @@
     if message.kind not in PROTOCOL_KINDS:
         payload_type = payload_types.get(message.kind)
         if payload_type is None:
-            why = f"kind {message.kind} is not registered"
-            raise PayloadKindError(why)
+            reason = f"payload kind {message.kind} is not registered"
+            raise PayloadKindError(reason)
         body.append([payload_type.encode_row(row) for row in message.payload])
     return msgpack.packb(body)
 
 
 def encode_member(member: Member) -> list[Any]:
-    """A member as an array of seven."""
+    """Return a member as an array of seven items."""
     return [
         member.name,
         member.address,
@@ -86,7 +86,7 @@
 
 
 def encode_update(update: MemberUpdate) -> list[Any]:
-    """An update as a member's array, with an eighth item where it names an accuser or an age."""
+    """Return an update as a member's array, with an eighth item for a suspicion's source or an age."""
     row = encode_member(update.member)
     if update.suspected_by or update.ended_ms_ago:
         row.append(update.suspected_by or int(update.ended_ms_ago))
@@ -94,15 +94,15 @@
 
 
 def decode(cluster: str, data: bytes, payload_types: PayloadTypes = NO_PAYLOADS) -> Message:
-    """The message in a datagram. Raises MalformedMessageError."""
+    """Return the message in a datagram; raises MalformedMessageError."""
     body = unpack_envelope(cluster, data)
-    _, _, kind, sender_row, number, word, update_rows = body[:ITEMS]
-    payload_rows = body[ITEMS] if len(body) > ITEMS else []
+    _, _, kind, sender_row, number, word, update_rows = body[:MESSAGE_ITEMS]
+    payload_rows = body[MESSAGE_ITEMS] if len(body) > MESSAGE_ITEMS else []
     if type(kind) is not int or (kind not in PROTOCOL_KINDS and kind not in payload_types):
         raise MalformedMessageError(Malformation.UNKNOWN_KIND)
-    if type(payload_rows) is not list or (kind in payload_types) != (len(body) > ITEMS):
+    if type(payload_rows) is not list or (kind in payload_types) != (len(body) > MESSAGE_ITEMS):
         raise MalformedMessageError(Malformation.MISPLACED_PAYLOAD)
-    if type(update_rows) is not list or type(word) is not str or len(word) > MAX_NAME:
+    if type(update_rows) is not list or type(word) is not str or len(word) > MAX_NAME_LENGTH:
         raise MalformedMessageError(Malformation.WRONG_FIELDS)
     sender = decode_member(sender_row)
     if sender.state not in (MemberState.ALIVE, MemberState.LEFT):
@@ -115,15 +115,15 @@
 
 
 def unpack_envelope(cluster: str, data: bytes) -> list[Any]:
-    """The array of a datagram, of this version and cluster. Raises MalformedMessageError."""
+    """Return the array of a datagram of this version and cluster; raises MalformedMessageError."""
     if len(data) > MAX_BYTES:
         raise MalformedMessageError(Malformation.TOO_LONG)
     try:
         body = msgpack.unpackb(data, strict_map_key=False)
-    except Exception as error:  # noqa: BLE001 - the library raises many kinds, all of the sender's making
-        why = f"not MessagePack: {type(error).__name__}"
-        raise MalformedMessageError(why) from None
-    if type(body) is not list or len(body) not in (ITEMS, ITEMS + 1) or body[0] != VERSION:
+    except Exception as error:  # noqa: BLE001 - the library raises many types, all caused by the sender
+        reason = f"not MessagePack: {type(error).__name__}"
+        raise MalformedMessageError(reason) from None
+    if type(body) is not list or len(body) not in (MESSAGE_ITEMS, MESSAGE_ITEMS + 1) or body[0] != VERSION:
         raise MalformedMessageError(Malformation.WRONG_VERSION)
     if body[1] != cluster:
         raise MalformedMessageError(Malformation.OTHER_CLUSTER)
@@ -131,18 +131,18 @@
 
 
 def bounded_int(value: Any, below: int) -> int:
-    """The value, if it is an int of at least 0 and less than `below`. Raises MalformedMessageError."""
+    """Return `value` if it is an int of at least 0 and less than `below`; raises MalformedMessageError."""
     if type(value) is not int or not 0 <= value < below:
         raise MalformedMessageError(Malformation.NUMBER_OUT_OF_RANGE)
     return value
 
 
 def decode_member(row: Any) -> Member:
-    """The member of an array of seven. Raises MalformedMessageError."""
+    """Return the member in an array of seven items; raises MalformedMessageError."""
     if type(row) is not list or len(row) != MEMBER_ITEMS:
         raise MalformedMessageError(Malformation.NOT_A_MEMBER)
     name, address, started_at, refutations, state, slot, settings_checksum = row
-    if type(name) is not str or not 0 < len(name) <= MAX_NAME or not name.isprintable():
+    if type(name) is not str or not 0 < len(name) <= MAX_NAME_LENGTH or not name.isprintable():
         raise MalformedMessageError(Malformation.NO_NAME)
     if type(address) is not str or not is_address(address):
         raise MalformedMessageError(Malformation.NO_ADDRESS)
@@ -161,21 +161,21 @@
 
 
 def decode_update(row: Any) -> MemberUpdate:
-    """The update of an array of seven or eight. Raises MalformedMessageError."""
+    """Return the update in an array of seven or eight items; raises MalformedMessageError."""
     if type(row) is not list or len(row) != MEMBER_ITEMS + 1:
         return MemberUpdate(decode_member(row))
     member = decode_member(row[:MEMBER_ITEMS])
     detail = row[MEMBER_ITEMS]
-    if type(detail) is str and member.state is MemberState.SUSPECT and len(detail) <= MAX_NAME:
+    if type(detail) is str and member.state is MemberState.SUSPECT and len(detail) <= MAX_NAME_LENGTH:
         return MemberUpdate(member, suspected_by=detail)
     if member.state > MemberState.SUSPECT:
         return MemberUpdate(member, ended_ms_ago=float(bounded_int(detail, MAX_AGE_MS)))
     raise MalformedMessageError(Malformation.NOT_AN_UPDATE)
 
 
-@lru_cache(ADDRESSES_CACHED)
+@lru_cache(MAX_CACHED_ADDRESSES)
 def is_address(text: str) -> bool:
-    """Whether this is "ip:port" over IPv4, as the platform's sockets are."""
+    """Return whether `text` is "ip:port" over IPv4, which the platform's sockets use."""
     host, _, port = text.rpartition(":")
     try:
         IPv4Address(host)
--- a/granitedock/membership/connection_probe.py
+++ b/granitedock/membership/connection_probe.py
@@ -14,13 +14,13 @@
     def __init__(self, state: ProtocolState, updater: MemberUpdater) -> None:
         self.state = state
         self.updater = updater
-        self.retries: list[str] = []  # addresses to probe a second time
+        self.retry_addresses: list[str] = []  # addresses to probe a second time
 
     def reset(self) -> None:
         """After a pause of this process earlier refusals count for nothing."""
-        self.retries = []
+        self.retry_addresses = []
 
-    def refused(self, address: str) -> None:
+    def record_refusal(self, address: str) -> None:
         """A probe of this address was refused: nobody listens there now.
 
         Twice, some time apart and with nothing heard between, proves that the process is gone; once may be a
@@ -36,12 +36,12 @@
         elif not record.refusals:
             record.refusals = 1
             record.refused_at = state.now
-            self.retries.append(address)
+            self.retry_addresses.append(address)
             due = state.now + state.timing.knock_ms
             state.timers[Timer.CONNECTION_RETRY] = min(state.timers[Timer.CONNECTION_RETRY], due)
 
     def retry(self) -> None:
         """Probe a second time."""
         self.state.timers[Timer.CONNECTION_RETRY] = NEVER
-        self.state.connection_probes += self.retries
-        self.retries = []
+        self.state.connection_probes += self.retry_addresses
+        self.retry_addresses = []
--- a/granitedock/membership/connection_prober.py
+++ b/granitedock/membership/connection_prober.py
@@ -21,13 +21,13 @@
         host: str,
         wait_s: float,
         counts: Counter[str],
-        refused: Callable[[str], None],
+        on_refused: Callable[[str], None],
     ) -> None:
         self.reactor = reactor
         self.host = host
         self.wait_s = wait_s
         self.counts = counts
-        self.refused = refused
+        self.on_refused = on_refused
 
     def probe(self, address: str) -> None:
         """Send one empty datagram from a connected socket.
@@ -48,7 +48,7 @@
         except OSError as error:
             probe_socket.close()
             if error.errno == errno.ECONNREFUSED:
-                self.refused(address)
+                self.on_refused(address)
             return
         self.counts["fleet_knocks"] += 1
         self.reactor.callLater(self.wait_s, self.conclude, probe_socket, address)
@@ -58,4 +58,4 @@
         with probe_socket:
             error = probe_socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error == errno.ECONNREFUSED:
-            self.refused(address)
+            self.on_refused(address)
--- a/granitedock/membership/local_member.py
+++ b/granitedock/membership/local_member.py
@@ -43,7 +43,7 @@
         self.timing = timing
         self.membership = Membership(local, timing, seeds, now, random, cluster)
         self.slots = MemberSlots(timing, gateways, local.settings_checksum)
-        self.pauses = 0  # of this process, as far as the slots know
+        self.pause_count = 0  # of this process, as far as the slots know
 
     def tick(self, now: float) -> None:
         """Whatever is due by now."""
@@ -65,8 +65,8 @@
     def take_effects(self, now: float) -> Effects:
         """What the inputs since the last call brought about, for the transport to carry out."""
         state = self.membership.state
-        if state.counts["slept"] != self.pauses:
-            self.pauses = state.counts["slept"]
+        if state.counts["slept"] != self.pause_count:
+            self.pause_count = state.counts["slept"]
             self.slots.process_paused(now)
         for change in state.changes:
             self.slots.member_changed(now, change)
@@ -77,9 +77,9 @@
         state.changes = []
         return effects
 
-    def due(self, now: float) -> float:
+    def next_tick_at(self, now: float) -> float:
         """When `tick` is due, if no input comes before."""
-        due = self.membership.due()
+        due = self.membership.next_tick_at()
         return min(due, now + self.timing.lease_ms / RENEWALS_PER_LEASE) if self.slots.vacancies else due
 
     def active_members(self, now: float, subset_start: int, subset_size: int) -> int:
--- a/granitedock/membership/member.py
+++ b/granitedock/membership/member.py
@@ -1,4 +1,4 @@
-"""What is known of one member, and which of two claims about it is the newer."""
+"""The record of one member, and the order that decides which of two claims about it is newer."""
 
 from __future__ import annotations
 
@@ -7,30 +7,31 @@
 
 
 class MemberState(IntEnum):
-    """In rising order: of two claims about the same incarnation, the higher state holds."""
+    """In ascending order: of two claims about the same incarnation, the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
-    DEAD = 2  # silent for longer than the suspicion timeout: dead, or behind a partition
-    GONE = 3  # dead, and proved: its address refused two connection probes, so no process listens there
-    LEFT = 4  # it announced its own shutdown
+    DEAD = 2  # Suspicion timeout expired: the process has ended, or a partition separates it.
+    GONE = 3  # Proved dead: its address refused two connection probes, so no process listens there.
+    LEFT = 4  # Announced its own shutdown.
 
 
 LIVE_STATES = frozenset({MemberState.ALIVE, MemberState.SUSPECT})
-ENDED_STATES = frozenset({MemberState.GONE, MemberState.LEFT})  # known to serve no more, not only unheard
+# The process is known to have ended; DEAD only means that no messages arrive.
+ENDED_STATES = frozenset({MemberState.GONE, MemberState.LEFT})
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
     """One gateway. Its incarnation is the pair of `started_at` and `refutations`.
 
-    `started_at` is when its process began (Unix ms), `refutations` how many claims about itself it has had to
-    refute since. `slot` is its number among the gateways as the settings count them (-1: none),
-    `settings_checksum` the same for all gateways with the same settings.
+    `started_at` is the start time of its process (Unix ms), and `refutations` counts the claims about itself
+    that it has refuted since. `slot` is its number among the gateways in the settings (-1: none).
+    `settings_checksum` is equal for all gateways with the same settings.
     """
 
     name: str
-    address: str  # "ip:port", as the others reach it
+    address: str  # "ip:port" at which other members reach it.
     started_at: int
     refutations: int
     state: MemberState
@@ -38,22 +39,23 @@
     settings_checksum: int = 0
 
     def precedence(self) -> tuple[int, int, int]:
-        """Of two claims about a member, the one with the greater precedence holds."""
+        """Return the sort key of claims: of two claims about a member, the greater one wins."""
         return (self.started_at, self.refutations, self.state)
 
     def incarnation(self) -> tuple[int, int]:
-        """Ordered: a later process, or a refutation, is a newer incarnation."""
+        """Return the incarnation, which a later process or a refutation makes greater."""
         return (self.started_at, self.refutations)
 
     def with_state(self, state: MemberState) -> Member:
-        """The same incarnation in another state."""
+        """Return the same incarnation in another state."""
         return replace(self, state=state)
 
     def refute(self, claim: Member) -> Member:
-        """Answer a claim about this member itself by an incarnation newer than the claim's.
+        """Refute a claim about this member by an incarnation newer than the claim's.
 
-        Guards against a clock set back before a restart: an incarnation that others know as later is taken
-        over and passed. Hurts nothing else: an older claim changes nothing.
+        Prevents a restarted process from remaining dead after its clock was set back: the later incarnation
+        that other members know is adopted and exceeded. This has no cost, because an older claim changes
+        nothing.
         """
         if claim.incarnation() < self.incarnation():
             return self
@@ -62,7 +64,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """A claim about a member that is gossiped; who suspects it or how long ago it ended, where it applies."""
+    """A claim about a member, as gossip carries it.
+
+    `suspected_by` names the source of a suspicion, and `ended_ms_ago` is the age of an end; each is set only
+    where it applies.
+    """
 
     member: Member
     suspected_by: str = ""
@@ -71,9 +77,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """A member's record changed locally. `previous` is None for one not known before.
+    """A change of a member's local record; `previous` is None for a new member.
 
-    `false_death`: it had been held for dead or gone and was not.
+    With `false_death` the member was recorded as dead or gone although it was live.
     """
 
     member: Member
--- a/granitedock/membership/member_slots.py
+++ b/granitedock/membership/member_slots.py
@@ -15,7 +15,7 @@
 from granitedock.membership.timers import LONG_AGO
 from granitedock.membership.timing import Timing
 
-PROBES_AT_ONCE = 8  # with more slots vacant than can be proved in a lease, the rest count as held
+MAX_PROBES_PER_INPUT = 8  # with more slots vacant than can be proved in a lease, the rest count as held
 RENEWALS_PER_LEASE = 4
 PROOFS_PER_GATEWAY = 4  # addresses kept with their last refusal
 
@@ -43,9 +43,11 @@
         self.holders: dict[int, set[str]] = {}  # the live members of each slot
         self.other_settings: set[str] = set()  # live members with other settings
         self.vacancies: dict[int, Vacancy] = {}
-        self.ended_silently: dict[int, float] = {}  # slots once held, whose gateway did not announce its end
+        self.ended_unannounced: dict[
+            int, float
+        ] = {}  # slots once held, whose gateway did not announce its end
         self.refused_at: dict[str, float] = {}  # when an address last refused a probe
-        self.suspend_until = LONG_AGO
+        self.takeover_suspended_until = LONG_AGO
 
     def member_changed(self, now: float, change: MemberChange) -> None:
         """A member's record changed."""
@@ -62,28 +64,28 @@
         if live:
             self.holders.setdefault(member.slot, set()).add(member.name)
             self.vacancies.pop(member.slot, None)
-            self.ended_silently.pop(member.slot, None)
+            self.ended_unannounced.pop(member.slot, None)
         else:
             self.member_ended(now, member)
 
     def member_ended(self, now: float, member: Member) -> None:
         """A member of one of the slots is no longer live."""
         holders = self.holders.setdefault(member.slot, set())
-        held = member.name in holders
+        was_holder = member.name in holders
         holders.discard(member.name)
         if holders:
             return
         if member.state is MemberState.LEFT:
-            self.ended_silently.pop(member.slot, None)
-        elif held:
-            self.ended_silently[member.slot] = now
+            self.ended_unannounced.pop(member.slot, None)
+        elif was_holder:
+            self.ended_unannounced[member.slot] = now
         if member.state in ENDED_STATES and member.settings_checksum == self.settings_checksum:
             proved_at = self.refused_at.get(member.address, LONG_AGO)
             self.vacancies.setdefault(member.slot, Vacancy(member.address, now, proved_at=proved_at))
 
     def process_paused(self, now: float) -> None:
         """After a gap in our own clock, old proofs count for nothing until membership has settled anew."""
-        self.suspend_until = now + self.timing.settle_ms
+        self.takeover_suspended_until = now + self.timing.settle_ms
 
     def connection_refused(self, now: float, address: str) -> None:
         """A connection probe of this address was refused."""
@@ -100,7 +102,7 @@
         interval = self.timing.lease_ms / RENEWALS_PER_LEASE
         due = [vacancy for vacancy in self.vacancies.values() if now - vacancy.probed_at >= interval]
         due.sort(key=lambda vacancy: vacancy.probed_at)
-        chosen = due[:PROBES_AT_ONCE]
+        chosen = due[:MAX_PROBES_PER_INPUT]
         for vacancy in chosen:
             vacancy.probed_at = now
         return [vacancy.address for vacancy in chosen]
@@ -114,18 +116,18 @@
             and now <= vacancy.proved_at + self.timing.lease_ms
         )
 
-    def silent(self, now: float) -> dict[int, float]:
+    def silent_slots(self, now: float) -> dict[int, float]:
         """Slots whose gateway may be serving where we cannot hear it, and since when it was held dead.
 
         It did not announce its end, and no fresh probe of ours proves that nobody listens there.
         """
         lease_ms = self.timing.lease_ms
         proved = {slot for slot, vacancy in self.vacancies.items() if now <= vacancy.proved_at + lease_ms}
-        return {slot: since for slot, since in self.ended_silently.items() if slot not in proved}
+        return {slot: since for slot, since in self.ended_unannounced.items() if slot not in proved}
 
     def active_members(self, now: float, subset_start: int, subset_size: int) -> int:
         """How many of the `subset_size` gateways from slot `subset_start` on, wrapping, may be serving."""
-        if not self.vacancies or self.other_settings or now < self.suspend_until:
+        if not self.vacancies or self.other_settings or now < self.takeover_suspended_until:
             return subset_size
         slots = ((subset_start + n) % self.gateways for n in range(min(subset_size, self.gateways)))
         vacant = sum(self.is_vacant(now, slot) for slot in slots)
--- a/granitedock/membership/member_updater.py
+++ b/granitedock/membership/member_updater.py
@@ -1,4 +1,4 @@
-"""Changes of a member's record, with what each brings about."""
+"""Changes to member records, with their effects on the queue, the probe order and the counters."""
 
 from __future__ import annotations
 
@@ -8,7 +8,9 @@
 from granitedock.membership.probe_order import ProbeOrder
 from granitedock.membership.protocol_state import ProtocolState
 
-FALSE_WHEN_ALIVE = (MemberState.DEAD, MemberState.GONE)  # from which no process comes back
+# An ended process never becomes live again: a change of the same process from one of these states to a live
+# state shows that the declaration of death was false.
+FALSE_DEATH_STATES = (MemberState.DEAD, MemberState.GONE)
 
 
 class MemberUpdater:
@@ -19,13 +21,16 @@
         self.order = order
         self.anti_entropy = anti_entropy
 
-    def add(self, update: MemberUpdate, accuser: str) -> None:
-        """A member that was not known; `accuser` suspects it where the update names nobody."""
+    def add(self, update: MemberUpdate, source: str) -> None:
+        """Add a member that is not in the table.
+
+        `source` is recorded as the source of a suspicion whose update names none.
+        """
         state, member = self.state, update.member
         record = MemberRecord(member, state.now - update.ended_ms_ago)
         state.table.records[member.name] = record
         if member.state is MemberState.SUSPECT:
-            record.accusers = {(update.suspected_by or accuser): None}
+            record.suspicion_sources = {(update.suspected_by or source): None}
             record.suspected_at = state.now
         state.table.stale = True
         state.table.index(record)
@@ -36,24 +41,24 @@
             self.anti_entropy.member_joined()
 
     def apply(self, record: MemberRecord, member: Member, ended_ms_ago: float = 0.0) -> None:
-        """A known member's record becomes `member`."""
+        """Replace the record of a known member by `member`."""
         state, before = self.state, record.member
         record.member = member
-        record.since = state.now - ended_ms_ago
+        record.state_since = state.now - ended_ms_ago
         if before.address != member.address:
             state.table.release_address(before)
         state.table.index(record)
         if before.state != member.state or before.started_at != member.started_at:
-            self.note_change(before, member)
+            self.report_change(before, member)
         if before.state not in LIVE_STATES and member.state in LIVE_STATES:
             self.order.insert(member.name)
             self.anti_entropy.member_returned(member)
 
-    def note_change(self, before: Member, member: Member) -> None:
-        """Report and count a change of state or process."""
+    def report_change(self, before: Member, member: Member) -> None:
+        """Report and count a change of a member's state or process."""
         state = self.state
         false_death = (
-            before.state in FALSE_WHEN_ALIVE
+            before.state in FALSE_DEATH_STATES
             and member.state in LIVE_STATES
             and before.started_at == member.started_at
         )
--- a/granitedock/membership/membership.py
+++ b/granitedock/membership/membership.py
@@ -1,10 +1,10 @@
 """The membership protocol of one gateway, without I/O: inputs in; messages, probes and changes out.
 
-SWIM with suspicion and incarnations, Lifeguard's extensions for members that are slow themselves,
-anti-entropy against lost gossip, and attempts at seeds and at members that are not live, so that the sides
-of a healed partition find each other. Every input comes with the time (ms, any steady clock); what it brings
-about stands in `state` until the transport takes it. Nothing here reads a clock, a socket or a file. Options
-weighed and sources: docs/membership-design.md.
+The protocol is SWIM with suspicion and incarnations, Lifeguard's extensions for slow local members, and
+anti-entropy against lost gossip. It also contacts seeds and members that are not live, so that the two sides
+of a healed partition discover each other. Every input carries the time (ms, any steady clock), and its
+effects are collected in `state` until the transport takes them. Nothing here reads a clock, a socket or a
+file. Alternatives and sources: docs/membership-design.md.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from granitedock.membership.timers import NEVER, Timer
 from granitedock.membership.timing import Timing
 
-TOLD_OF_LEAVING = 8  # members
+LEAVE_FANOUT = 8  # Members to which a leaving member announces its shutdown.
 
 
 class Membership:
-    """One gateway's member table, kept up to date by the protocol. `local` is its own record."""
+    """Keeps one gateway's member table up to date; `local` is the gateway's own record."""
 
     def __init__(
         self,
@@ -62,34 +62,34 @@
                 Timer.MAINTENANCE: now + timing.forget_ms / REMOVALS_PER_FORGET,
             }
         )
-        self.expected_at = now  # when the next input is due at the latest
+        self.expected_at = now  # The time of the next input at the latest.
         state.queue.add(MemberUpdate(local))
 
     @property
     def local(self) -> Member:
-        """The record of this gateway itself."""
+        """The record of the local gateway."""
         return self.state.table.local
 
     @property
     def counts(self) -> Counter[str]:
-        """Counters, by the names that the FLEET command shows."""
+        """The counters, under the names that the FLEET command shows."""
         return self.state.counts
 
     def live_others(self) -> list[str]:
-        """The names of the live members, without the local one."""
+        """Return the names of the live members, without the local one."""
         return self.state.table.live_others()
 
     def gossip_addresses(self) -> list[str]:
-        """The addresses of a few live members, drawn anew at each call."""
+        """Return the addresses of a few live members, chosen at random at each call."""
         state = self.state
         others = state.table.live_others()
         names = state.random.sample(others, min(state.timing.fanout, len(others)))
         return [state.table.records[name].member.address for name in names]
 
-    # Time.
+    # Timers.
 
-    def due(self) -> float:
-        """When `tick` is due, if no input comes before."""
+    def next_tick_at(self) -> float:
+        """Return the time by which `tick` must be called if there is no input before."""
         due = min(self.state.timers.values())
         for name in self.state.table.suspects:
             due = min(due, self.suspicion.deadline(self.state.table.records[name]))
@@ -98,11 +98,12 @@
         return due
 
     def begin_input(self, now: float) -> None:
-        """The clock of an input.
+        """Set the clock for an input and detect a pause of this process.
 
-        Guards the others against a member that was paused or starved: a gap in its own clock is distrusted
-        before anybody's silence. Whom it was probing is not blamed, suspicions begin anew, and for a while
-        nobody is accused or declared dead. Hurts: ends in that time are known later.
+        A gap in the local clock means that this process was paused or starved of CPU time. The outstanding
+        probes are then dropped, suspicions start again, and for `suspect_ms` no member is suspected or
+        declared dead. Prevents false suspicions of other members by a member that was paused; the cost is
+        that failures within that time are detected later.
         """
         state = self.state
         gap = now - self.expected_at
@@ -115,7 +116,7 @@
         state.timers[Timer.PROBE_TIMEOUT] = NEVER
         state.timers[Timer.CONNECTION_RETRY] = NEVER
         state.timers[Timer.PROBE] = now + state.timing.period_ms * state.random.random()
-        state.suspend_until = now + state.timing.suspect_ms
+        state.suspicion_suspended_until = now + state.timing.suspect_ms
         for name in state.table.suspects:
             state.table.records[name].suspected_at = now
         for record in state.table.records.values():
@@ -123,17 +124,17 @@
         state.awareness.degrade()
 
     def end_input(self) -> None:
-        """Start the timers that the input calls for."""
+        """Start the timers that the input requires."""
         state = self.state
         timers, timing = state.timers, state.timing
         if state.queue and timers[Timer.GOSSIP] == NEVER:
             timers[Timer.GOSSIP] = state.now + timing.gossip_ms * (0.5 + 0.5 * state.random.random())
         if state.table.not_live and timers[Timer.REVIVE] == NEVER:
             timers[Timer.REVIVE] = state.now + timing.revive_ms * state.random.random()
-        self.expected_at = max(state.now, self.due())
+        self.expected_at = max(state.now, self.next_tick_at())
 
     def tick(self, now: float) -> None:
-        """Whatever is due by now."""
+        """Run every timer that has expired by `now`."""
         self.begin_input(now)
         for timer, due in self.state.timers.items():
             if due <= now:
@@ -146,22 +147,23 @@
     # Inputs.
 
     def receive(self, now: float, message: Message) -> None:
-        """A message of this cluster came."""
+        """Handle a message of this cluster."""
         self.begin_input(now)
         sender, local = message.sender, self.local
         if sender.name != local.name:
             self.receive_from(sender, message)
         elif sender.address != local.address or sender.started_at != local.started_at:
-            self.state.counts["namesakes"] += 1  # another process of our name, or ours before a restart
+            # Another process with the local name, or this gateway's process before a restart.
+            self.state.counts["namesakes"] += 1
         self.end_input()
 
     def receive_from(self, sender: Member, message: Message) -> None:
-        """Merge a message's claims and do what it asks for."""
+        """Merge the updates of a message and run the handler of its kind."""
         state = self.state
         self.merging.merge(MemberUpdate(sender), True, sender.name)
         record = state.table.records[sender.name]
         if sender.incarnation() >= record.member.incarnation():
-            record.heard_at = state.now
+            record.last_message_at = state.now
             record.refusals = 0
         for update in message.updates:
             self.merging.merge(update, message.kind is MessageKind.PAGE, sender.name)
@@ -172,27 +174,27 @@
             record.member.state is not MemberState.ALIVE
             and sender.state is MemberState.ALIVE
             and record.member.incarnation() >= sender.incarnation()
-            and message.kind is not MessageKind.PING  # the answer to that one says it already
+            and message.kind is not MessageKind.PING  # The ack to a ping already carries this update.
         ):
             state.send(sender.address, MessageKind.GOSSIP, first=[state.update_of(record)])
 
     def connection_refused(self, now: float, address: str) -> None:
-        """A connection probe of this address was refused."""
+        """Record that a connection probe of this address was refused."""
         self.begin_input(now)
-        self.connections.refused(address)
+        self.connections.record_refusal(address)
         self.end_input()
 
     def leave(self, now: float) -> None:
-        """Announce the end of this process, so that nobody has to suspect it."""
+        """Announce the shutdown of this process, so that no member has to suspect it first."""
         self.begin_input(now)
         table = self.state.table
         table.local = table.local.with_state(MemberState.LEFT)
         others = table.live_others()
-        for name in self.state.random.sample(others, min(TOLD_OF_LEAVING, len(others))):
+        for name in self.state.random.sample(others, min(LEAVE_FANOUT, len(others))):
             self.state.send(table.records[name].member.address, MessageKind.GOSSIP)
 
     def gossip(self) -> None:
-        """Send queued updates to a few random members."""
+        """Send queued updates to a few random live members."""
         state = self.state
         state.timers[Timer.GOSSIP] = NEVER
         others = state.table.live_others()
@@ -200,10 +202,10 @@
             if not state.queue:
                 break
             record = state.table.records[name]
-            state.send(record.member.address, MessageKind.GOSSIP, first=state.claims_against(record))
+            state.send(record.member.address, MessageKind.GOSSIP, first=state.claims_to_refute(record))
 
 
-# By name, so that a test may put another method in the place of one.
+# Methods are looked up at each call, so that a test can replace one of them.
 TIMER_HANDLERS: dict[Timer, Callable[[Membership], None]] = {
     Timer.PROBE: lambda membership: membership.detector.probe(),
     Timer.PROBE_TIMEOUT: lambda membership: membership.detector.probe_timed_out(),
@@ -215,7 +217,7 @@
     Timer.MAINTENANCE: lambda membership: membership.anti_entropy.remove_expired(),
 }
 
-# Kinds that are not here carry only updates, or payloads that others handle.
+# Messages of all other kinds carry only updates, or payloads that the attached services handle.
 MESSAGE_HANDLERS: dict[int, Callable[[Membership, Message, Member], None]] = {
     MessageKind.PING: lambda membership, message, sender: membership.detector.on_ping(message, sender),
     MessageKind.ACK: lambda membership, message, sender: membership.detector.on_ack(message, sender),
--- a/granitedock/membership/merge.py
+++ b/granitedock/membership/merge.py
@@ -1,4 +1,4 @@
-"""Merging claims of others: which are newer, what they change, and how those about ourselves are refuted."""
+"""Merging of claims from other members, and refutation of claims about the local member."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from granitedock.membership.suspicion import Suspicion
 from granitedock.membership.timers import Timer
 
-UNPROVED_ENDS = (MemberState.DEAD, MemberState.GONE)  # not announced by the member itself
+UNANNOUNCED_END_STATES = (MemberState.DEAD, MemberState.GONE)  # The member did not announce these itself.
 
 
 class Merge:
-    """Merges what others claim into the member table."""
+    """Merges the claims of other members into the member table."""
 
     def __init__(
         self, state: ProtocolState, order: ProbeOrder, updater: MemberUpdater, suspicion: Suspicion
@@ -25,11 +25,11 @@
         self.suspicion = suspicion
 
     def merge(self, update: MemberUpdate, from_page: bool, sender: str) -> None:
-        """Take in a claim of `sender`, if it is newer than what is held.
+        """Merge a claim of `sender` if it is newer than the local record.
 
-        Guards, for a claim of a page, against the other side of a healed partition that would take our live
-        members for dead: an end that the member did not announce itself is only a suspicion. Hurts: such an
-        end is known a suspicion timeout later.
+        In a page, an end that the member did not announce itself counts only as a suspicion. Prevents live
+        members from being declared dead by the other side of a healed partition; the cost is that such an end
+        is known one suspicion timeout later.
         """
         claim, state = update.member, self.state
         if claim.name == state.table.local.name:
@@ -40,34 +40,34 @@
             if claim.state in LIVE_STATES or update.ended_ms_ago < state.timing.forget_ms:
                 self.updater.add(update, sender)
             return
-        held = record.member
-        if claim.state is MemberState.SUSPECT and held.incarnation() == claim.incarnation():
+        known = record.member
+        if claim.state is MemberState.SUSPECT and known.incarnation() == claim.incarnation():
             self.merge_suspicion(record, update.suspected_by or sender)
-        elif claim.precedence() <= held.precedence():
+        elif claim.precedence() <= known.precedence():
             return
-        elif from_page and claim.state in UNPROVED_ENDS and held.state in LIVE_STATES:
-            if claim.incarnation() > held.incarnation():
+        elif from_page and claim.state in UNANNOUNCED_END_STATES and known.state in LIVE_STATES:
+            if claim.incarnation() > known.incarnation():
                 self.updater.apply(record, claim.with_state(MemberState.ALIVE))
-            self.suspicion.accuse(record, sender)
+            self.suspicion.suspect(record, sender)
         else:
             if claim.state is MemberState.SUSPECT:
                 self.suspicion.begin(record, update.suspected_by or sender)
             self.updater.apply(record, claim, update.ended_ms_ago)
             state.queue.add(update if claim.state is not MemberState.ALIVE else MemberUpdate(claim))
 
-    def merge_suspicion(self, record: MemberRecord, accuser: str) -> None:
-        """Another suspects the incarnation that is held."""
-        held = record.member
-        if held.state in LIVE_STATES:
-            if held.state is MemberState.ALIVE:
-                self.probe_suspect(held.name)
-            self.suspicion.accuse(record, accuser)
+    def merge_suspicion(self, record: MemberRecord, source: str) -> None:
+        """Merge a suspicion of the incarnation that the local table has."""
+        known = record.member
+        if known.state in LIVE_STATES:
+            if known.state is MemberState.ALIVE:
+                self.probe_suspect(known.name)
+            self.suspicion.suspect(record, source)
 
     def probe_suspect(self, name: str) -> None:
-        """A few of those that hear of a suspicion probe the suspect out of turn.
+        """Probe a suspect out of turn, at a few of the members that receive the suspicion.
 
-        So a true suspicion is shared by enough to end it soon, and a false one is refuted by its target, at a
-        load that does not grow with the group.
+        A true suspicion is thus confirmed by enough sources to end it soon, and a false one is refuted by its
+        target. The load does not grow with the size of the cluster.
         """
         state = self.state
         members = len(state.table.live_others())
@@ -75,13 +75,15 @@
             self.order.urgent.append(name)
 
     def refute(self, claim: Member) -> None:
-        """A claim about the local member: what is not so is refuted at once, under a newer incarnation."""
+        """Refute a false claim about the local member at once, under a newer incarnation."""
         state, local = self.state, self.state.table.local
         if local.state is MemberState.LEFT or claim.precedence() <= local.precedence():
             return
-        if claim.state is not MemberState.ALIVE:  # else our own of before a restart, by a clock set back
+        # A claim of the alive state is this gateway's own from before a restart, if the clock was set back.
+        if claim.state is not MemberState.ALIVE:
             state.counts["refutations"] += 1
             state.awareness.degrade()
         state.table.local = local.refute(claim)
         state.queue.add(MemberUpdate(state.table.local))
-        state.timers[Timer.GOSSIP] = state.now  # at once: a starved process may be paused before its turn
+        # Without delay: a process that lacks CPU time may be paused before the next gossip interval.
+        state.timers[Timer.GOSSIP] = state.now
--- a/granitedock/membership/probe.py
+++ b/granitedock/membership/probe.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detection: direct probes, indirect probes through others, and this member's own relaying."""
+"""SWIM's failure detection: direct probes, indirect probes through other members, and relaying for them."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from granitedock.membership.suspicion import Suspicion
 from granitedock.membership.timers import NEVER, Timer
 
-RELAY_TIMEOUTS = 1.5  # probe timeouts that an indirect probe waits for its target
+RELAY_TIMEOUT_MULTIPLE = 1.5  # Time for the target of an indirect probe to answer, in probe timeouts.
 
 
 @dataclass(slots=True)
 class Probe:
-    """The probe of this period."""
+    """The direct probe of the current period."""
 
     target: str
     number: int
-    asked: int = 0  # members asked to probe indirectly
+    indirect_probes: int = 0  # Members asked to probe indirectly.
     nacks: int = 0
     acked: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Relay:
-    """An indirect probe made for another member; `requester_number` is the number of its own probe."""
+    """An indirect probe for another member; `requester_number` is the number of that member's probe."""
 
     requester_address: str
     requester_number: int
@@ -37,24 +37,24 @@
 
 
 class FailureDetector:
-    """Probes one member in each period, and answers the probes of others."""
+    """Probes one member in each period and answers the probes of other members."""
 
     def __init__(self, state: ProtocolState, order: ProbeOrder, suspicion: Suspicion) -> None:
         self.state = state
         self.order = order
         self.suspicion = suspicion
         self.current: Probe | None = None
-        self.relays: dict[int, Relay] = {}  # by the number of our ping
+        self.relays: dict[int, Relay] = {}  # By the number of the ping that this member sent.
 
     def reset(self) -> None:
-        """After a pause of this process nothing outstanding is held against anybody."""
+        """Drop all outstanding probes after a pause of this process, so that none counts as failed."""
         self.current = None
         self.relays.clear()
 
     # Probing.
 
     def probe(self) -> None:
-        """A period ends and the next begins."""
+        """End the current probe period and begin the next one."""
         state = self.state
         state.timers[Timer.PROBE] = state.now + state.awareness.scaled(state.timing.period_ms)
         self.conclude()
@@ -70,7 +70,10 @@
         state.timers[Timer.PROBE_TIMEOUT] = state.now + state.awareness.scaled(state.timing.timeout_ms)
 
     def probe_timed_out(self) -> None:
-        """No answer in time: others probe for us, and a connection probe tells whether anybody listens."""
+        """Start indirect probes, and send a connection probe, after the direct probe timed out.
+
+        The connection probe shows whether a process listens at the target's address.
+        """
         state, probe = self.state, self.current
         state.timers[Timer.PROBE_TIMEOUT] = NEVER
         record = state.table.records.get(probe.target) if probe else None
@@ -85,49 +88,54 @@
         state = self.state
         candidates = [name for name in state.table.live_others() if name != probe.target]
         helpers = state.random.sample(candidates, min(state.timing.helpers, len(candidates)))
-        probe.asked = len(helpers)
+        probe.indirect_probes = len(helpers)
         for name in helpers:
             target = [MemberUpdate(record.member.with_state(MemberState.ALIVE))]
             address = state.table.records[name].member.address
             state.send(address, MessageKind.PING_REQ, probe.number, probe.target, target)
 
     def conclude(self) -> None:
-        """The end of the period: the target is suspected if no answer came, by any way."""
+        """End the probe period: suspect the target if neither a direct nor a relayed ack arrived."""
         state, probe = self.state, self.current
         self.current = None
         if probe is None or probe.acked:
             return
         record = state.table.records.get(probe.target)
         if not probe.nacks:
-            # If all helpers are silent too, this member is perhaps the slow one. One that does answer says
-            # that our network is well, also where a partition has taken the others.
+            # If no helper answers either, the local member may be the slow one. A nack shows that the local
+            # network works, even if a partition separates this member from the others.
             state.awareness.degrade()
-        if record is not None and record.member.state in LIVE_STATES and state.now >= state.suspend_until:
-            self.suspicion.accuse(record, state.table.local.name)
+        if (
+            record is not None
+            and record.member.state in LIVE_STATES
+            and state.now >= state.suspicion_suspended_until
+        ):
+            self.suspicion.suspect(record, state.table.local.name)
 
     # Relaying for others.
 
     def expire_relays(self) -> None:
-        """Indirect probes without an answer in time are reported as such."""
+        """Send a nack for each relayed probe whose target did not answer in time."""
         for number, relay in list(self.relays.items()):
             if relay.expires_at <= self.state.now:
                 del self.relays[number]
                 self.state.send(relay.requester_address, MessageKind.NACK, relay.requester_number)
 
-    # Messages.
+    # Message handlers.
 
     def on_ping(self, message: Message, sender: Member) -> None:
         """Answer a ping."""
         state = self.state
         if message.word != state.table.local.name:
-            # Meant for one that had this address before; our own record, in the answer, says who has it now.
+            # The ping is for a member that had this address before. The answer carries the local record as
+            # its sender, which shows which member has the address now.
             state.send(sender.address, MessageKind.GOSSIP)
             return
-        claims = state.claims_against(state.table.records[sender.name])
+        claims = state.claims_to_refute(state.table.records[sender.name])
         state.send(sender.address, MessageKind.ACK, message.number, state.table.local.name, claims)
 
     def on_ack(self, message: Message, sender: Member) -> None:
-        """The answer to this period's probe, or to a ping that was made for another."""
+        """Handle the ack to the probe of this period, or to a ping relayed for another member."""
         state, probe = self.state, self.current
         if probe and probe.number == message.number and probe.target == message.word:
             if not probe.acked:
@@ -141,7 +149,7 @@
             state.send(relay.requester_address, MessageKind.ACK, relay.requester_number, message.word, target)
 
     def on_ping_req(self, message: Message, sender: Member) -> None:
-        """Ping a member for another."""
+        """Ping a member for another member."""
         state = self.state
         target = next(
             (update.member for update in message.updates if update.member.name == message.word), None
@@ -149,14 +157,14 @@
         if target is None or target.name == state.table.local.name:
             return
         number = state.next_sequence_number()
-        expires_at = state.now + state.timing.timeout_ms * RELAY_TIMEOUTS
+        expires_at = state.now + state.timing.timeout_ms * RELAY_TIMEOUT_MULTIPLE
         self.relays[number] = Relay(sender.address, message.number, target.name, expires_at)
         record = state.table.records.get(target.name)
-        claims = state.claims_against(record) if record is not None else []
+        claims = state.claims_to_refute(record) if record is not None else []
         state.send(target.address, MessageKind.PING, number, target.name, claims)
 
     def on_nack(self, message: Message, _sender: Member) -> None:
-        """A helper had no answer either."""
+        """Count a nack: the indirect probe through this sender had no answer either."""
         probe = self.current
         if probe and probe.number == message.number:
             probe.nacks += 1
--- a/granitedock/membership/protocol_state.py
+++ b/granitedock/membership/protocol_state.py
@@ -1,4 +1,4 @@
-"""The state that the parts of the protocol share, and how each of them sends."""
+"""The state that the parts of the protocol share, and the sending of messages."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class ProtocolState:
-    """Member table, broadcast queue, timers and the effects that the transport is still to carry out.
+    """The member table, broadcast queue, timers, and the effects that the transport has yet to execute.
 
-    `now` is the time of the input at hand, in ms of any steady clock. `sends`, `connection_probes`
-    (addresses) and `changes` are emptied by whoever carries them out.
+    `now` is the time of the current input, in ms of any steady clock. Whoever executes the effects empties
+    `sends`, `connection_probes` (addresses) and `changes`.
     """
 
     def __init__(self, local: Member, timing: Timing, now: float, random: Random, cluster: str) -> None:
@@ -37,13 +37,12 @@
         self.connection_probes: list[str] = []
         self.changes: list[MemberChange] = []
         self.counts: Counter[str] = Counter()
-        self.suspend_until = (
-            LONG_AGO  # after a pause of this process nobody is accused or declared dead before
-        )
+        # After a pause of this process, no member is suspected or declared dead before this time.
+        self.suspicion_suspended_until = LONG_AGO
         self.sequence_number = 0
 
     def next_sequence_number(self) -> int:
-        """The number of the next ping, which its answer repeats."""
+        """Return the number of the next ping, which its ack repeats."""
         self.sequence_number = (self.sequence_number + 1) % 2**32
         return self.sequence_number
 
@@ -55,30 +54,36 @@
         word: str = "",
         first: Sequence[MemberUpdate] = (),
     ) -> None:
-        """A message with the updates `first`, and as many of the queue as there is space for."""
-        spent = sum(update_size(update) for update in first)
+        """Send a message with the updates `first` and as many queued updates as fit."""
+        used_bytes = sum(update_size(update) for update in first)
         queued: list[MemberUpdate] = []
         if kind != MessageKind.PAGE:
             members = len(self.table.live_others()) + 1
-            queued = self.queue.take(self.update_budget - spent, members, update_size)
+            queued = self.queue.take(self.update_budget - used_bytes, members, update_size)
         self.sends.append((address, Message(kind, self.table.local, number, word, (*first, *queued))))
 
     def ping(self, record: MemberRecord, number: int) -> None:
         """Ping a member directly."""
         member = record.member
-        self.send(member.address, MessageKind.PING, number, member.name, self.claims_against(record))
+        self.send(member.address, MessageKind.PING, number, member.name, self.claims_to_refute(record))
 
-    def claims_against(self, record: MemberRecord) -> list[MemberUpdate]:
-        """A claim against a member goes to it first, so that it can refute it at once (Lifeguard)."""
+    def claims_to_refute(self, record: MemberRecord) -> list[MemberUpdate]:
+        """Return the claim that a member is not alive, to be sent to that member.
+
+        The member can then refute the claim at once (Lifeguard).
+        """
         if record.member.state is MemberState.ALIVE or not self.timing.careful:
             return []
         return [self.update_of(record)]
 
-    def update_of(self, record: MemberRecord, accuser: str = "") -> MemberUpdate:
-        """What this member claims of another; a suspicion names `accuser`, or the first that is known."""
+    def update_of(self, record: MemberRecord, source: str = "") -> MemberUpdate:
+        """Return the update that states what is recorded about a member.
+
+        A suspicion names `source`, or its first recorded source.
+        """
         state = record.member.state
         if state is MemberState.SUSPECT:
-            accuser = accuser or next(iter(record.accusers), self.table.local.name)
-            return MemberUpdate(record.member, suspected_by=accuser)
-        age = max(1.0, self.now - record.since) if state not in LIVE_STATES else 0.0
+            source = source or next(iter(record.suspicion_sources), self.table.local.name)
+            return MemberUpdate(record.member, suspected_by=source)
+        age = max(1.0, self.now - record.state_since) if state not in LIVE_STATES else 0.0
         return MemberUpdate(record.member, ended_ms_ago=age)
--- a/granitedock/membership/settings.py
+++ b/granitedock/membership/settings.py
@@ -15,35 +15,35 @@
 from granitedock.toml_file import parse as parse_toml
 
 
-def address(text: str) -> str:
+def validate_address(text: str) -> str:
     """Check an address. Raises ValueError, as pydantic expects."""
     if not is_address(text):
-        why = f"not an address as 10.0.0.4:7946: {text!r}"
-        raise ValueError(why)
+        reason = f"not an address as 10.0.0.4:7946: {text!r}"
+        raise ValueError(reason)
     return text
 
 
-Address = Annotated[str, AfterValidator(address)]
+Address = Annotated[str, AfterValidator(validate_address)]
 Ms = Annotated[float, Field(ge=10, le=3_600_000)]
-DEFAULT = Timing()
+DEFAULT_TIMING = Timing()
 
 
 class TimingTable(StrictModel):
     """The table `[timing]`: times in ms, as `timing.Timing` names them; those left out stand as there."""
 
-    period_ms: Ms = DEFAULT.period_ms
-    timeout_ms: Ms = DEFAULT.timeout_ms
-    suspect_ms: Ms = DEFAULT.suspect_ms
-    suspect_most_ms: Ms = DEFAULT.suspect_most_ms
-    gossip_ms: Ms = DEFAULT.gossip_ms
-    sync_ms: Ms = DEFAULT.sync_ms
-    revive_ms: Ms = DEFAULT.revive_ms
-    seeds_ms: Ms = DEFAULT.seeds_ms
-    seeds_most_ms: Ms = DEFAULT.seeds_most_ms
-    forget_ms: Ms = DEFAULT.forget_ms
-    gap_ms: Ms = DEFAULT.gap_ms
-    settle_ms: Ms = DEFAULT.settle_ms
-    lease_ms: Ms = DEFAULT.lease_ms
+    period_ms: Ms = DEFAULT_TIMING.period_ms
+    timeout_ms: Ms = DEFAULT_TIMING.timeout_ms
+    suspect_ms: Ms = DEFAULT_TIMING.suspect_ms
+    suspect_most_ms: Ms = DEFAULT_TIMING.suspect_most_ms
+    gossip_ms: Ms = DEFAULT_TIMING.gossip_ms
+    sync_ms: Ms = DEFAULT_TIMING.sync_ms
+    revive_ms: Ms = DEFAULT_TIMING.revive_ms
+    seeds_ms: Ms = DEFAULT_TIMING.seeds_ms
+    seeds_most_ms: Ms = DEFAULT_TIMING.seeds_most_ms
+    forget_ms: Ms = DEFAULT_TIMING.forget_ms
+    gap_ms: Ms = DEFAULT_TIMING.gap_ms
+    settle_ms: Ms = DEFAULT_TIMING.settle_ms
+    lease_ms: Ms = DEFAULT_TIMING.lease_ms
 
 
 class SharedTable(StrictModel):
@@ -80,22 +80,24 @@
         return Timing(**self.timing.model_dump())
 
 
-def cross_checked(file: MembershipFile) -> FieldErrors:
+def cross_field_errors(file: MembershipFile) -> FieldErrors:
     """What each field allows alone but not with the others: (path of keys, what is wrong) for each fault."""
     timing = file.timing
-    found: FieldErrors = []
+    errors: FieldErrors = []
 
-    def require_order(less: str, more: str) -> None:
-        if getattr(timing, less) > getattr(timing, more):
-            found.append((("timing", less), f"must not be more than {more} ({getattr(timing, more):g})"))
+    def require_order(lower_key: str, upper_key: str) -> None:
+        if getattr(timing, lower_key) > getattr(timing, upper_key):
+            errors.append(
+                (("timing", lower_key), f"must not be more than {upper_key} ({getattr(timing, upper_key):g})")
+            )
 
     require_order("timeout_ms", "period_ms")
     require_order("suspect_ms", "suspect_most_ms")
     require_order("suspect_most_ms", "forget_ms")
     require_order("gap_ms", "suspect_ms")
     if file.listen.startswith("0.0.0.0:") and file.advertise is None:
-        found.append((("advertise",), "must be named where listen is every address"))
-    return found
+        errors.append((("advertise",), "must be named where listen is every address"))
+    return errors
 
 
 def load(path: str | Path) -> MembershipFile:
@@ -105,7 +107,7 @@
 
 def parse(text: str, name: str = "<fleet>") -> MembershipFile:
     """Check the text of such a file; `name` stands in errors. Raises toml_file.TomlFileError."""
-    return parse_toml(text, name, MembershipFile, cross_checked)
+    return parse_toml(text, name, MembershipFile, cross_field_errors)
 
 
 def membership_permitted(settings: dict[str, Any]) -> bool:
--- a/granitedock/membership/status.py
+++ b/granitedock/membership/status.py
@@ -17,7 +17,7 @@
             **identity(record.member),
             "state": record.member.state.name.lower(),
             **incarnation(record.member),
-            "since_ms": round(now - record.since),
+            "since_ms": round(now - record.state_since),
             "share_taken_over": local_member.slots.is_vacant(now, record.member.slot),
         }
         for _, record in sorted(records.items())
--- a/granitedock/membership/suspicion.py
+++ b/granitedock/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicion: who is suspected by whom, for how long, and when a suspect is declared dead."""
+"""Suspicion: the sources of each suspicion, its timeout, and the declaration of a suspect as dead."""
 
 from __future__ import annotations
 
@@ -11,53 +11,56 @@
 
 
 class Suspicion:
-    """Suspects are declared dead after a timeout that shrinks with the number of accusers (Lifeguard)."""
+    """Declares suspects dead after a timeout that shrinks with the number of sources (Lifeguard)."""
 
     def __init__(self, state: ProtocolState, updater: MemberUpdater) -> None:
         self.state = state
         self.updater = updater
 
-    def accuse(self, record: MemberRecord, accuser: str) -> None:
-        """A live member is suspected by `accuser`, this one or another."""
+    def suspect(self, record: MemberRecord, source: str) -> None:
+        """Record that `source`, the local or another member, suspects a live member."""
         state = self.state
         if record.member.state is MemberState.ALIVE:
-            self.begin(record, accuser)
+            self.begin(record, source)
             self.updater.apply(record, record.member.with_state(MemberState.SUSPECT))
-            state.queue.add(state.update_of(record, accuser))
-        elif accuser not in record.accusers and len(record.accusers) <= state.timing.confirmations:
-            record.accusers[accuser] = None
-            state.queue.add(state.update_of(record, accuser))
+            state.queue.add(state.update_of(record, source))
+        elif (
+            source not in record.suspicion_sources
+            and len(record.suspicion_sources) <= state.timing.confirmations
+        ):
+            record.suspicion_sources[source] = None
+            state.queue.add(state.update_of(record, source))
 
-    def begin(self, record: MemberRecord, accuser: str) -> None:
-        """The first accusation of this incarnation."""
-        record.accusers = {accuser: None}
+    def begin(self, record: MemberRecord, source: str) -> None:
+        """Start the suspicion of an incarnation, with its first source."""
+        record.suspicion_sources = {source: None}
         record.suspected_at = self.state.now
 
     def timeout_ms(self, record: MemberRecord) -> float:
-        """How long this suspicion lasts: the fewer accusers, the longer (Lifeguard).
+        """Return the suspicion timeout, which is longer the fewer sources a suspicion has (Lifeguard).
 
-        A single accuser may itself be the one that is unwell.
+        A single source may itself be the slow member.
         """
         timing = self.state.timing
-        most = min(timing.confirmations, len(self.state.table.live_others()) - 1)
-        if most <= 0 or not timing.careful:
+        max_confirmations = min(timing.confirmations, len(self.state.table.live_others()) - 1)
+        if max_confirmations <= 0 or not timing.careful:
             return timing.suspect_ms
-        shared = min(1.0, math.log(len(record.accusers)) / math.log(most + 1))
-        return timing.suspect_most_ms - (timing.suspect_most_ms - timing.suspect_ms) * shared
+        confirmed_share = min(1.0, math.log(len(record.suspicion_sources)) / math.log(max_confirmations + 1))
+        return timing.suspect_most_ms - (timing.suspect_most_ms - timing.suspect_ms) * confirmed_share
 
     def deadline(self, record: MemberRecord) -> float:
-        """When the suspect is declared dead."""
-        return max(self.state.suspend_until, record.suspected_at + self.timeout_ms(record))
+        """Return the time at which the suspect is declared dead."""
+        return max(self.state.suspicion_suspended_until, record.suspected_at + self.timeout_ms(record))
 
     def check(self, name: str) -> None:
-        """Declare a suspect dead if its timeout is over."""
+        """Declare a suspect dead if its suspicion timeout has expired."""
         state = self.state
         record = state.table.records[name]
         if state.now < self.deadline(record):
             return
-        if record.heard_at > record.suspected_at:
-            # Guards against declaring a member dead that sends to us while its refutation is on its way.
-            # Hurts: its end is known a timeout later.
+        if record.last_message_at > record.suspected_at:
+            # Prevents the declaration of a member as dead whose messages still arrive here while its
+            # refutation is in transit; the cost is that a real failure is detected one timeout later.
             record.suspected_at = state.now
             state.ping(record, state.next_sequence_number())
             return
--- a/granitedock/membership/timing.py
+++ b/granitedock/membership/timing.py
@@ -1,4 +1,4 @@
-"""Parameters of the protocol: times in ms, counts, and whether Lifeguard's extensions act."""
+"""The parameters of the protocol: times in ms, counts, and whether Lifeguard's extensions are enabled."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 class Timing:
     """The fields keep the names of the operators' TOML keys and of the output of `granitedock check`."""
 
-    period_ms: float = 400.0  # the probe interval: one member is probed in each
-    timeout_ms: float = 150.0  # after which a probe goes on through indirect probes
-    helpers: int = 3  # members asked to probe indirectly
-    suspect_ms: float = 2000.0  # the shortest suspicion timeout, with `confirmations` further accusers
-    suspect_most_ms: float = 4500.0  # the longest, with a single accuser
+    period_ms: float = 400.0  # The probe interval: one member is probed in each.
+    timeout_ms: float = 150.0  # The direct probe's timeout, after which indirect probes are sent.
+    helpers: int = 3  # Members asked to probe indirectly.
+    suspect_ms: float = 2000.0  # The minimum suspicion timeout, with `confirmations` further sources.
+    suspect_most_ms: float = 4500.0  # The maximum suspicion timeout, with a single source.
     confirmations: int = 3
-    gossip_ms: float = 200.0  # the gossip interval, while there are broadcasts
-    fanout: int = 3  # members that gossip goes to in each interval
-    sync_ms: float = 1000.0  # the mean interval at which a page of the member table goes to one other
-    revive_ms: float = 2000.0  # the interval at which one member that is not live is probed again
-    seeds_ms: float = 500.0  # the first wait for a seed that does not answer; each doubles it, up to
-    seeds_most_ms: float = 30000.0
-    forget_ms: float = 60000.0  # members that are not live are removed after this
-    gap_ms: float = 400.0  # a timer later than this means that this process itself was paused
-    knock_ms: float = 100.0  # between two connection probes; half of it is waited for a refusal
-    settle_ms: float = 2000.0  # how long an end must have stood before its share is taken over
-    lease_ms: float = 2000.0  # and the greatest age of the refusal that proves it
-    careful: bool = True  # Lifeguard's extensions: awareness, shared suspicions, suspects told first
+    gossip_ms: float = 200.0  # The gossip interval while updates are queued.
+    fanout: int = 3  # Members to which gossip is sent in each interval.
+    sync_ms: float = 1000.0  # The mean interval between pages of the member table, each to one member.
+    revive_ms: float = 2000.0  # The interval at which one member that is not live is probed again.
+    seeds_ms: float = 500.0  # The initial interval of attempts at seeds; each attempt doubles it.
+    seeds_most_ms: float = 30000.0  # The maximum interval of attempts at seeds.
+    forget_ms: float = 60000.0  # Members that are not live are removed after this time.
+    gap_ms: float = 400.0  # A timer that fires later than this shows that this process was paused.
+    knock_ms: float = 100.0  # Between two connection probes; a refusal is awaited for half of it.
+    settle_ms: float = 2000.0  # A share is taken over once the end of its gateway has lasted this long.
+    lease_ms: float = 2000.0  # The maximum age of the refusal that proves the end.
+    careful: bool = True  # Lifeguard's extensions: awareness, shared suspicions, suspects notified first.
--- a/granitedock/membership/udp_transport.py
+++ b/granitedock/membership/udp_transport.py
@@ -1,6 +1,6 @@
 """The I/O of membership: one datagram socket, connection probes, timers, log and counters.
 
-Owns the socket and the only clock that the protocol sees. It decides nothing about what an observation means.
+This module owns the socket and the only clock that the protocol uses. It does not interpret observations.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from granitedock.membership.messages import Message, PayloadType
 from granitedock.membership.settings import MembershipFile, settings_checksum
 
-READS_AT_ONCE = 16  # datagrams read in one turn of the loop, so that requests are served between
-MALFORMED_LINES = 1  # log lines a second about malformed datagrams
+MAX_READS_PER_TURN = 16  # Datagrams read per turn of the event loop, so that requests are served in between.
+MALFORMED_LINES_PER_S = 1  # Log lines about malformed datagrams.
 
 
 class Log(Protocol):
@@ -35,12 +35,13 @@
 
 
 class UdpTransport(DatagramProtocol):
-    """One gateway's membership on a UDP socket, and the way for the payloads of other services.
+    """Runs one gateway's membership on a UDP socket, and carries the payloads of other services.
 
-    `settings` are the platform's, `started_at` is when the process began (Unix ms), `reactor` is Twisted's.
+    `settings` are the platform's, `started_at` is the start time of the process (Unix ms), and `reactor` is
+    Twisted's.
     """
 
-    def __init__(  # noqa: PLR0913 - what a gateway process has, each once
+    def __init__(  # noqa: PLR0913 - each argument is one object of the gateway process
         self,
         file: MembershipFile,
         name: str,
@@ -53,19 +54,19 @@
         self.reactor = reactor
         self.log = log
         self.local_member = self.make_local_member(name, settings, started_at)
-        self.live_names: list[str] = [name]  # sorted, the local one among them
+        self.live_names: list[str] = [name]  # Sorted, with the local one.
         self.payload_types: dict[int, PayloadType] = {}
         self.payload_handlers: dict[int, Callable[[Message], None]] = {}
-        own_host = file.listen.rpartition(":")[0]
+        local_host = file.listen.rpartition(":")[0]
         wait_s = self.local_member.timing.knock_ms / 2000.0
-        self.prober = ConnectionProber(reactor, own_host, wait_s, log.counts, self.connection_refused)
-        self.port: Any = None  # Twisted's, while the socket is open
-        self.timer: Any = None  # the reactor's call of `tick`
-        self.malformed = 0  # since the last line about them
+        self.prober = ConnectionProber(reactor, local_host, wait_s, log.counts, self.connection_refused)
+        self.port: Any = None  # Twisted's port, while the socket is open.
+        self.timer: Any = None  # The reactor's scheduled call of `tick`.
+        self.unlogged_malformed = 0  # Malformed datagrams since the last log line about them.
         self.malformed_logged_at = 0.0
 
     def make_local_member(self, name: str, settings: dict[str, Any], started_at: int) -> LocalMember:
-        """The protocol's state, before any datagram."""
+        """Return the initial state of the protocol."""
         file = self.file
         local = Member(
             name,
@@ -82,39 +83,39 @@
         return LocalMember(local, timing, tuple(file.seeds), gateways, self.now(), random, file.cluster)
 
     def now(self) -> float:
-        """The protocol's clock, in ms."""
+        """Return the time of the protocol's clock, in ms."""
         return self.reactor.seconds() * 1000.0
 
     # Payloads.
 
     def register_payload(self, payload_type: PayloadType) -> None:
-        """Let messages of this type through. Raises PayloadKindError."""
+        """Accept messages of this payload type; raises PayloadKindError if its kind is in use."""
         if payload_type.kind in PROTOCOL_KINDS or payload_type.kind in self.payload_types:
-            why = f"kind {payload_type.kind} is not free"
-            raise PayloadKindError(why)
+            reason = f"payload kind {payload_type.kind} is already in use"
+            raise PayloadKindError(reason)
         self.payload_types[payload_type.kind] = payload_type
 
     def handle_payload(self, payload_type: PayloadType, handler: Callable[[Message], None]) -> None:
-        """Call `handler` with each message of a registered type, after the protocol has taken it in."""
+        """Call `handler` with each message of a registered type, after the protocol has handled it."""
         self.payload_handlers[payload_type.kind] = handler
 
-    # The life of the socket.
+    # Start and shutdown.
 
     def start(self) -> None:
-        """Open the socket and begin to probe. Raises Twisted's CannotListenError."""
+        """Open the socket and start probing; raises Twisted's CannotListenError."""
         host, _, port = self.file.listen.rpartition(":")
         self.port = self.reactor.listenUDP(int(port), self, interface=host, maxPacketSize=MAX_BYTES + 1)
-        self.port.maxThroughput = READS_AT_ONCE * MAX_BYTES
+        self.port.maxThroughput = MAX_READS_PER_TURN * MAX_BYTES
         advertised = self.local_member.membership.local.address
         self.log.event("membership listening", address=self.file.listen, advertised=advertised)
         self.tick()
 
     def is_open(self) -> bool:
-        """Whether the socket is open."""
+        """Return whether the socket is open."""
         return self.port is not None
 
     def leave(self) -> None:
-        """The process ends: announce it and close the socket."""
+        """Announce the shutdown of the process and close the socket."""
         if self.port is not None:
             self.local_member.leave(self.now())
             self.carry_out_effects()
@@ -123,19 +124,22 @@
             self.port = None
 
     def tick(self) -> None:
-        """The protocol's timer."""
+        """Run the protocol's expired timers."""
         self.local_member.tick(self.now())
         self.carry_out_effects()
 
     def cancel_timer(self) -> None:
-        """Cancel the call of `tick`, if there is one."""
+        """Cancel the scheduled call of `tick`, if there is one."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
 
     # Datagrams.
 
     def datagramReceived(self, data: bytes, addr: Any) -> None:
-        """A datagram, or another's connection probe, for which it is enough that it was not refused."""
+        """Handle a datagram; an empty one is a connection probe of another member.
+
+        A connection probe needs no answer: that the kernel accepts it is enough.
+        """
         if not data:
             self.log.counts["fleet_knocked"] += 1
             return
@@ -151,17 +155,23 @@
             handler(message)
         self.carry_out_effects()
 
-    def count_malformed(self, why: str, source: str) -> None:
-        """Guards the log against whoever floods the port. Hurts: most of those lines are only counted."""
+    def count_malformed(self, reason: str, source: str) -> None:
+        """Count a malformed datagram, and log at most `MALFORMED_LINES_PER_S` lines a second.
+
+        Prevents a flood of the port from flooding the log; the cost is that most malformed datagrams are only
+        counted.
+        """
         self.log.counts["fleet_strange"] += 1
-        self.malformed += 1
-        if self.now() - self.malformed_logged_at >= 1000.0 / MALFORMED_LINES:
-            self.log.event("malformed datagram", why=why, source=source, since_last=self.malformed)
+        self.unlogged_malformed += 1
+        if self.now() - self.malformed_logged_at >= 1000.0 / MALFORMED_LINES_PER_S:
+            self.log.event(
+                "malformed datagram", why=reason, source=source, since_last=self.unlogged_malformed
+            )
             self.malformed_logged_at = self.now()
-            self.malformed = 0
+            self.unlogged_malformed = 0
 
     def send(self, address: str, message: Message) -> None:
-        """One datagram; an error is as good as a loss on the way."""
+        """Send one datagram; an error counts as a datagram lost in the network."""
         host, _, port = address.rpartition(":")
         self.log.counts["fleet_sent"] += 1
         try:
@@ -170,7 +180,7 @@
             self.log.counts["fleet_unsent"] += 1
 
     def connection_refused(self, address: str) -> None:
-        """A connection probe was refused."""
+        """Handle the refusal of a connection probe."""
         if self.port is not None:
             self.local_member.connection_refused(self.now(), address)
             self.carry_out_effects()
@@ -178,7 +188,7 @@
     # Effects.
 
     def carry_out_effects(self) -> None:
-        """Send, log and probe what the protocol asks for, and set its timer."""
+        """Send, log and probe as the protocol requires, and schedule the next `tick`."""
         now = self.now()
         effects = self.local_member.take_effects(now)
         self.count_refutations()
@@ -192,24 +202,24 @@
             self.prober.probe(address)
         if self.port is not None:
             self.cancel_timer()
-            wait_ms = max(0.0, self.local_member.due(now) - now)
+            wait_ms = max(0.0, self.local_member.next_tick_at(now) - now)
             self.timer = self.reactor.callLater(wait_ms / 1000.0, self.tick)
 
     def count_refutations(self) -> None:
-        """Show the protocol's counter among the gateway's, once there is something to show."""
+        """Copy the refutation count to the gateway's counters once it is not zero."""
         refutations = self.local_member.membership.counts["refutations"]
         if refutations:
             self.log.counts["fleet_refutations"] = refutations
 
     def members_changed(self) -> None:
-        """Bring the names of live members and the gateway's counters up to date."""
+        """Update the names of live members and the gateway's counters."""
         membership = self.local_member.membership
         self.live_names = sorted([membership.local.name, *membership.live_others()])
         for name in ("suspicions", "false_suspicions", "false_deaths"):
             self.log.counts["fleet_" + name] = membership.counts[name]
 
     def log_change(self, change: MemberChange) -> None:
-        """One line about a member's change."""
+        """Log a member's change."""
         member = change.member
         self.log.event(
             "member changed",
@@ -223,5 +233,5 @@
     # Policy's MembershipPort.
 
     def active_members(self, subset_start: int, subset_size: int) -> int:
-        """By how many gateways of a customer's subset its quota share is divided."""
+        """Return the number of gateways by which the quota share of a customer's subset is divided."""
         return self.local_member.active_members(self.now(), subset_start, subset_size)
--- a/granitedock/outlier_detection/payload.py
+++ b/granitedock/outlier_detection/payload.py
@@ -8,7 +8,7 @@
 from dataclasses import astuple
 from typing import Any
 
-from granitedock.membership.codec import MAX_NAME, MAX_TIME, bounded_int
+from granitedock.membership.codec import MAX_NAME_LENGTH, MAX_TIME, bounded_int
 from granitedock.membership.errors import Malformation, MalformedMessageError
 from granitedock.membership.messages import PayloadType
 from granitedock.outlier_detection.observations import HostObservation
@@ -33,7 +33,7 @@
     name, started_at, number, host, host_started_at, *figures, draining = row
     failures, failed_ms, answered_ms, *later_figures = figures
     for text in (name, host):
-        if type(text) is not str or not 0 < len(text) <= MAX_NAME:
+        if type(text) is not str or not 0 < len(text) <= MAX_NAME_LENGTH:
             raise MalformedMessageError(Malformation.NO_NAME)
     if type(draining) is not bool:
         raise MalformedMessageError(NOT_A_ROW)
--- a/granitedock/quota_sharing/payload.py
+++ b/granitedock/quota_sharing/payload.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from granitedock.membership.codec import MAX_NAME, MAX_TIME, bounded_int
+from granitedock.membership.codec import MAX_NAME_LENGTH, MAX_TIME, bounded_int
 from granitedock.membership.errors import MalformedMessageError
 from granitedock.membership.messages import PayloadType
 from granitedock.quota_sharing.uncounted_usage import UsageRow
@@ -36,7 +36,7 @@
         type(row) is not list
         or len(row) != ITEMS
         or type(row[0]) is not str
-        or not 0 < len(row[0]) <= MAX_NAME
+        or not 0 < len(row[0]) <= MAX_NAME_LENGTH
     ):
         raise MalformedMessageError(NOT_A_ROW)
     name, started_at, customer, window, window_ms, admitted, reconciled = row
--- a/granitedock/quota_sharing/sharing.py
+++ b/granitedock/quota_sharing/sharing.py
@@ -118,7 +118,7 @@
 
     def run_maintenance(self, now: float, steady_now: float) -> DueWork:
         """The periodic work: refreshes who is silent, drops old rows, and gives what is to be sent now."""
-        silent_slots = self.membership.slots.silent(steady_now)
+        silent_slots = self.membership.slots.silent_slots(steady_now)
         self.silent_members.refresh(silent_slots, now, steady_now)
         self.usage.remove_expired(now)
         broadcasts = self._broadcasts_due(now)
