--- a/granitedock/membership/__init__.py
+++ b/granitedock/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Gateway membership: SWIM with Lifeguard (docs/membership-design.md). Only the transport does I/O."""
+"""Membership: SWIM with Lifeguard (docs/membership-design.md). Only the transport and the prober do I/O."""
--- a/granitedock/membership/awareness.py
+++ b/granitedock/membership/awareness.py
@@ -1,12 +1,12 @@
-"""Lifeguard's local health awareness: how far this member distrusts its own responsiveness."""
+"""Lifeguard's local health awareness: a measure of how slow the local member itself is."""
 
 from __future__ import annotations
 
-MAX_SCORE = 8  # probe intervals and timeouts stretch up to this many times more
+MAX_SCORE = 8  # Probe intervals and timeouts grow by up to this many times their length.
 
 
 class Awareness:
-    """A score from 0 (healthy) to `MAX_SCORE`, which multiplies probe intervals and timeouts.
+    """A score from 0 (healthy) to `MAX_SCORE`, which stretches probe intervals and timeouts.
 
     With `enabled` false the score stays 0.
     """
@@ -18,15 +18,15 @@
         self.score = 0
 
     def degrade(self) -> None:
-        """Something that speaks against this member's own responsiveness."""
+        """Raise the score after a sign that the local member itself is slow."""
         if self.enabled:
             self.score = min(MAX_SCORE, self.score + 1)
 
     def recover(self) -> None:
-        """An answer came in time."""
+        """Lower the score after an ack that arrived in time."""
         if self.enabled:
             self.score = max(0, self.score - 1)
 
     def scaled(self, ms: float) -> float:
-        """A time (ms) stretched by the score."""
+        """Return a time (ms) multiplied by the score plus 1."""
         return ms * (self.score + 1)
--- a/granitedock/membership/connection_probe.py
+++ b/granitedock/membership/connection_probe.py
@@ -1,4 +1,4 @@
-"""Connection probes: two refusals in a row prove that no process listens at a member's address."""
+"""Connection probes: two consecutive refusals prove that no process listens at a member's address."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class ConnectionProbes:
-    """Counts refusals. The first is followed by a second probe; two, some time apart, are proof."""
+    """Counts refusals: the first causes a second probe, and two with a time between them are proof."""
 
     def __init__(self, state: ProtocolState, updater: MemberUpdater) -> None:
         self.state = state
         self.updater = updater
-        self.retry_addresses: list[str] = []  # addresses to probe a second time
+        self.retry_addresses: list[str] = []  # Addresses to probe a second time.
 
     def reset(self) -> None:
-        """After a pause of this process earlier refusals count for nothing."""
+        """Drop the outstanding second probes after a pause of this process."""
         self.retry_addresses = []
 
     def record_refusal(self, address: str) -> None:
-        """A probe of this address was refused: nobody listens there now.
+        """Record that a probe of this address was refused, as no process listens there now.
 
-        Twice, some time apart and with nothing heard between, proves that the process is gone; once may be a
-        process that is just starting.
+        Two refusals, some time apart and without a message in between, prove that the process has ended. A
+        single refusal is no proof, because the process may just be starting.
         """
         state = self.state
         record = state.table.records.get(state.table.by_address.get(address, ""))
@@ -41,7 +41,7 @@
             state.timers[Timer.CONNECTION_RETRY] = min(state.timers[Timer.CONNECTION_RETRY], due)
 
     def retry(self) -> None:
-        """Probe a second time."""
+        """Send the second probes."""
         self.state.timers[Timer.CONNECTION_RETRY] = NEVER
         self.state.connection_probes += self.retry_addresses
         self.retry_addresses = []
--- a/granitedock/membership/connection_prober.py
+++ b/granitedock/membership/connection_prober.py
@@ -1,4 +1,4 @@
-"""Sending connection probes: whether a kernel refuses a datagram because no process listens there."""
+"""Sending of connection probes, which a kernel refuses if no process listens at the target port."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class ConnectionProber:
-    """Sends probes from `host`; `refused` is called with each address that refuses one.
+    """Sends probes from `host` and calls `on_refused` with each address that refuses one.
 
-    A refusal is looked for `wait_s` after the probe. `counts` are those of the gateway.
+    The result is checked `wait_s` after the probe. `counts` are the gateway's counters.
     """
 
     def __init__(
         self,
-        reactor: Any,  # Twisted's; its interfaces for time and sockets have no common type
+        reactor: Any,  # Twisted's reactor; its interfaces for time and sockets have no common type.
         host: str,
         wait_s: float,
         counts: Counter[str],
@@ -32,14 +32,14 @@
     def probe(self, address: str) -> None:
         """Send one empty datagram from a connected socket.
 
-        So the kernel tells this process if the other machine refuses it, which it does for a port that nobody
-        listens at.
+        For a port at which no process listens, the target's kernel refuses the datagram; on a connected
+        socket the local kernel reports the refusal to this process.
         """
         host, _, port = address.rpartition(":")
         try:
             probe_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         except OSError:
-            return  # no descriptor left: no proof, and nothing lost
+            return  # No file descriptor is free: this gives no proof and does no harm.
         try:
             probe_socket.setblocking(False)
             probe_socket.bind((self.host, 0))
@@ -54,7 +54,7 @@
         self.reactor.callLater(self.wait_s, self.conclude, probe_socket, address)
 
     def conclude(self, probe_socket: socket.socket, address: str) -> None:
-        """Look for a refusal, and close the socket."""
+        """Check for a refusal and close the socket."""
         with probe_socket:
             error = probe_socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error == errno.ECONNREFUSED:
--- a/granitedock/membership/errors.py
+++ b/granitedock/membership/errors.py
@@ -8,7 +8,7 @@
 
 
 class Malformation(StrEnum):
-    """What may be wrong with a datagram; the values are the texts of the errors and of the log."""
+    """The faults of a datagram; the values are the texts of the errors and of the log."""
 
     TOO_LONG = "too long"
     WRONG_VERSION = "not a message of this version"
@@ -26,12 +26,12 @@
 
 
 class MembershipError(GranitedockError):
-    """The base of the errors of this package."""
+    """The base class of this package's errors."""
 
 
 class MalformedMessageError(MembershipError, ValueError):
-    """A datagram that is not a message of this cluster; the text says why."""
+    """A datagram that is not a message of this cluster; the text is the reason."""
 
 
 class PayloadKindError(MembershipError, ValueError):
-    """A payload kind whose number is not free, or that is not registered where it is sent."""
+    """A payload kind that is already in use, or that is sent without being registered."""
--- a/granitedock/membership/local_member.py
+++ b/granitedock/membership/local_member.py
@@ -1,7 +1,7 @@
-"""One gateway as a member, without I/O: the protocol, and the member slots that are counted by it.
+"""One gateway as a member, without I/O: the protocol, and the member slots that follow from its changes.
 
-The UDP transport and the simulator drive this one object in the same way: an input with the time, then
-`take_effects` gives what is to be sent, probed and logged, and `due` says when to call again.
+The UDP transport and the simulator use this object in the same way: they pass it inputs with the time, take
+what is to be sent, probed and logged with `take_effects`, and call `tick` at `next_tick_at`.
 """
 
 from __future__ import annotations
@@ -15,22 +15,26 @@
 from granitedock.membership.messages import Message
 from granitedock.membership.timing import Timing
 
-RENEWALS_PER_LEASE = 4  # proofs of empty slots are renewed so often
+RENEWALS_PER_LEASE = 4  # Renewals of the proof that a slot is vacant.
 
 
 @dataclass(frozen=True, slots=True)
 class Effects:
-    """What the inputs since the last call brought about."""
+    """The effects of the inputs since the previous call."""
 
-    sends: list[tuple[str, Message]]  # with the address
-    connection_probes: list[str]  # addresses
+    sends: list[tuple[str, Message]]  # Each with its address.
+    connection_probes: list[str]  # Addresses.
     changes: list[MemberChange]
 
 
 class LocalMember:
-    """`gateways` is how many the settings count, `seeds` are addresses. Times are ms of one steady clock."""
+    """Joins the protocol and the member slots of one gateway.
 
-    def __init__(  # noqa: PLR0913 - what a member is made of, each once
+    `gateways` is the number of gateways in the settings, and `seeds` are addresses. Times are ms of one
+    steady clock.
+    """
+
+    def __init__(  # noqa: PLR0913 - each argument is one part of the member
         self,
         local: Member,
         timing: Timing,
@@ -43,27 +47,27 @@
         self.timing = timing
         self.membership = Membership(local, timing, seeds, now, random, cluster)
         self.slots = MemberSlots(timing, gateways, local.settings_checksum)
-        self.pause_count = 0  # of this process, as far as the slots know
+        self.pause_count = 0  # Pauses of this process that were reported to the slots.
 
     def tick(self, now: float) -> None:
-        """Whatever is due by now."""
+        """Run every timer that has expired by `now`."""
         self.membership.tick(now)
 
     def receive(self, now: float, message: Message) -> None:
-        """A message of this cluster came."""
+        """Handle a message of this cluster."""
         self.membership.receive(now, message)
 
     def connection_refused(self, now: float, address: str) -> None:
-        """A connection probe of this address was refused."""
+        """Record that a connection probe of this address was refused."""
         self.slots.connection_refused(now, address)
         self.membership.connection_refused(now, address)
 
     def leave(self, now: float) -> None:
-        """Announce the end of this process."""
+        """Announce the shutdown of this process."""
         self.membership.leave(now)
 
     def take_effects(self, now: float) -> Effects:
-        """What the inputs since the last call brought about, for the transport to carry out."""
+        """Return the effects of the inputs since the previous call, for the transport to execute."""
         state = self.membership.state
         if state.counts["slept"] != self.pause_count:
             self.pause_count = state.counts["slept"]
@@ -78,15 +82,16 @@
         return effects
 
     def next_tick_at(self, now: float) -> float:
-        """When `tick` is due, if no input comes before."""
+        """Return the time by which `tick` must be called if there is no input before."""
         due = self.membership.next_tick_at()
         return min(due, now + self.timing.lease_ms / RENEWALS_PER_LEASE) if self.slots.vacancies else due
 
     def active_members(self, now: float, subset_start: int, subset_size: int) -> int:
-        """How many gateways of a customer's subset may be serving (policy's `MembershipPort`).
+        """Return how many gateways of a customer's subset may be serving (policy's `MembershipPort`).
 
-        Guards against a process that was paused and serves before the protocol has seen the gap: where its
-        own timer is overdue, no share is taken over. Hurts: a smaller share for one input's time.
+        No share is taken over while the protocol's own timer is overdue. Prevents a takeover by a process
+        that was paused and serves requests before the protocol has detected the gap; the cost is a smaller
+        share until the next input.
         """
         if now - self.membership.expected_at > self.timing.gap_ms:
             return subset_size
--- a/granitedock/membership/member_slots.py
+++ b/granitedock/membership/member_slots.py
@@ -1,10 +1,11 @@
-"""By how many gateways of a customer's subset its quota share is divided, from membership and own probes.
-
-A share is taken over from a gateway only while this gateway itself proves again and again that no process
-listens at that gateway's address (the kernel there refuses a connection probe), and once that has stood for
-`settle_ms`. Silence proves nothing (the other may be behind a partition, serving its share), and neither does
-gossip: so neither a partition nor what others claim ever raises what this gateway sends. Without any such
-proof the answer is the whole subset, exactly as without membership. No I/O, no clock.
+"""The number of gateways by which a customer's quota share is divided, from membership and local probes.
+
+A gateway's share is taken over only while this gateway itself keeps proving that no process listens at that
+gateway's address (the kernel there refuses a connection probe), and once this has been so for `settle_ms`.
+Missing messages prove nothing, because the other gateway may be behind a partition and serving its share;
+gossip proves nothing either. Therefore neither a partition nor the claims of other members ever raise the
+amount that this gateway sends. Without such a proof the result is the whole subset, exactly as without
+membership. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -15,9 +16,10 @@
 from granitedock.membership.timers import LONG_AGO
 from granitedock.membership.timing import Timing
 
-MAX_PROBES_PER_INPUT = 8  # with more slots vacant than can be proved in a lease, the rest count as held
+# If more slots are vacant than can be proved within a lease, the rest count as occupied.
+MAX_PROBES_PER_INPUT = 8
 RENEWALS_PER_LEASE = 4
-PROOFS_PER_GATEWAY = 4  # addresses kept with their last refusal
+PROOFS_PER_GATEWAY = 4  # Addresses stored with their last refusal.
 
 
 @dataclass(slots=True)
@@ -31,31 +33,31 @@
 
 
 class MemberSlots:
-    """The slots of the gateways, as this one knows them.
+    """The slots of the gateways, as this gateway knows them.
 
-    `gateways` is how many the settings count, `settings_checksum` that of this gateway's own settings.
+    `gateways` is the number of gateways in the settings, and `settings_checksum` is that of this gateway's
+    own settings.
     """
 
     def __init__(self, timing: Timing, gateways: int, settings_checksum: int) -> None:
         self.timing = timing
         self.gateways = max(1, gateways)
         self.settings_checksum = settings_checksum
-        self.holders: dict[int, set[str]] = {}  # the live members of each slot
-        self.other_settings: set[str] = set()  # live members with other settings
+        self.holders: dict[int, set[str]] = {}  # The live members of each slot.
+        self.other_settings: set[str] = set()  # Live members with other settings.
         self.vacancies: dict[int, Vacancy] = {}
-        self.ended_unannounced: dict[
-            int, float
-        ] = {}  # slots once held, whose gateway did not announce its end
-        self.refused_at: dict[str, float] = {}  # when an address last refused a probe
+        # Slots once occupied whose gateway did not announce its end, with the time of the end.
+        self.ended_unannounced: dict[int, float] = {}
+        self.refused_at: dict[str, float] = {}  # When each address last refused a probe.
         self.takeover_suspended_until = LONG_AGO
 
     def member_changed(self, now: float, change: MemberChange) -> None:
-        """A member's record changed."""
+        """Update the slots after a change of a member's record."""
         member = change.member
         live = member.state in LIVE_STATES
         if live and member.settings_checksum != self.settings_checksum:
-            # Guards against a change of the settings that is under way: slots may be counted otherwise there.
-            # Hurts: no share is taken over meanwhile.
+            # Prevents takeovers during a change of the settings, because the other gateway may number the
+            # slots differently; the cost is that no share is taken over in that time.
             self.other_settings.add(member.name)
         else:
             self.other_settings.discard(member.name)
@@ -69,7 +71,7 @@
             self.member_ended(now, member)
 
     def member_ended(self, now: float, member: Member) -> None:
-        """A member of one of the slots is no longer live."""
+        """Update the slot of a member that is no longer live."""
         holders = self.holders.setdefault(member.slot, set())
         was_holder = member.name in holders
         holders.discard(member.name)
@@ -84,13 +86,16 @@
             self.vacancies.setdefault(member.slot, Vacancy(member.address, now, proved_at=proved_at))
 
     def process_paused(self, now: float) -> None:
-        """After a gap in our own clock, old proofs count for nothing until membership has settled anew."""
+        """Suspend takeovers after a gap in the local clock, until membership has settled again.
+
+        Proofs from before the gap are no longer valid.
+        """
         self.takeover_suspended_until = now + self.timing.settle_ms
 
     def connection_refused(self, now: float, address: str) -> None:
-        """A connection probe of this address was refused."""
+        """Record that a connection probe of this address was refused."""
         if len(self.refused_at) > PROOFS_PER_GATEWAY * self.gateways:
-            # Guards the memory, as addresses come and go. Hurts: proofs are looked for anew.
+            # Prevents unbounded growth as addresses change; the cost is that proofs must be obtained again.
             self.refused_at.clear()
         self.refused_at[address] = now
         for vacancy in self.vacancies.values():
@@ -98,7 +103,7 @@
                 vacancy.proved_at = now
 
     def due_probes(self, now: float) -> list[str]:
-        """The addresses whose proof is to be renewed now, those probed longest ago first."""
+        """Return the addresses whose proofs are to be renewed now, the least recently probed first."""
         interval = self.timing.lease_ms / RENEWALS_PER_LEASE
         due = [vacancy for vacancy in self.vacancies.values() if now - vacancy.probed_at >= interval]
         due.sort(key=lambda vacancy: vacancy.probed_at)
@@ -108,7 +113,7 @@
         return [vacancy.address for vacancy in chosen]
 
     def is_vacant(self, now: float, slot: int) -> bool:
-        """Whether the slot's share may be taken over."""
+        """Return whether the slot's share may be taken over."""
         vacancy = self.vacancies.get(slot)
         return (
             vacancy is not None
@@ -117,16 +122,20 @@
         )
 
     def silent_slots(self, now: float) -> dict[int, float]:
-        """Slots whose gateway may be serving where we cannot hear it, and since when it was held dead.
+        """Return the slots whose gateway may be serving unseen, with the time since it counts as ended.
 
-        It did not announce its end, and no fresh probe of ours proves that nobody listens there.
+        The gateway did not announce its end, and no fresh connection probe from here proves that no process
+        listens at its address.
         """
         lease_ms = self.timing.lease_ms
         proved = {slot for slot, vacancy in self.vacancies.items() if now <= vacancy.proved_at + lease_ms}
         return {slot: since for slot, since in self.ended_unannounced.items() if slot not in proved}
 
     def active_members(self, now: float, subset_start: int, subset_size: int) -> int:
-        """How many of the `subset_size` gateways from slot `subset_start` on, wrapping, may be serving."""
+        """Return how many of the `subset_size` gateways from slot `subset_start` on may be serving.
+
+        The subset continues with slot 0 after the last slot.
+        """
         if not self.vacancies or self.other_settings or now < self.takeover_suspended_until:
             return subset_size
         slots = ((subset_start + n) % self.gateways for n in range(min(subset_size, self.gateways)))
--- a/granitedock/membership/messages.py
+++ b/granitedock/membership/messages.py
@@ -14,20 +14,20 @@
 class MessageKind(IntEnum):
     """The protocol's own kinds of message, with their numbers in datagrams."""
 
-    PING = 0  # number, and whom it means
-    ACK = 1  # number, and who is well
-    PING_REQ = 2  # ping that member for me: number, and whom; its address is in the updates
-    NACK = 3  # number: it has not answered me either
-    GOSSIP = 4  # updates only
-    PULL = 5  # asks for the members after this name
-    PAGE = 6  # some members; the word is the name to ask on from, empty if these were the last
+    PING = 0  # `number` is the sequence number, `word` the target's name.
+    ACK = 1  # `number` is the ping's, `word` the name of the member that answered it.
+    PING_REQ = 2  # Asks for an indirect probe of the member `word`, whose address is in the updates.
+    NACK = 3  # `number` is the requester's: the target has not answered the helper either.
+    GOSSIP = 4  # Carries only updates.
+    PULL = 5  # Asks for the members with names after `word`.
+    PAGE = 6  # Some members; `word` is the name to resume after, empty at the end of the table.
 
 
 @dataclass(frozen=True, slots=True)
 class PayloadType:
     """A service's kind of message: its number in datagrams, and the codec of one row.
 
-    `decode_row` raises MalformedMessageError. Rows are the service's own types.
+    Rows are the service's own types. `decode_row` raises MalformedMessageError.
     """
 
     kind: int
@@ -35,15 +35,15 @@
     decode_row: Callable[[Any], Any]
 
 
-PayloadTypes = Mapping[int, PayloadType]  # by kind
+PayloadTypes = Mapping[int, PayloadType]  # By kind.
 NO_PAYLOADS: PayloadTypes = MappingProxyType({})
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One datagram; `number` and `word` mean what their kind says.
+    """One datagram; the kind determines the meaning of `number` and `word`.
 
-    `kind` is a MessageKind, or that of a payload type, whose rows stand in `payload`.
+    `kind` is a MessageKind or the kind of a payload type, whose rows are in `payload`.
     """
 
     kind: int
--- a/granitedock/membership/probe_order.py
+++ b/granitedock/membership/probe_order.py
@@ -1,4 +1,4 @@
-"""Whom to probe next."""
+"""The order in which members are probed."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class ProbeOrder:
-    """Every other probe goes to the next live member by name, the rest through a shuffled ring.
+    """Alternates between the next live member by name and the next in a shuffled ring.
 
-    Members in `urgent` come before both.
+    Members in `urgent` precede both.
     """
 
     def __init__(self, table: MemberTable, random: Random, turn: int) -> None:
@@ -23,18 +23,18 @@
         self.urgent: list[str] = []
 
     def next_target(self, others: list[str]) -> str:
-        """The name of the member to probe; it may be one that is no longer live, or empty."""
+        """Return the name of the member to probe; it may be no longer live, or empty."""
         self.turn += 1
         if self.urgent:
             return self.urgent.pop(0)
         return self.next_by_name() if self.turn % 2 else self.next_in_ring(others)
 
     def next_by_name(self) -> str:
-        """The next in the order of names that is held alive, after the local member.
+        """Return the next member by name that is recorded as alive, starting after the local one.
 
-        Guards against the chance that nobody probes a member for many periods: by random orders alone, one
-        end in sixty was first suspected after 3.2 s among forty members. This way each is probed by the one
-        before it every two periods. Hurts nothing but that half of the probes are not random.
+        Prevents a member from remaining unprobed for many periods by chance: with random orders alone, one
+        end in sixty was first suspected after 3.2 s among forty members. In this order each member is probed
+        by the one before it every two periods. The only cost is that half of the probes are not random.
         """
         names = self.table.all_names()
         after = bisect_right(names, self.table.local.name)
@@ -45,7 +45,10 @@
         return ""
 
     def next_in_ring(self, others: list[str]) -> str:
-        """In an order shuffled anew each round: no two probes of a member are over two rounds apart."""
+        """Return the next member in an order that is shuffled again for each round.
+
+        Two probes of a member are thus at most two rounds apart.
+        """
         while self.ring and self.ring[-1] not in self.table.records:
             self.ring.pop()
         if not self.ring:
@@ -53,5 +56,5 @@
         return self.ring.pop()
 
     def insert(self, name: str) -> None:
-        """A new member gets a random place in this round, so that it is probed as soon as the others."""
+        """Insert a new member at a random position of this round, so that its first probe is not delayed."""
         self.ring.insert(self.random.randrange(len(self.ring) + 1), name)
--- a/granitedock/membership/settings.py
+++ b/granitedock/membership/settings.py
@@ -1,4 +1,4 @@
-"""The operators' file of membership: TOML, checked by pydantic. For operators: docs/membership.md."""
+"""The operators' membership file: TOML, validated by pydantic. For operators: docs/membership.md."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 def validate_address(text: str) -> str:
-    """Check an address. Raises ValueError, as pydantic expects."""
+    """Return the address unchanged; raises ValueError if it is malformed, as pydantic expects."""
     if not is_address(text):
-        reason = f"not an address as 10.0.0.4:7946: {text!r}"
+        reason = f"not an address such as 10.0.0.4:7946: {text!r}"
         raise ValueError(reason)
     return text
 
@@ -29,7 +29,7 @@
 
 
 class TimingTable(StrictModel):
-    """The table `[timing]`: times in ms, as `timing.Timing` names them; those left out stand as there."""
+    """The table `[timing]`: times in ms, with the names and defaults of `timing.Timing`."""
 
     period_ms: Ms = DEFAULT_TIMING.period_ms
     timeout_ms: Ms = DEFAULT_TIMING.timeout_ms
@@ -47,16 +47,16 @@
 
 
 class SharedTable(StrictModel):
-    """The table `[shared]`: units admitted uncounted are sent to the others (docs/quota-sharing.md)."""
+    """The table `[shared]`: units admitted uncounted are sent to other gateways (docs/quota-sharing.md)."""
 
     enabled: bool = False
     reserve_ms: Ms = 600_000.0
     most_rows: Annotated[int, Field(ge=100, le=1_000_000)] = 20_000
-    snapshot: str | None = None  # a file that keeps what was admitted uncounted over a restart
+    snapshot: str | None = None  # A file that preserves units admitted uncounted over a restart.
 
 
 class HostsTable(StrictModel):
-    """The table `[hosts]`: observations of hosts are sent to the others (docs/outlier-detection.md)."""
+    """The table `[hosts]`: observations of hosts are sent to other gateways (docs/outlier-detection.md)."""
 
     enabled: bool = False
     fresh_ms: Ms = 6000.0
@@ -69,19 +69,22 @@
     enabled: bool
     cluster: Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9-]{0,31}$")] = "granitedock"
     listen: Address
-    advertise: Address | None = None  # as the others reach it; without it, as `listen`
+    advertise: Address | None = None  # At which other members reach this one; `listen` if absent.
     seeds: Annotated[list[Address], Field(max_length=16)] = []
     timing: TimingTable = TimingTable()
     shared: SharedTable = SharedTable()
     hosts: HostsTable = HostsTable()
 
     def protocol_timing(self) -> Timing:
-        """The protocol's parameters, with what the file leaves as it is."""
+        """Return the protocol's parameters, with the defaults of those that the file omits."""
         return Timing(**self.timing.model_dump())
 
 
 def cross_field_errors(file: MembershipFile) -> FieldErrors:
-    """What each field allows alone but not with the others: (path of keys, what is wrong) for each fault."""
+    """Return the errors of values that are valid on their own and not in combination.
+
+    Each error is the path of its key and the reason.
+    """
     timing = file.timing
     errors: FieldErrors = []
 
@@ -101,21 +104,21 @@
 
 
 def load(path: str | Path) -> MembershipFile:
-    """Read and check the operators' file. Raises toml_file.TomlFileError."""
+    """Read and validate the operators' file; raises toml_file.TomlFileError."""
     return parse(read_text(path), str(path))
 
 
 def parse(text: str, name: str = "<fleet>") -> MembershipFile:
-    """Check the text of such a file; `name` stands in errors. Raises toml_file.TomlFileError."""
+    """Parse the text of such a file; `name` appears in errors. Raises toml_file.TomlFileError."""
     return parse_toml(text, name, MembershipFile, cross_field_errors)
 
 
 def membership_permitted(settings: dict[str, Any]) -> bool:
-    """Whether the deployment's settings let gateways talk to each other."""
+    """Return whether the deployment's settings permit messages between gateways."""
     return bool((settings.get("Specifics") or {}).get("MailPerS"))
 
 
 def settings_checksum(settings: dict[str, Any]) -> int:
-    """The same for all gateways with the same settings but for their own number."""
+    """Return a checksum that is equal for gateways whose settings differ only in their own number."""
     common = {key: value for key, value in settings.items() if key != "Me"}
     return zlib.crc32(orjson.dumps(common, option=orjson.OPT_SORT_KEYS))
--- a/granitedock/membership/status.py
+++ b/granitedock/membership/status.py
@@ -1,4 +1,4 @@
-"""What operators see of membership, with the keys of the FLEET command's JSON."""
+"""The membership status for operators, with the keys of the FLEET command's JSON."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 def status(local_member: LocalMember, now: float) -> dict[str, Any]:
-    """Show this gateway, the members it knows of, and its counters. `now` is ms of the protocol's clock."""
+    """Return the status of this gateway, the members it knows, and its counters.
+
+    `now` is ms of the protocol's clock.
+    """
     membership = local_member.membership
     records = membership.state.table.records
     members = [
@@ -33,12 +36,12 @@
 
 
 def identity(member: Member) -> dict[str, Any]:
-    """Who it is."""
+    """Return the member's name and address."""
     return {"name": member.name, "address": member.address}
 
 
 def incarnation(member: Member) -> dict[str, Any]:
-    """Which process it is, and where it stands among the gateways."""
+    """Return the member's incarnation, its slot and the checksum of its settings."""
     return {
         "born_ms": member.started_at,
         "bump": member.refutations,
--- a/granitedock/membership/timers.py
+++ b/granitedock/membership/timers.py
@@ -1,23 +1,24 @@
-"""The timers of the protocol, in the order in which those due at one moment fire."""
+"""The timers of the protocol, in the order in which those that expire at the same time fire."""
 
 from __future__ import annotations
 
 from enum import Enum
 
-NEVER = float("inf")  # when a stopped timer is due
-LONG_AGO = float("-inf")  # when something last happened that has not happened yet
+NEVER = float("inf")  # The expiry time of a stopped timer.
+LONG_AGO = float("-inf")  # The last time of an event that has not occurred yet.
 
 
 class Timer(Enum):
-    """What is to be done when it fires."""
+    """A timer of the protocol, named after what it starts."""
 
-    PROBE = "probe"  # probe the next member
-    PROBE_TIMEOUT = "probe timeout"  # the direct probe was not answered in time
-    CONNECTION_RETRY = "connection retry"  # the second connection probes
-    GOSSIP = "gossip"
-    SYNC = "sync"  # send a page of the member table
-    JOIN = "join"  # try seeds and old addresses
-    REVIVE = "revive"  # probe a member that is not live
-    MAINTENANCE = "maintenance"  # remove members that ended long ago
+    PROBE = "probe"  # Probes the next member.
+    PROBE_TIMEOUT = "probe timeout"  # The direct probe was not answered in time.
+    CONNECTION_RETRY = "connection retry"  # Sends the second connection probes.
+    GOSSIP = "gossip"  # Sends queued updates.
+    SYNC = "sync"  # Sends a page of the member table.
+    JOIN = "join"  # Contacts seeds and old addresses.
+    REVIVE = "revive"  # Probes a member that is not live.
+    MAINTENANCE = "maintenance"  # Removes members that ended long ago.
 
-    __hash__ = object.__hash__  # members are single; Enum's own hash is a call in Python for each input
+    # Valid because each member is a singleton. Enum's own hash costs a call in Python for each input.
+    __hash__ = object.__hash__
