--- a/tests/membership/test_membership_dispatch.py
+++ b/tests/membership/test_membership_dispatch.py
@@ -1,4 +1,4 @@
-"""The tables of the protocol cover what there is, and membership knows nothing of what rides on it."""
+"""Dispatch tables cover all timers and kinds, and membership does not depend on the attached services."""
 
 import ast
 from pathlib import Path
@@ -16,7 +16,7 @@
 from granitedock.membership.udp_transport import UdpTransport
 
 MODULES = sorted(Path(granitedock.membership.__file__).parent.glob("*.py"))
-ITSELF = ("granitedock.membership", "granitedock.errors", "granitedock.toml_file")
+ALLOWED_PACKAGES = ("granitedock.membership", "granitedock.errors", "granitedock.toml_file")
 NUMBERS = PayloadType(9, lambda row: [row], lambda row: row[0])
 
 
@@ -29,23 +29,26 @@
     counts = {}
 
 
-def test_each_timer_and_each_kind_but_gossip_has_its_handler():
+def test_each_timer_and_each_kind_except_gossip_has_a_handler():
+    """A timer or kind without a handler would raise an error or be dropped without notice."""
     assert list(TIMER_HANDLERS) == list(Timer)
     assert {*MESSAGE_HANDLERS, MessageKind.GOSSIP} == set(MessageKind)
 
 
 @mark.parametrize("module", MODULES, ids=lambda module: module.stem)
-def test_no_module_imports_a_service_that_rides_on_it(module):
+def test_no_module_imports_an_attached_service(module):
+    """Such an import would make the protocol depend on the services that use it."""
     for node in ast.walk(ast.parse(module.read_text())):
         if isinstance(node, ast.ImportFrom):
             names = [node.module]
         else:
             names = [alias.name for alias in node.names] if isinstance(node, ast.Import) else []
         for name in names:
-            assert not name.startswith("granitedock") or name.startswith(ITSELF), name
+            assert not name.startswith("granitedock") or name.startswith(ALLOWED_PACKAGES), name
 
 
-def test_a_payload_goes_through_only_where_its_kind_is_registered():
+def test_payload_is_accepted_only_if_its_kind_is_registered():
+    """Without a codec, the rows of an unknown kind would reach a handler unchecked."""
     message = Message(NUMBERS.kind, Member("a", "127.0.0.1:9", 5, 0, MemberState.ALIVE), payload=(3, 4))
     data = encode("c", message, {NUMBERS.kind: NUMBERS})
     assert decode("c", data, {NUMBERS.kind: NUMBERS}) == message
@@ -55,9 +58,10 @@
         encode("c", message)
 
 
-def test_a_kind_is_registered_once_and_never_in_the_place_of_the_protocols_own():
+def test_payload_kind_in_use_cannot_be_registered():
+    """A second service, or one with a kind of the protocol, would receive datagrams of another."""
     transport = UdpTransport(MembershipFile(enabled=True, listen="127.0.0.1:9"), "a", {}, 5, Clock(), Log())
     transport.register_payload(NUMBERS)
-    for taken in (NUMBERS, PayloadType(MessageKind.PAGE, list, list)):
+    for used_type in (NUMBERS, PayloadType(MessageKind.PAGE, list, list)):
         with raises(PayloadKindError):
-            transport.register_payload(taken)
+            transport.register_payload(used_type)
--- a/tests/membership/test_membership_examples.py
+++ b/tests/membership/test_membership_examples.py
@@ -1,4 +1,4 @@
-"""Examples of small functions of the membership package: what each gives for what."""
+"""Examples of small functions of the membership package: arguments and results."""
 
 
 def test_membership_broadcast_queue_transmit_limit():
@@ -32,8 +32,8 @@
     from granitedock.membership.member import Member, MemberState
     from granitedock.membership.messages import Message, MessageKind
 
-    me = Member("a", "127.0.0.1:7946", 5, 0, MemberState.ALIVE)
-    assert decode("c", encode("c", Message(MessageKind.PING, me, 3, "b"))).word == "b"
+    sender = Member("a", "127.0.0.1:7946", 5, 0, MemberState.ALIVE)
+    assert decode("c", encode("c", Message(MessageKind.PING, sender, 3, "b"))).word == "b"
 
 
 def test_membership_codec_is_address():
