--- a/granitedock/membership/awareness.py
+++ b/granitedock/membership/awareness.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-MAX_SCORE = 8  # Probe intervals and timeouts grow by up to this many times their length.
+MAX_SCORE = 8  # Probe intervals and timeouts increase by up to this many times their base value.
 
 
 class Awareness:
--- a/granitedock/membership/broadcast_queue.py
+++ b/granitedock/membership/broadcast_queue.py
@@ -45,7 +45,7 @@
     """
 
     def __init__(self) -> None:
-        self.broadcasts: dict[str, list[Broadcast]] = {}  # by member
+        self.broadcasts: dict[str, list[Broadcast]] = {}  # By member name.
         self.sequence = 0
 
     def __len__(self) -> int:
