--- a/granitedock/membership/protocol_state.py
+++ b/granitedock/membership/protocol_state.py
@@ -19,8 +19,8 @@
 class ProtocolState:
     """The member table, broadcast queue, timers, and the effects that the transport has yet to execute.
 
-    `now` is the time of the current input, in ms of any steady clock. `sends`, `connection_probes` (addresses)
-    and `changes` are emptied by the code that executes them.
+    `now` is the time of the current input, in ms of any steady clock. `sends`, `connection_probes`
+    (addresses) and `changes` are emptied by the code that executes them.
     """
 
     def __init__(self, local: Member, timing: Timing, now: float, random: Random, cluster: str) -> None:
