--- a/granitedock/service/host_connections.py
+++ b/granitedock/service/host_connections.py
@@ -1,4 +1,4 @@
-"""Connections to hosts: one attempt at a time on each, and those at rest kept for the next.
+"""Connections to hosts, each with at most one attempt at a time, and the reuse of idle ones.
 
 Owns the state of each connection and the outcome of each attempt. Whether and where an attempt is made is
 decided by the policy; the idle connections are kept by the pool (`host_pool`).
@@ -29,7 +29,7 @@
     from granitedock.service.timers import PolicyTimers
 
 
-# Bound once for the request path: Python 3.11 takes 0.2 us to look a member up on its enum.
+# Bound once for the request path: Python 3.11 takes 0.2 us to look up a member on its enum.
 WAITING = HostConnectionState.WAITING
 WRITING = HostConnectionState.WRITING
 ASSIGNED = HostConnectionEvent.ASSIGNED
@@ -49,11 +49,11 @@
         self.context = context
         self.pool = pool
         self.by_attempt: dict[Attempt, HostConnection] = {}
-        self.open_count = 0  # open and connecting
-        self.reset_at = float("-inf")  # when a reused connection was last reset under an attempt
+        self.open_count = 0  # Connections that are open or connecting.
+        self.last_reuse_reset_at = float("-inf")  # When a reused connection was last reset during an attempt.
 
     def attach(self, requests: InFlightRequests, policy_timers: PolicyTimers, policy: Gateway) -> None:
-        """Set the machines that this one calls."""
+        """Set the state machines that this one calls."""
         self.requests = requests
         self.policy_timers = policy_timers
         self.policy = policy
@@ -61,21 +61,21 @@
     # Attempts.
 
     def send_attempt(self, attempt: Attempt, attempt_deadline: float | None) -> None:
-        """Send an attempt over an idle connection, or a new one.
+        """Send an attempt over an idle connection or a new one.
 
-        Guards against kept connections that are reset at their next use: a non-idempotent request gets one of
-        its own while that has been seen of late. Hurts by a handshake.
+        Prevents losing a non-idempotent request to an idle connection that the host resets at its next use:
+        for `wary_ms` after such a reset these requests use a new connection. The cost is a handshake.
         """
         context = self.context
-        endpoint: Endpoint = attempt.host  # type: ignore[assignment]  # the endpoint list makes all hosts
+        endpoint: Endpoint = attempt.host  # type: ignore[assignment]  # The endpoint list creates all hosts.
         request = attempt.request
         attempt_deadline = min(attempt_deadline or request.deadline, request.deadline)
         context.counts[counter_names.FORWARDS] += 1
-        wary = (
+        avoid_reuse = (
             request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
-            and context.now - self.reset_at < context.limits.wary_ms
+            and context.now - self.last_reuse_reset_at < context.limits.wary_ms
         )
-        connection = None if wary else self.pool.take(endpoint)
+        connection = None if avoid_reuse else self.pool.take(endpoint)
         if connection is None:
             self._connect(endpoint, attempt, attempt_deadline)
             return
@@ -103,7 +103,10 @@
         )
 
     def _free_capacity(self) -> bool:
-        """Guards against running out of descriptors: an idle connection elsewhere makes room."""
+        """Close the pool's longest idle connection, and return whether there was one.
+
+        Prevents running out of file descriptors.
+        """
         connection = self.pool.longest_idle()
         if connection is None:
             return False
@@ -111,7 +114,7 @@
         return True
 
     def cancel(self, attempt: Attempt) -> None:
-        """The policy wants this attempt no more."""
+        """Cancel an attempt that the policy no longer needs."""
         connection = self.by_attempt.get(attempt)
         if connection is not None:
             self.context.counts[counter_names.WITHDRAWN] += 1
@@ -123,50 +126,66 @@
         advance(HOST_CONNECTION, connection, event, self)
 
     def connected(self, connection: HostConnection, link: HostLinkPort) -> None:
-        """The connection is up."""
+        """Handle an established connection."""
         connection.link = link
         advance(HOST_CONNECTION, connection, HostConnectionEvent.CONNECTED, self)
 
     def disconnected(self, connection: HostConnection) -> None:
-        """It has ended, or never came up. This comes once for each connect; its descriptor is free now."""
+        """Handle a connection that has closed or could not be established.
+
+        This input occurs exactly once per connect, when the connection's file descriptor is free again.
+        """
         self.open_count -= 1
         advance(HOST_CONNECTION, connection, HostConnectionEvent.DISCONNECTED, self)
 
     def written(self, connection: HostConnection) -> None:
-        """The request is written whole."""
+        """Handle a request that has been written completely."""
         advance(HOST_CONNECTION, connection, WRITTEN, self)
 
     def stale(self, connection: HostConnection) -> None:
-        """Something has come since the last response, so the request was not written."""
+        """Handle a request that was not written, because bytes have arrived since the last response."""
         advance(HOST_CONNECTION, connection, HostConnectionEvent.STALE, self)
 
     def response(
-        self, connection: HostConnection, clean: bool, outcome: Outcome, data: bytes, units: float, used: int
+        self,
+        connection: HostConnection,
+        clean: bool,
+        outcome: Outcome,
+        data: bytes,
+        true_units: float,
+        quota_used: int,
     ) -> None:
-        """A response came, with the true units and the customer's usage as the host tells them; `clean`:
-        nothing came behind it."""
+        """Handle a response, with the true units and the customer's usage as the host states them.
+
+        `clean` means that no bytes followed the response.
+        """
         attempt = connection.attempt
-        before = connection.state
+        previous_state = connection.state
         if clean:
             event = RESPONSE
         else:
             event = HostConnectionEvent.EXCESS_DATA
             self.context.counts[counter_names.OVERFULL] += 1
         advance(HOST_CONNECTION, connection, event, self)
-        if before is WAITING:
-            self._finish_attempt(attempt, outcome, data, units, used)  # type: ignore[arg-type]  # it has one
-        elif before is WRITING:  # as a host does that has too many connections
+        if previous_state is WAITING:
+            self._finish_attempt(attempt, outcome, data, true_units, quota_used)  # type: ignore[arg-type]  # Set while WAITING.
+        elif previous_state is WRITING:
+            # A host that has too many connections answers before it has received the request.
             overloaded = outcome is Outcome.OVERLOADED
             self._end_attempt(connection, outcome if overloaded else Outcome.CONNECTION_FAILED)
 
-    def malformed(self, connection: HostConnection, why: str) -> None:
-        """What came is no response."""
-        self.context.event_log.event("host malformed", host=connection.endpoint.address, why=why)
+    def malformed(self, connection: HostConnection, reason: str) -> None:
+        """Handle input that is not a valid response."""
+        self.context.event_log.event("host malformed", host=connection.endpoint.address, why=reason)
         advance(HOST_CONNECTION, connection, HostConnectionEvent.MALFORMED, self)
 
     def response_started(self, connection: HostConnection) -> None:
-        """Guards against responses that begin and never end. It counts from the last bytes that came, as long
-        responses on slow lines take their time; the whole is bounded, against those that only trickle."""
+        """Start the timer for a response whose first bytes have arrived.
+
+        Prevents responses that start and never end from holding a connection. The timer restarts with newly
+        received bytes, because long responses take time on slow connections; `answer_most_ms` bounds the
+        whole response, against hosts that only trickle bytes.
+        """
         context = self.context
         if connection.attempt is not None and connection.link is not None:
             context.schedule(
@@ -180,37 +199,47 @@
         advance(HOST_CONNECTION, connection, HostConnectionEvent.RESPONSE_STARTED, self)
 
     def response_stalled(
-        self, connection: HostConnection, attempt: Attempt, received: int, started_at: float
+        self, connection: HostConnection, attempt: Attempt, received_bytes: int, started_at: float
     ) -> None:
-        """A response had begun a while ago, and so many bytes had come by then."""
+        """Check the progress of a partial response.
+
+        `received_bytes` is the connection's byte count when the timer started, and `started_at` the time at
+        which the response started.
+        """
         context = self.context
         link = connection.link
         if connection.attempt is not attempt or link is None or not link.has_partial_message():
             return
-        if link.received_bytes == received or context.now - started_at > context.limits.answer_most_ms:
-            self.malformed(connection, "answer not ended")
+        if link.received_bytes == received_bytes or context.now - started_at > context.limits.answer_most_ms:
+            self.malformed(connection, "response incomplete at its time limit")
         else:
-            due = context.now + context.limits.answer_ms
+            next_check_at = context.now + context.limits.answer_ms
             context.schedule(
-                due, Input.HOST_RESPONSE_STALLED, connection, attempt, link.received_bytes, started_at
+                next_check_at,
+                Input.HOST_RESPONSE_STALLED,
+                connection,
+                attempt,
+                link.received_bytes,
+                started_at,
             )
 
     def deadline_passed(self, connection: HostConnection, attempt: Attempt) -> None:
-        """The time of an attempt is over."""
+        """Handle the deadline of an attempt; a deadline of an earlier attempt is ignored."""
         if connection.attempt is attempt:
             advance(HOST_CONNECTION, connection, HostConnectionEvent.DEADLINE, self)
 
     # Effects of the table.
 
     def write_request(self, connection: HostConnection) -> HostConnectionEvent | None:
-        """Write the attempt's request, unless it is not wanted any more.
+        """Write the attempt's request, or return ABANDONED if it is no longer needed.
 
-        Guards against what changed while the connection came up: the client left or has its reply, the host
-        began to drain, or the time is over in which a keyed request may be repeated.
+        Prevents sending a request that became obsolete during the connect: the client has disconnected or has
+        its reply, the host has started to drain, or the period in which a keyed request may be repeated is
+        over.
         """
         context = self.context
-        attempt: Attempt = connection.attempt  # type: ignore[assignment]  # set before it is assigned
-        request: InFlightRequest = attempt.request  # type: ignore[assignment]  # all requests are made here
+        attempt: Attempt = connection.attempt  # type: ignore[assignment]  # Set before the connection is assigned.
+        request: InFlightRequest = attempt.request  # type: ignore[assignment]  # The service creates all requests.
         if (
             request.answer is not None
             or connection.endpoint.status is not EndpointStatus.READY
@@ -218,68 +247,68 @@
         ):
             return HostConnectionEvent.ABANDONED
         data = request.parsed.encode(connection.attempt_deadline - context.now)
-        context.emit(connection.link.send, data, len(request.attempts) == 1)  # type: ignore[union-attr]  # up
+        context.emit(connection.link.send, data, len(request.attempts) == 1)  # type: ignore[union-attr]  # It is open.
         return None
 
-    def keep(self, connection: HostConnection) -> HostConnectionEvent | None:
-        """The response came: keep the connection for the next attempt."""
+    def return_to_pool(self, connection: HostConnection) -> HostConnectionEvent | None:
+        """Keep a connection whose response is complete for the next attempt."""
         connection.attempt = None
         return None if self.pool.put(connection) else HostConnectionEvent.EXPIRED
 
-    def connect_anew(self, connection: HostConnection) -> None:
-        """Send the attempt over a new connection."""
+    def reconnect(self, connection: HostConnection) -> None:
+        """Send the attempt over a new connection, and close this one."""
         self.context.counts[counter_names.HOST_STALE] += 1
         self.abort(connection)
-        attempt: Attempt = connection.attempt  # type: ignore[assignment]  # it was to be written
-        connection.deadline_timer.cancel()  # type: ignore[union-attr]  # each attempt has one
+        attempt: Attempt = connection.attempt  # type: ignore[assignment]  # Set while WRITING.
+        connection.deadline_timer.cancel()  # type: ignore[union-attr]  # Each attempt has a timer.
         connection.attempt = None
         self._connect(connection.endpoint, attempt, connection.attempt_deadline)
 
     def connection_failed(self, connection: HostConnection) -> None:
-        """The connection ended, or was cancelled, before the request was written whole: it never ran."""
+        """End an attempt that never ran: its connection ended before the request was written completely."""
         self._end_attempt(connection, Outcome.CONNECTION_FAILED)
 
     def abandon(self, connection: HostConnection) -> None:
-        """Its time was over, or we had no connection for it: that says nothing of the host."""
+        """End an attempt that had no time left or no connection, which is no evidence about the host."""
         self._end_attempt(connection, Outcome.ABANDONED)
 
     def abort_abandoned(self, connection: HostConnection) -> None:
-        """Not a byte of the request was written, and none is wanted."""
+        """Abort a connection whose request is no longer needed and of which no byte was written."""
         self.context.counts[counter_names.UNWANTED] += 1
         self.abort(connection)
         self.abandon(connection)
 
     def abort_unwritten(self, connection: HostConnection) -> None:
-        """The request's last byte was not written, and now never will be."""
+        """Abort a connection before the last byte of its request is written: the request never runs."""
         self.abort(connection)
         self._end_attempt(connection, Outcome.CONNECTION_FAILED)
 
     def abort_as_reset(self, connection: HostConnection) -> None:
-        """What came is no response; the request may have run."""
+        """Abort a connection after an invalid response; the request may have run."""
         self.abort(connection)
         self._end_attempt(connection, Outcome.RESET)
 
     def reset(self, connection: HostConnection) -> None:
-        """The host ended the connection; the request may have run."""
+        """End the attempt of a connection that the host closed; the request may have run."""
         if connection.reused:
-            self.reset_at = self.context.now
+            self.last_reuse_reset_at = self.context.now
         self._end_attempt(connection, Outcome.RESET)
 
     def time_out(self, connection: HostConnection) -> None:
-        """The response did not come in time; the request may have run."""
+        """End an attempt without a response at its deadline; the request may have run."""
         self.abort(connection)
         self._end_attempt(connection, Outcome.TIMEOUT)
         self.close_idle(connection.endpoint)
 
     def cancel_waiting(self, connection: HostConnection) -> None:
-        """The policy cancelled an attempt that may have run."""
+        """End an attempt that the policy cancelled after its request was written, so that it may have run."""
         self.abort(connection)
         self._end_attempt(connection, Outcome.CANCELLED)
         self.close_idle(connection.endpoint)
 
     def abort(self, connection: HostConnection) -> None:
-        """Close at once."""
-        self.context.emit(connection.link.abort)  # type: ignore[union-attr]  # only one that is up
+        """Close the connection immediately."""
+        self.context.emit(connection.link.abort)  # type: ignore[union-attr]  # Only open connections are aborted.
 
     def drop_idle(self, connection: HostConnection) -> None:
         """Close an idle connection."""
@@ -287,42 +316,52 @@
         self.remove_idle(connection)
 
     def remove_idle(self, connection: HostConnection) -> None:
-        """An idle connection has ended."""
+        """Remove an idle connection that has closed from the pool."""
         self.pool.remove(connection)
 
     # Outcomes of attempts.
 
     def _end_attempt(self, connection: HostConnection, outcome: Outcome) -> None:
-        """The attempt has an outcome and no response; handed over once this step is done."""
+        """Give the attempt an outcome without a response; the policy receives it after the current step."""
         attempt = connection.attempt
         connection.attempt = None
         self.context.follow_up(self._finish_attempt, attempt, outcome)
 
     def _finish_attempt(
-        self, attempt: Attempt, outcome: Outcome, data: bytes = b"", units: float = 0.0, used: int = 0
+        self,
+        attempt: Attempt,
+        outcome: Outcome,
+        data: bytes = b"",
+        true_units: float = 0.0,
+        quota_used: int = 0,
     ) -> None:
-        """An attempt has its one outcome. A response for a request that is over goes nowhere."""
+        """Record the one outcome of an attempt, and drop a response whose request already has its answer."""
         context = self.context
-        self.by_attempt.pop(attempt).deadline_timer.cancel()  # type: ignore[union-attr]  # each attempt has one
+        self.by_attempt.pop(attempt).deadline_timer.cancel()  # type: ignore[union-attr]  # Each attempt has a timer.
         self.policy_timers.cancel(attempt)
-        request: InFlightRequest = attempt.request  # type: ignore[assignment]  # all requests are made here
+        request: InFlightRequest = attempt.request  # type: ignore[assignment]  # The service creates all requests.
         context.counts[counter_names.FORWARD_PREFIX + outcome.value] += 1
-        over = request.answer is not None
-        if outcome is Outcome.DONE and not over:
+        final = request.answer is not None
+        if outcome is Outcome.DONE and not final:
             self.requests.succeed(request, data)
-            over = True
-        self.policy.attempt_finished(attempt, outcome, context.now - attempt.sent_at, over, units, used)
+            final = True
+        self.policy.attempt_finished(
+            attempt, outcome, context.now - attempt.sent_at, final, true_units, quota_used
+        )
 
     # Idle connections.
 
     def close_idle(self, endpoint: Endpoint) -> None:
-        """Guards against connections that look open and lead nowhere, as after a machine vanished: idle ones
-        at a host that left an attempt unanswered are closed, so that the next attempt there connects and,
-        where that fails, provably never ran. Hurts a slow host by some handshakes."""
+        """Close all idle connections to a host, as after an attempt there that got no answer.
+
+        Prevents the use of half-open connections, as after the loss of a machine: the next attempt to that
+        host connects anew and, where the connect fails, provably never ran. The cost is some handshakes with
+        a host that is only slow.
+        """
         for connection in self.pool.take_all(endpoint):
             advance(HOST_CONNECTION, connection, HostConnectionEvent.EXPIRED, self)
 
     def maintain(self) -> None:
-        """Close what has been idle for too long, before the host does."""
+        """Close connections that have been idle for too long, before the host closes them."""
         for connection in self.pool.expired():
             advance(HOST_CONNECTION, connection, HostConnectionEvent.EXPIRED, self)
--- a/granitedock/service/host_pool.py
+++ b/granitedock/service/host_pool.py
@@ -1,6 +1,6 @@
-"""The pool of idle connections to hosts, kept for the next attempts.
+"""The pool of idle connections to hosts, kept for reuse by later attempts.
 
-Owns the idle connections of each endpoint. Their state is the host connections' (`host_connections`).
+Owns the idle connections of each endpoint. The state of a connection is owned by `host_connections`.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
     from granitedock.service.host_connection import Endpoint, HostConnection
     from granitedock.service.lifecycle import Lifecycle
 
-# Bound once for the request path: Python 3.11 takes 0.2 us to look a member up on its enum.
+# Bound once for the request path: Python 3.11 takes 0.2 us to look up a member on its enum.
 ENDED = LifecycleState.ENDED
 
 
@@ -31,14 +31,15 @@
         self.context = context
 
     def attach(self, endpoints: EndpointList, lifecycle: Lifecycle) -> None:
-        """Set the machines that this one asks."""
+        """Set the state machines that this one reads."""
         self.endpoints = endpoints
         self.lifecycle = lifecycle
 
     def take(self, endpoint: Endpoint) -> HostConnection | None:
-        """The connection that an attempt at this endpoint may use, if there is one.
+        """Remove and return a connection that an attempt at this endpoint may reuse, or None.
 
-        The longest idle goes first: a host that closes on us does so soon after a response.
+        The longest idle connection is taken first: a host that closes a connection does so soon after a
+        response.
         """
         now = self.context.now
         limits = self.context.limits
@@ -49,7 +50,7 @@
         return None
 
     def put(self, connection: HostConnection) -> bool:
-        """Keep a connection that has just become idle; False where it is of no further use."""
+        """Keep a connection that has just become idle, or return False if it cannot be reused."""
         connection.idle_since = self.context.now
         endpoint = connection.endpoint
         if endpoint.status is EndpointStatus.READY and self.lifecycle.state is not ENDED:
@@ -58,24 +59,27 @@
         return False
 
     def remove(self, connection: HostConnection) -> None:
-        """The connection is idle no more, if it was."""
+        """Remove a connection from the idle ones, if it is there."""
         if connection in connection.endpoint.idle:
             connection.endpoint.idle.remove(connection)
 
     def take_all(self, endpoint: Endpoint) -> list[HostConnection]:
-        """All idle connections of an endpoint, which has none then."""
+        """Remove and return all idle connections of an endpoint."""
         idle, endpoint.idle = endpoint.idle, []
         return idle
 
     def longest_idle(self) -> HostConnection | None:
-        """The longest idle connection of the first endpoint that has any."""
+        """Return the longest idle connection of the first endpoint that has any."""
         for endpoint in self.endpoints.by_name.values():
             if endpoint.idle:
                 return endpoint.idle[0]
         return None
 
     def expired(self) -> Iterator[HostConnection]:
-        """Each connection that has been idle for too long. The one who asks closes it, which removes it."""
+        """Yield each connection that has been idle for too long.
+
+        The caller closes each one before it asks for the next, which removes it from the pool.
+        """
         now = self.context.now
         host_idle_ms = self.context.limits.host_idle_ms
         for endpoint in self.endpoints.by_name.values():
