--- a/granitedock/service/counter_connection.py
+++ b/granitedock/service/counter_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the counter: its states, its transition table and its record."""
+"""A connection to the counter: its states, transition table and record."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 
     CONNECTING = "connecting"
     OPEN = "open"
-    RETIRED = "retired"  # another took its place; late totals still count
+    RETIRED = "retired"  # Replaced by another connection; late totals still count.
     CLOSED = "closed"
 
-    __hash__ = object.__hash__  # Enum's own hashes the name, in Python, at each transition
+    __hash__ = object.__hash__  # The hash of Enum is computed in Python from the name, at each transition.
 
 
 class CounterConnectionEvent(Enum):
-    """What happens to a connection to the counter."""
+    """An event of a connection to the counter."""
 
     CONNECTED = "connected"
     DISCONNECTED = "disconnected"
     ADDRESS_CHANGED = "address changed"
-    TIMED_OUT = "timed out"  # calls wait, and no reply has come for too long
+    TIMED_OUT = "timed out"  # Calls wait, and no reply has arrived for too long.
     MALFORMED = "malformed"
-    DRAINED = "drained"  # no call waits any more
-    LINGER_OVER = "linger over"  # retired for too long, or one of too many
+    DRAINED = "drained"  # No call waits.
+    LINGER_OVER = "linger over"  # Retired for too long, or there are too many retired connections.
 
     __hash__ = object.__hash__
 
@@ -45,7 +45,7 @@
 COUNTER_CONNECTION = {
     (_S.CONNECTING, _E.CONNECTED): (_S.OPEN, "flush"),
     (_S.CONNECTING, _E.DISCONNECTED): (_S.CLOSED, "connection_failed"),
-    (_S.CONNECTING, _E.ADDRESS_CHANGED): (_S.CLOSED, "connect_there"),
+    (_S.CONNECTING, _E.ADDRESS_CHANGED): (_S.CLOSED, "reconnect_to_new_address"),
     (_S.OPEN, _E.TIMED_OUT): (_S.RETIRED, "replace"),
     (_S.OPEN, _E.ADDRESS_CHANGED): (_S.RETIRED, "replace"),
     (_S.OPEN, _E.DISCONNECTED): (_S.CLOSED, "reset"),
@@ -58,27 +58,29 @@
 }
 
 IGNORED: Ignored = {
-    "a closed connection has given its calls' outcomes": pairs([_S.CLOSED], set(_E) - {_E.CONNECTED}),
-    "a connection comes up once": pairs([_S.OPEN, _S.RETIRED], [_E.CONNECTED]),
-    "no reply is due before it is up": pairs(
+    "the calls of a closed connection already have their outcomes": pairs(
+        [_S.CLOSED], set(_E) - {_E.CONNECTED}
+    ),
+    "a connection is established once": pairs([_S.OPEN, _S.RETIRED], [_E.CONNECTED]),
+    "no reply is expected before a connection is established": pairs(
         [_S.CONNECTING], [_E.TIMED_OUT, _E.MALFORMED, _E.DRAINED, _E.LINGER_OVER]
     ),
-    "one in use stays, with or without calls": pairs([_S.OPEN], [_E.DRAINED, _E.LINGER_OVER]),
-    "another has its place already": pairs([_S.RETIRED], [_E.TIMED_OUT, _E.ADDRESS_CHANGED]),
+    "an active connection stays open with or without calls": pairs([_S.OPEN], [_E.DRAINED, _E.LINGER_OVER]),
+    "a retired connection is already replaced": pairs([_S.RETIRED], [_E.TIMED_OUT, _E.ADDRESS_CHANGED]),
 }
 
 
 @dataclass(eq=False, slots=True)
 class CounterConnection:
-    """A connection to the counter, and the calls on it that wait for replies; None stands for a PING.
+    """A connection to the counter, with the calls that wait for replies on it.
 
-    Times are Unix ms.
+    None in `waiting` stands for a PING. Times are Unix ms.
     """
 
     number: int
     state: CounterConnectionState = CounterConnectionState.CONNECTING
     link: CounterLinkPort | None = None
     waiting: deque[CounterCall | None] = field(default_factory=deque)
-    last_reply_at: float = 0.0  # or when it came up
-    waiting_since: float = 0.0  # when the first call since it was last drained was made
+    last_reply_at: float = 0.0  # Or when the connection was established.
+    waiting_since: float = 0.0  # When the first call after the connection was last drained was made.
     retired_at: float = 0.0
--- a/granitedock/service/counter_protocol.py
+++ b/granitedock/service/counter_protocol.py
@@ -1,7 +1,7 @@
-"""The protocol towards the counter: calls written one behind another, and their answers in the same order.
+"""The protocol of connections to the counter: pipelined calls, and replies in the order of the calls.
 
-Owns the wire form of a call and of its answer. It never calls again by itself, nor decides what a call that
-got no answer means.
+Owns the wire format of a call and of its reply. It never repeats a call, nor decides what a call without a
+reply means.
 """
 
 from __future__ import annotations
@@ -19,73 +19,73 @@
 
 PING = encode_command(b"PING")
 PONG = "PONG"
-OVERLOADED_WORD = b"BUSY"
-ERROR_WORD = b"ERR"
-TOTAL = re.compile(rb"-?[0-9]{1,15}(\.[0-9]{1,15})?([eE][+-]?[0-9]{1,2})?").fullmatch
-NOT_AN_ANSWER = "no answer to a call"
+OVERLOADED_CODE = b"BUSY"
+ERROR_CODE = b"ERR"
+IS_TOTAL = re.compile(rb"-?[0-9]{1,15}(\.[0-9]{1,15})?([eE][+-]?[0-9]{1,2})?").fullmatch
+INVALID_REPLY = "no answer to a call"
 
 
 def format_amount(units: float) -> bytes:
-    """Units as the counter reads them: six decimals at most, without zeros at their end."""
+    """Format units for the counter, with at most six decimals and without trailing zeros."""
     text = b"%.6f" % units
     text = text.rstrip(b"0").rstrip(b".")
     return b"0" if text in (b"-0", b"") else text
 
 
 def encode_call(name: int, units: float, ttl_ms: float) -> bytes:
-    """The call that adds `units` to the count of this name, which lives `ttl_ms` from then on."""
+    """Encode a call that adds `units` to the count of this name, which expires `ttl_ms` after the call."""
     return encode_command(b"TALLY", b"%d" % name, format_amount(units), b"%d" % max(1, round(ttl_ms)))
 
 
 class CounterProtocol(RespReceiver):
     """One connection to the counter."""
 
-    record: Any = None  # the state machine's record of the connection
+    record: Any = None  # The state machine's `CounterConnection`.
 
     def __init__(self, handle_input: InputHandler, limits: Limits) -> None:
         super().__init__(limits.line, limits.value, limits.whole, limits.items, limits.depth)
         self.handle_input = handle_input
 
     def connectionMade(self) -> None:
-        """The connection is up."""
+        """Report the established connection."""
         self.transport.setTcpNoDelay(True)
         self.handle_input(Input.COUNTER_CONNECTED, self.record, self)
 
     def connectionLost(self, _reason: Failure | None = None) -> None:
-        """The connection ended."""
+        """Report the closed connection."""
         self.handle_input(Input.COUNTER_DISCONNECTED, self.record)
 
     def dataReceived(self, data: bytes) -> None:
-        """Bytes came."""
+        """Parse received bytes, and report a reply that has started and is incomplete."""
         super().dataReceived(data)
         if not self.ignoring_input and self.has_partial_message():
             self.handle_input(Input.COUNTER_REPLY_STARTED, self.record)
 
-    def value_received(self, value: Any, parts: list[bytes]) -> None:  # noqa: ARG002 - the base's signature
-        """An answer came."""
-        word = value.text.split(b" ", 1)[0] if type(value) is ErrorReply else b""
-        if type(value) is bytes and TOTAL(value):
-            self.answer(Outcome.DONE, float(value))
+    def value_received(self, value: Any, parts: list[bytes]) -> None:  # noqa: ARG002 - The signature is the base class's.
+        """Parse a RESP value as the reply to the oldest call."""
+        error_code = value.text.split(b" ", 1)[0] if type(value) is ErrorReply else b""
+        if type(value) is bytes and IS_TOTAL(value):
+            self.report_reply(Outcome.DONE, float(value))
         elif value == PONG:
-            self.answer(Outcome.DONE, None)
-        elif word == OVERLOADED_WORD:
-            self.answer(Outcome.OVERLOADED, 0.0)
-        elif word == ERROR_WORD:
-            self.answer(Outcome.CONNECTION_FAILED, 0.0)  # no such call: nothing was added
+            self.report_reply(Outcome.DONE, None)
+        elif error_code == OVERLOADED_CODE:
+            self.report_reply(Outcome.OVERLOADED, 0.0)
+        elif error_code == ERROR_CODE:
+            self.report_reply(Outcome.CONNECTION_FAILED, 0.0)  # An unknown call: nothing was added.
         else:
-            self.reject_input(NOT_AN_ANSWER)
+            self.reject_input(INVALID_REPLY)
 
-    def answer(self, outcome: Outcome, total: float | None) -> None:
-        """The oldest call has its answer; a PING has no total."""
+    def report_reply(self, outcome: Outcome, total: float | None) -> None:
+        """Report the reply to the oldest call; `total` is None for a PING."""
         self.handle_input(Input.COUNTER_REPLY, self.record, outcome, total)
 
-    def malformed(self, why: str) -> None:
-        """The counter sent what is no answer."""
-        self.handle_input(Input.COUNTER_MALFORMED, self.record, why)
+    def malformed(self, reason: str) -> None:
+        """Report input that is not a valid reply."""
+        self.handle_input(Input.COUNTER_MALFORMED, self.record, reason)
 
     # Effects of the state machine.
 
     def abort(self) -> None:
-        """Reset the connection."""
+        """Reset the connection immediately."""
         self.ignoring_input = True
         self.transport.abortConnection()
