--- a/granitedock/service/connector.py
+++ b/granitedock/service/connector.py
@@ -1,7 +1,7 @@
-"""Opens outgoing connections, to hosts, the counter and discovery.
+"""Opens outgoing connections to hosts, the counter and discovery.
 
-Owns a connection until it is up, with the time that it may take. It never tries again by itself: whether
-there is another try is the state machine's part.
+Owns a connection until it is established, with its connect timeout. It never retries by itself: the state
+machines decide whether to connect again.
 """
 
 from __future__ import annotations
@@ -19,28 +19,31 @@
 
 
 class Link(Protocol):
-    """A Twisted protocol that knows the state machine's record of its connection."""
+    """A Twisted protocol with the state machine's record of its connection."""
 
     record: Any
 
 
 class SingleConnectionFactory(ClientFactory):
-    """One connection: its protocol comes up with its record, or the state machine gets the input `down`."""
+    """A factory for one connection, with a protocol created in advance.
+
+    If the connection cannot be established, the state machine receives the input `failure_input`.
+    """
 
     noisy = False
 
-    def __init__(self, handle_input: InputHandler, down: Input, link: Link) -> None:
+    def __init__(self, handle_input: InputHandler, failure_input: Input, link: Link) -> None:
         self.handle_input = handle_input
-        self.down = down
+        self.failure_input = failure_input
         self.link = link
 
-    def buildProtocol(self, addr: object) -> Any:  # noqa: ARG002 - Twisted's signature
-        """The protocol that was made before the dial."""
+    def buildProtocol(self, addr: object) -> Any:  # noqa: ARG002 - The signature is Twisted's.
+        """Return the protocol that was created before the connect."""
         return self.link
 
-    def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002 - as above
-        """Refused, unreachable or out of time."""
-        self.handle_input(self.down, self.link.record)
+    def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002 - The signature is Twisted's.
+        """Report a connect that was refused, found no route or timed out."""
+        self.handle_input(self.failure_input, self.link.record)
 
 
 class Connector:
@@ -50,24 +53,24 @@
         self,
         reactor: IReactorTCP,
         handle_input: InputHandler,
-        make_link: Callable[[], Link],
-        down: Input,
+        link_factory: Callable[[], Link],
+        failure_input: Input,
         timeout_ms: float,
     ) -> None:
         self.reactor = reactor
         self.handle_input = handle_input
-        self.make_link = make_link
-        self.down = down
+        self.link_factory = link_factory
+        self.failure_input = failure_input
         self.timeout_s = timeout_ms / MS_PER_S
 
     def connect(self, record: object, address: str) -> None:
         """Open a connection to HOST:PORT for this record."""
-        link = self.make_link()
+        link = self.link_factory()
         link.record = record
         host, _, port = address.rpartition(":")
-        factory = SingleConnectionFactory(self.handle_input, self.down, link)
+        factory = SingleConnectionFactory(self.handle_input, self.failure_input, link)
         try:
             self.reactor.connectTCP(host.strip("[]"), int(port), factory, timeout=self.timeout_s)
         except (OSError, ValueError):
-            # Guards against an address that makes no sense, and a process with no descriptor left.
-            self.handle_input(self.down, record)
+            # Handles an invalid address, and a process without a free file descriptor.
+            self.handle_input(self.failure_input, record)
--- a/granitedock/service/counter_names.py
+++ b/granitedock/service/counter_names.py
@@ -1,6 +1,6 @@
-"""Names of the counters that the service's state machines keep, as `INFO` and Prometheus show them.
+"""Names of the counters of the service's state machines, as reported by `INFO` and Prometheus.
 
-Operators' dashboards use these texts, so they stay as they are even where the code has other words.
+Operators' dashboards use these names, so they are stable even where the code uses other terms.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 # Attempts and connections to hosts.
 FORWARDS = "forwards"
-FORWARD_PREFIX = "forward_"  # and the outcome's value
+FORWARD_PREFIX = "forward_"  # The value of the outcome follows.
 HOST_DIALS = "host_dials"
 HOST_STALE = "host_stale"
 OVERFULL = "overfull"
@@ -32,7 +32,7 @@
 
 # The counter.
 CALLS = "calls"
-CALL_PREFIX = "call_"  # and the outcome's value
+CALL_PREFIX = "call_"  # The value of the outcome follows.
 CALL_SPOILT = "call_spoilt"
 COUNTER_DIALS = "counter_dials"
 
@@ -41,7 +41,7 @@
 WATCHES = "watches"
 WATCH_SPOILT = "watch_spoilt"
 
-# Gauges, shown beside the counters.
+# Gauges, reported with the counters.
 TASKS_NOW = "tasks_now"
 CLIENT_LINKS_NOW = "client_links_now"
 HOST_LINKS_NOW = "host_links_now"
--- a/granitedock/service/discovery_protocol.py
+++ b/granitedock/service/discovery_protocol.py
@@ -1,7 +1,7 @@
-"""The protocol towards discovery: a watch over HTTP/1.1, and the JSON lines that it brings.
+"""The protocol of a watch on discovery: JSON lines in a streamed HTTP/1.1 response.
 
-Owns the bytes of one watch and translates each line into an endpoint list. It never keeps the list, nor opens
-a watch again by itself.
+Owns the bytes of one watch and parses each line to an endpoint list. It never stores the list, nor reopens a
+watch by itself.
 """
 
 from __future__ import annotations
@@ -26,127 +26,138 @@
     "terminating": EndpointStatus.DRAINING,
     "terminated": EndpointStatus.GONE,
 }
-INDENTS = (b" ", b"\t", b"\r", b"")  # how a line begins that is not looked at by itself
+INDENTED_LINE_STARTS = (b" ", b"\t", b"\r", b"")  # A line that starts so ends a list only by its brackets.
 JSON_STRINGS = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
-# Reasons that are logged; the error's type stands before them.
-LIST_NOT_COMPLETE = "list not whole"
-LIST_TOO_LONG = "list too long"
-# What a list that makes no sense raises while it is read.
+# Logged reasons; each is logged after the type of its error.
+LIST_NOT_COMPLETE = "endpoint list: incomplete JSON although all brackets are closed"
+LIST_TOO_LONG = "endpoint list: longer than the limit `document`"
+# Errors that an invalid endpoint list raises while it is parsed.
 FORMAT_ERRORS = (ValueError, KeyError, TypeError, AttributeError)
 
 
 class EndpointEntry(NamedTuple):
-    """One host of an endpoint list, as discovery states it."""
+    """One host of an endpoint list, as stated by discovery."""
 
     name: str
-    address: str  # HOST:PORT; empty where it is not stated
-    size: float  # relative capacity; 1.0 where it is not stated
-    make: str  # the machine's type
+    address: str  # HOST:PORT; empty if not stated.
+    size: float  # Relative capacity; 1.0 if not stated.
+    machine_type: str
     zone: str
     cell: int
-    started_at: float  # Unix ms; 0.0 where it is not stated
+    started_at: float  # Unix ms; 0.0 if not stated.
     status: EndpointStatus
 
 
 class EndpointListUpdate(NamedTuple):
-    """An endpoint list, or a change of one."""
+    """A full endpoint list, or a change to it."""
 
     version: int
-    complete: bool  # a full snapshot: hosts that are not in it are gone
+    complete: bool  # Whether this is a full snapshot: hosts that it does not list are gone.
     entries: list[EndpointEntry]
 
 
 class WatchRecord(Protocol):
-    """What a watch needs of the state machine's record of it."""
+    """The part of the state machine's record of a watch that the protocol reads."""
 
-    version: int  # of the list that is held, from which discovery goes on
+    version: int  # The version of the current list; discovery sends what is newer.
 
 
 def parse_endpoint_list(document: dict[str, Any]) -> EndpointListUpdate:
-    """An endpoint list by discovery's JSON. Raises one of FORMAT_ERRORS where it is none."""
+    """Parse an endpoint list from discovery's JSON. Raises one of FORMAT_ERRORS if it is invalid."""
     entries = []
-    for item in document.get("instances") or ():
-        size = item.get("weight")
+    for instance in document.get("instances") or ():
+        size = instance.get("weight")
         entries.append(
             EndpointEntry(
-                item["instanceId"],
-                item.get("hostPort") or "",
+                instance["instanceId"],
+                instance.get("hostPort") or "",
                 1.0 if size is None else float(size),
-                item.get("machineType") or "",
-                item.get("zone") or "",
-                int(item.get("cell") or 0),
-                float(item.get("startedAtMs") or 0.0),
-                STATUSES[item["lifecycle"]],
+                instance.get("machineType") or "",
+                instance.get("zone") or "",
+                int(instance.get("cell") or 0),
+                float(instance.get("startedAtMs") or 0.0),
+                STATUSES[instance["lifecycle"]],
             )
         )
     return EndpointListUpdate(int(document["generation"]), bool(document.get("reset")), entries)
 
 
 def nesting_change(line: bytes) -> int:
-    """How many more objects and arrays a line of JSON opens than it closes."""
-    bare = JSON_STRINGS.sub(b"", line)
-    return bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
+    """Return how many more objects and arrays a line of JSON opens than it closes."""
+    without_strings = JSON_STRINGS.sub(b"", line)
+    return (
+        without_strings.count(b"{")
+        + without_strings.count(b"[")
+        - without_strings.count(b"}")
+        - without_strings.count(b"]")
+    )
 
 
 class DiscoveryWatchProtocol(protocol.Protocol):
-    """One watch, until its connection ends."""
+    """One watch, until its connection closes."""
 
     transport: Any
-    record: Any = None  # a WatchRecord, set before the connection comes up
+    record: Any = None  # A `WatchRecord`, set before the connection is established.
 
     def __init__(self, handle_input: InputHandler, address: str, limits: Limits) -> None:
-        """`address` is discovery's, for the Host header."""
+        """Create the protocol; `address` is the address of discovery, for the Host header."""
         self.handle_input = handle_input
         self.address = address
-        self.max_bytes = limits.document
+        self.max_document_bytes = limits.document
         self.http = h11.Connection(h11.CLIENT)
-        self.line = b""  # what has no line end yet
-        self.document = b""  # lines of a list that has begun and not ended
-        self.nesting = 0  # of what is open in it
+        self.partial_line = b""  # The received bytes after the last line end.
+        self.partial_document = b""  # The lines of an incomplete list.
+        self.nesting_depth = 0  # The number of objects and arrays that are open in the incomplete list.
         self.is_malformed = False
 
     def connectionMade(self) -> None:
-        """Ask for all that is newer than the list that is held."""
+        """Request all changes that are newer than the current list."""
         request = h11.Request(
             method="GET",
             target=f"/api/targets?watch=1&after={self.record.version}",
             headers=[("Host", self.address), ("Accept", "application/json")],
         )
-        head = self.http.send(request)
-        end = self.http.send(h11.EndOfMessage())
-        self.transport.write((head or b"") + (end or b""))
+        request_head = self.http.send(request)
+        request_end = self.http.send(h11.EndOfMessage())
+        self.transport.write((request_head or b"") + (request_end or b""))
         self.handle_input(Input.WATCH_CONNECTED, self.record, self)
 
     def connectionLost(self, _reason: Failure | None = None) -> None:
-        """The connection ended."""
+        """Report the closed connection."""
         self.handle_input(Input.WATCH_DISCONNECTED, self.record)
 
     def dataReceived(self, data: bytes) -> None:
-        """Guards against a list that makes no sense, an answer that is none, and one that never ends: the
-        list that is held stands, the watch opens again, and what was wrong is logged. A reset is no end: of a
-        list that is cut short nothing is taken."""
+        """Parse received bytes, and abort the watch if they are invalid or the response has ended.
+
+        Prevents the use of an invalid list, of an invalid response and of one that never ends: the current
+        list remains in use, the watch is reopened, and the reason is logged. A reset does not end a list: no
+        entry of a truncated list is used.
+        """
         if self.is_malformed:
             return
         try:
-            ended = self.read_events(data)
+            response_ended = self.read_events(data)
         except (h11.RemoteProtocolError, *FORMAT_ERRORS) as error:
             self.is_malformed = True
             self.handle_input(Input.WATCH_MALFORMED, self.record, f"{type(error).__name__}: {error}")
             self.abort()
             return
-        if ended:
+        if response_ended:
             self.abort()
-        elif self.line or self.document:
+        elif self.partial_line or self.partial_document:
             self.handle_input(Input.WATCH_LIST_STARTED, self.record)
 
     def read_events(self, data: bytes) -> bool:
-        """Whether the answer has ended. Raises h11.RemoteProtocolError and FORMAT_ERRORS."""
+        """Parse HTTP events, and return whether the response has ended.
+
+        Raises h11.RemoteProtocolError or one of FORMAT_ERRORS if the input is invalid.
+        """
         self.http.receive_data(data)
         while (event := self.http.next_event()) is not h11.NEED_DATA:
             if isinstance(event, h11.Response) and event.status_code != HTTP_OK:
-                why = f"status {event.status_code}"
-                raise ValueError(why)
+                reason = f"status {event.status_code}"
+                raise ValueError(reason)
             if isinstance(event, h11.Data):
                 self.read_lines(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
@@ -154,45 +165,54 @@
         return False
 
     def read_lines(self, data: bytes) -> None:
-        """Hand on each list that `data` ends, and each empty line. Raises FORMAT_ERRORS."""
-        *complete, self.line = (self.line + data).split(b"\n")
-        for line in complete:
-            if self.document or line.strip():
+        """Report each list that `data` completes, and each empty line, which is a heartbeat.
+
+        Raises one of FORMAT_ERRORS if a list is invalid or too long.
+        """
+        *complete_lines, self.partial_line = (self.partial_line + data).split(b"\n")
+        for line in complete_lines:
+            if self.partial_document or line.strip():
                 self.read_list_line(line)
             else:
                 self.handle_input(Input.ENDPOINTS_RECEIVED, self.record, None)
-        if len(self.line) + len(self.document) > self.max_bytes:
+        if len(self.partial_line) + len(self.partial_document) > self.max_document_bytes:
             raise ValueError(LIST_TOO_LONG)
 
     def read_list_line(self, line: bytes) -> None:
-        """A line of a list. One that is not indented may end it, or what closes all that was opened."""
-        self.document += line + b"\n"
-        if line[:1] not in INDENTS and self.try_document():
+        """Add a line to the incomplete list, and report the list if the line completes it.
+
+        A list may end with a line that is not indented, or with one that closes all open objects and arrays.
+        """
+        self.partial_document += line + b"\n"
+        if line[:1] not in INDENTED_LINE_STARTS and self.report_if_complete():
             return
-        self.nesting += nesting_change(line)
-        if self.nesting <= 0 and not self.try_document():
+        self.nesting_depth += nesting_change(line)
+        if self.nesting_depth <= 0 and not self.report_if_complete():
             raise ValueError(LIST_NOT_COMPLETE)
 
-    def try_document(self) -> bool:
-        """Whether the list is complete by now; it is handed on then. One that lacks more is waited for.
-        Raises FORMAT_ERRORS."""
+    def report_if_complete(self) -> bool:
+        """Report the list if it is complete JSON, and return whether it is.
+
+        A list that ends too early remains incomplete, and further lines are added to it. Raises one of
+        FORMAT_ERRORS if the list is invalid.
+        """
         try:
-            document = orjson.loads(self.document)
+            document = orjson.loads(self.partial_document)
         except orjson.JSONDecodeError as error:
-            if error.pos >= len(self.document):
+            if error.pos >= len(self.partial_document):
                 return False
             raise
-        self.document = b""
-        self.nesting = 0
+        self.partial_document = b""
+        self.nesting_depth = 0
         self.handle_input(Input.ENDPOINTS_RECEIVED, self.record, parse_endpoint_list(document))
         return True
 
     # Effects of the state machine.
 
     def has_unread_bytes(self) -> bool:
-        """Whether discovery has sent what is not read yet, or has ended the connection."""
+        """Return whether discovery has sent bytes that are not read yet, or has closed the connection."""
         return has_unread_input(self.transport)
 
     def abort(self) -> None:
-        """Reset the connection."""
+        """Reset the connection immediately."""
         self.transport.abortConnection()
--- a/granitedock/service/endpoints.py
+++ b/granitedock/service/endpoints.py
@@ -78,7 +78,7 @@
                 EndpointUpdate(
                     endpoint,
                     entry.size,
-                    entry.make,
+                    entry.machine_type,
                     entry.zone,
                     entry.cell,
                     entry.started_at,
