--- a/tests/service/test_service_examples.py
+++ b/tests/service/test_service_examples.py
@@ -1,21 +1,25 @@
-"""Examples of small functions of the service: what each gives for what."""
+"""Examples of small functions of the service: the result of each for given arguments.
 
+They guard the parsers and encoders against accepting input that they must reject, and against a changed wire
+format.
+"""
 
-def test_service_clients_read():
+
+def test_parse_request_reads_the_fields_and_keeps_the_bytes_around_the_deadline():
     from granitedock.service.client_protocol import Limits, parse_request
     from granitedock.service.resp import encode_command
 
     text = b"c=r,t=p,d=480,units=2,spread=3,first=1"
     words = [b"API.READ", b"00000000000000a1", b"9b1f03aa5c7e2d41", text]
     limits = Limits.from_platform_file({"settings": {"Balancers": 4, "Lanes": []}})
-    ask = parse_request(words, encode_command(*words).split(b"\r\n")[:-1], limits)
+    request = parse_request(words, encode_command(*words).split(b"\r\n")[:-1], limits)
     assert (
-        ask.request_class,
-        ask.customer,
-        ask.time_left_ms,
-        ask.subset_size,
-        ask.fields_before,
-        ask.fields_after,
+        request.request_class,
+        request.customer,
+        request.time_left_ms,
+        request.subset_size,
+        request.fields_before,
+        request.fields_after,
     ) == (
         "r",
         161,
@@ -26,7 +30,7 @@
     )
 
 
-def test_service_counter_amount():
+def test_format_amount_writes_at_most_six_decimals_without_trailing_zeros():
     from granitedock.service.counter_protocol import format_amount
 
     assert (format_amount(2.0), format_amount(-2.5), format_amount(1e-09), format_amount(0.1 + 0.2)) == (
@@ -37,17 +41,17 @@
     )
 
 
-def test_service_discovery_listing():
+def test_parse_endpoint_list_reads_an_entry_and_fills_in_the_defaults():
     from granitedock.service.discovery_protocol import EndpointEntry, EndpointStatus, parse_endpoint_list
 
     instance = {"instanceId": "s-1", "hostPort": "127.0.0.1:1", "lifecycle": "terminating"}
-    listed = parse_endpoint_list({"generation": 4, "reset": True, "instances": [instance]})
-    assert listed.entries[0] == EndpointEntry(
+    update = parse_endpoint_list({"generation": 4, "reset": True, "instances": [instance]})
+    assert update.entries[0] == EndpointEntry(
         "s-1", "127.0.0.1:1", 1.0, "", "", 0, 0.0, EndpointStatus.DRAINING
     )
 
 
-def test_service_hosts_figures():
+def test_parse_usage_ignores_figures_that_are_unreadable_or_too_large():
     from granitedock.service.host_protocol import parse_usage
 
     assert (
@@ -62,7 +66,8 @@
         (0.0, 0),
     )
     assert [
-        parse_usage(b"used=%b,cost=%b" % (it, it), 4.0) for it in (b"nan", b"inf", b"1_0", b"-1", b"9")
+        parse_usage(b"used=%b,cost=%b" % (figure, figure), 4.0)
+        for figure in (b"nan", b"inf", b"1_0", b"-1", b"9")
     ] == [
         (0.0, 0),
         (0.0, 0),
@@ -72,19 +77,19 @@
     ]
 
 
-def test_service_resp_bulk():
+def test_encode_bulk_string():
     from granitedock.service.resp import encode_bulk_string
 
     assert encode_bulk_string(b"ab") == b"$2\r\nab\r\n"
 
 
-def test_service_resp_command():
+def test_encode_command():
     from granitedock.service.resp import encode_command
 
     assert encode_command(b"PING") == b"*1\r\n$4\r\nPING\r\n"
 
 
-def test_service_resp_length():
+def test_parse_length_rejects_anything_but_plain_digits():
     from granitedock.service.resp import parse_length
 
     assert (
@@ -96,7 +101,7 @@
     ) == (16, 0, -1, -1, -1)
 
 
-def test_service_resp_whole():
+def test_join_parts_restores_the_line_ends():
     from granitedock.service.resp import join_parts
 
     assert join_parts([b"$2", b"ab"]) == b"$2\r\nab\r\n"
--- a/tests/service/test_standing_terms.py
+++ b/tests/service/test_standing_terms.py
@@ -1,4 +1,8 @@
-"""Terms of the standing test, final edition, over loopback: further attempts, whole lists, pieces."""
+"""Terms of the standing test, final edition, over loopback: retries, full endpoint lists, single bytes.
+
+They guard against a retry that promises its host more time than the client has left, against attempts to
+hosts that a full list no longer contains, and against parsers that need a message in one read.
+"""
 
 import json
 import re
@@ -8,40 +12,40 @@
 
 from granitedock.service.lifecycle import LifecycleState
 
-TIME_LEFT = re.compile(rb",d=(\d+)")
+REMAINING_MS = re.compile(rb",d=(\d+)")
 
 
 def first_host(gate):
-    """The connection of the attempt that is out, and the number of its host."""
+    """Return the connection of the attempt in flight, and the number of its host."""
     for number in range(len(gate.hosts)):
         if (peer := gate.at_host(number)) is not None:
             return peer, number
-    raise AssertionError("no attempt is out")
+    raise AssertionError("no attempt is in flight at any host")
 
 
-@pytest.mark.parametrize("waited_ms", [100.0, 700.0])
-def test_a_retry_tells_its_host_at_most_what_is_left_to_the_client(live, waited_ms):
+@pytest.mark.parametrize("elapsed_ms", [100.0, 700.0])
+def test_a_retry_states_at_most_the_remaining_time_of_the_client_to_its_host(live, elapsed_ms):
     gate = live(hosts=2)
     client = gate.client()
     client.send(gate.request(d=3000))
     host, number = first_host(gate)
-    told = int(TIME_LEFT.search(host.read())[1])
-    assert told <= 3000
-    gate.t += waited_ms
+    first_remaining_ms = int(REMAINING_MS.search(host.read())[1])
+    assert first_remaining_ms <= 3000
+    gate.t += elapsed_ms
     host.close()
     gate.turn()
-    again = gate.at_host(1 - number)
-    left = int(TIME_LEFT.search(again.read())[1])
-    assert left <= 3000 - waited_ms
-    assert left > 3000 - waited_ms - 150
-    gate.answered(again, client)
+    retry = gate.at_host(1 - number)
+    retry_remaining_ms = int(REMAINING_MS.search(retry.read())[1])
+    assert retry_remaining_ms <= 3000 - elapsed_ms
+    assert retry_remaining_ms > 3000 - elapsed_ms - 150
+    gate.answered(retry, client)
 
 
-def test_a_whole_list_drops_what_it_does_not_name_also_where_that_still_answers(live):
+def test_a_full_list_removes_unlisted_hosts_even_if_they_still_answer(live):
     gate = live(hosts=2)
-    kept = gate.listing()
-    kept["instances"] = [entry for entry in kept["instances"] if entry["instanceId"] == "h1"]
-    gate.watch().send(chunk(json.dumps(kept).encode() + b"\n"))
+    full_list = gate.listing()
+    full_list["instances"] = [entry for entry in full_list["instances"] if entry["instanceId"] == "h1"]
+    gate.watch().send(chunk(json.dumps(full_list).encode() + b"\n"))
     gate.turn()
     client = gate.client()
     for _ in range(6):
@@ -56,27 +60,27 @@
     assert gate.at_host(0) is None
 
 
-def in_pieces(gate, send, data):
-    """One byte at a time, each in a turn of the loop of its own."""
-    for at in range(len(data)):
-        send(data[at : at + 1])
+def send_byte_by_byte(gate, send, data):
+    """Send one byte at a time, each in its own iteration of the event loop."""
+    for position in range(len(data)):
+        send(data[position : position + 1])
         gate.turn(1)
     gate.turn()
 
 
-def test_bytes_that_come_one_by_one_on_every_link_make_the_same_request(live):
+def test_a_request_succeeds_if_every_link_receives_single_bytes(live):
     gate = live(listed=False, known=False)
     watch = gate.watch()
-    in_pieces(gate, watch.send, WATCHED + chunk(json.dumps(gate.listing()).encode() + b"\n"))
+    send_byte_by_byte(gate, watch.send, WATCHED + chunk(json.dumps(gate.listing()).encode() + b"\n"))
     assert gate.state_machine.state is LifecycleState.SERVING
     client, gate.counts = gate.client(), False
-    in_pieces(gate, client.send, gate.request())
-    asked = [peer for peer in gate.counter_peers if b"TALLY" in peer.read()]
-    assert len(asked) == 1
-    in_pieces(gate, asked[0].send, b"$1\r\n1\r\n")
+    send_byte_by_byte(gate, client.send, gate.request())
+    called_peers = [peer for peer in gate.counter_peers if b"TALLY" in peer.read()]
+    assert len(called_peers) == 1
+    send_byte_by_byte(gate, called_peers[0].send, b"$1\r\n1\r\n")
     host = gate.at_host()
     assert b"API.READ" in host.read()
-    in_pieces(gate, host.send, VALUE)
+    send_byte_by_byte(gate, host.send, VALUE)
     assert client.read() == VALUE
     assert (
         not gate.state_machine.context.counts["malformed"]
--- a/tests/service/test_transition_tables.py
+++ b/tests/service/test_transition_tables.py
@@ -1,4 +1,8 @@
-"""Each pair of a state and an event has a row in its table, or a reason why it changes nothing."""
+"""Transition tables: each pair of a state and an event has a row, or a reason why the event is ignored.
+
+Guards against an event that is lost without notice because its row was forgotten, against rows that name a
+missing effect, and against counters that `INFO` does not list.
+"""
 
 import inspect
 import types
@@ -20,9 +24,10 @@
 from granitedock.service.dispatcher import HANDLERS
 from granitedock.service.inputs import Input
 
-COUNTERS = Path(__file__).parents[1] / "data" / "info_counters.txt"
+INFO_COUNTERS = Path(__file__).parents[1] / "data" / "info_counters.txt"
 
-# A table, the pairs it leaves out, its states and events, and the class whose methods are its effects.
+# By name: a table, the pairs that it ignores, its states, its events, and the class whose methods are its
+# effects.
 TABLES = {
     "host connection": (
         host_connection.HOST_CONNECTION,
@@ -56,16 +61,16 @@
 
 
 @pytest.mark.parametrize("name", TABLES)
-def test_each_pair_of_a_state_and_an_event_stands_once_in_the_table_or_among_the_ignored(name):
+def test_each_pair_of_a_state_and_an_event_has_one_row_or_one_reason_to_be_ignored(name):
     table, ignored, states, events, _ = TABLES[name]
-    found = Counter(list(table)) + Counter(pair for reason in ignored for pair in ignored[reason])
-    wanted = {(state, event) for state in states for event in events}
-    assert set(found) == wanted
-    assert not [pair for pair, times in found.items() if times != 1]
+    counts = Counter(list(table)) + Counter(pair for reason in ignored for pair in ignored[reason])
+    all_pairs = {(state, event) for state in states for event in events}
+    assert set(counts) == all_pairs
+    assert not [pair for pair, count in counts.items() if count != 1]
 
 
 @pytest.mark.parametrize("name", TABLES)
-def test_each_row_leads_to_a_state_and_each_effect_is_a_method_of_the_machine(name):
+def test_each_row_names_a_state_and_a_method_of_the_state_machine(name):
     table, _, states, _, machine = TABLES[name]
     for state, effect in table.values():
         assert isinstance(state, states)
@@ -73,23 +78,23 @@
 
 
 @pytest.mark.parametrize("name", TABLES)
-def test_each_state_can_be_reached_and_each_event_changes_something_somewhere(name):
+def test_each_state_is_reachable_and_each_event_has_a_row(name):
     table, _, states, events, _ = TABLES[name]
-    first = next(iter(states))
-    assert {state for state, _ in table.values()} | {first} == set(states)
+    initial = next(iter(states))
+    assert {state for state, _ in table.values()} | {initial} == set(states)
     assert {event for _, event in table} == set(events)
 
 
-def test_each_input_has_one_handler_and_a_name_of_its_own_in_the_event_log():
+def test_each_input_has_a_handler_and_a_unique_name():
     assert set(HANDLERS) == set(Input)
     assert all(isinstance(handler, types.FunctionType) for handler in HANDLERS.values())
-    assert issubclass(Input, Enum) and len({happened.value for happened in Input}) == len(Input)
+    assert issubclass(Input, Enum) and len({input_kind.value for input_kind in Input}) == len(Input)
 
 
-def test_each_counter_that_the_state_machines_keep_is_one_that_info_lists():
-    listed = COUNTERS.read_text().split()
+def test_info_lists_each_counter_of_the_state_machines():
+    listed_names = INFO_COUNTERS.read_text().split()
     for constant, counter in vars(counter_names).items():
         if constant.endswith("_PREFIX"):
-            assert any(name.startswith(counter) for name in listed), counter
+            assert any(name.startswith(counter) for name in listed_names), counter
         elif constant.isupper():
-            assert counter in listed, counter
+            assert counter in listed_names, counter
