--- a/granitedock/service/counter_protocol.py
+++ b/granitedock/service/counter_protocol.py
@@ -21,6 +21,7 @@
 PONG = "PONG"
 OVERLOADED_CODE = b"BUSY"
 ERROR_CODE = b"ERR"
+# A `fullmatch` function, called as a predicate on the bytes of a reply.
 IS_TOTAL = re.compile(rb"-?[0-9]{1,15}(\.[0-9]{1,15})?([eE][+-]?[0-9]{1,2})?").fullmatch
 INVALID_REPLY = "no answer to a call"
 
--- a/granitedock/service/host_connections.py
+++ b/granitedock/service/host_connections.py
@@ -103,7 +103,7 @@
         )
 
     def _free_capacity(self) -> bool:
-        """Close the pool's longest idle connection, and return whether there was one.
+        """Close an idle connection to make room for a new one, and return whether there was one.
 
         Prevents running out of file descriptors.
         """
--- a/granitedock/service/host_protocol.py
+++ b/granitedock/service/host_protocol.py
@@ -19,7 +19,7 @@
 from granitedock.service.limits import Limits
 from granitedock.service.resp import ErrorReply, RespReceiver, has_unread_input, join_parts
 
-# Each of these is a `fullmatch` function, called as a predicate on the bytes of a reply.
+# Each of the following is a `fullmatch` function, called as a predicate on the bytes of a reply.
 IS_OVERLOADED_ERROR = re.compile(rb"BUSY( [!-~]*)?").fullmatch
 IS_FAILED_ERROR = re.compile(rb"ERR failed( [!-~]*)?").fullmatch
 IS_TRUE_COST = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?").fullmatch
--- a/tests/service/test_standing_terms.py
+++ b/tests/service/test_standing_terms.py
@@ -12,7 +12,7 @@
 
 from granitedock.service.lifecycle import LifecycleState
 
-REMAINING_MS = re.compile(rb",d=(\d+)")
+REMAINING_TIME_FIELD = re.compile(rb",d=(\d+)")
 
 
 def first_host(gate):
@@ -29,13 +29,13 @@
     client = gate.client()
     client.send(gate.request(d=3000))
     host, number = first_host(gate)
-    first_remaining_ms = int(REMAINING_MS.search(host.read())[1])
+    first_remaining_ms = int(REMAINING_TIME_FIELD.search(host.read())[1])
     assert first_remaining_ms <= 3000
     gate.t += elapsed_ms
     host.close()
     gate.turn()
     retry = gate.at_host(1 - number)
-    retry_remaining_ms = int(REMAINING_MS.search(retry.read())[1])
+    retry_remaining_ms = int(REMAINING_TIME_FIELD.search(retry.read())[1])
     assert retry_remaining_ms <= 3000 - elapsed_ms
     assert retry_remaining_ms > 3000 - elapsed_ms - 150
     gate.answered(retry, client)
