--- a/granitedock/membership_services.py
+++ b/granitedock/membership_services.py
@@ -178,7 +178,7 @@
             return
         self.written_change_count = change_count
         self.is_writing = True
-        data = pack(self.name, self.sharing.usage.own_unreconciled_rows())
+        data = pack(self.name, self.sharing.usage.local_unreconciled_rows())
         Thread(target=self.replace_file, args=(data,), daemon=True).start()
 
     def replace_file(self, data: bytes) -> None:
--- a/granitedock/quota_sharing/__init__.py
+++ b/granitedock/quota_sharing/__init__.py
@@ -1,4 +1,4 @@
-"""Usage that gateways admitted without the quota counter, gossiped among them (docs/quota-sharing-design.md).
+"""Quota sharing: gateways gossip the usage that they admitted without the counter.
 
-No I/O.
+See docs/quota-sharing-design.md. No I/O.
 """
--- a/granitedock/quota_sharing/payload.py
+++ b/granitedock/quota_sharing/payload.py
@@ -1,4 +1,4 @@
-"""The payload of membership messages that carries units admitted uncounted, one array of seven a row."""
+"""The payload of membership messages that carries uncounted usage; each row is an array of seven items."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from granitedock.membership.messages import PayloadType
 from granitedock.quota_sharing.uncounted_usage import UsageRow
 
-KIND = 7  # the number of these messages in datagrams
-ITEMS = 7
-MAX_CUSTOMER = 2**33  # each number is below its bound
+MESSAGE_KIND = 7  # The kind number of these messages in datagrams.
+ROW_ITEMS = 7
+# Each number in a row is below its limit.
+MAX_CUSTOMER = 2**33
 MAX_WINDOW_MS = 2**20
-MAX_AMOUNT = 2**53  # thousandths of a unit
+MAX_MILLIUNITS = 2**53
 NOT_A_ROW = "not a row"
 
 
 def encode_row(row: UsageRow) -> list[Any]:
-    """A row as an array."""
+    """Return the row as an array."""
     return [
         row.gateway,
         row.started_at,
@@ -31,10 +32,10 @@
 
 
 def decode_row(row: Any) -> UsageRow:
-    """The row of an array. Raises MalformedMessageError."""
+    """Return the row of an array. Raises MalformedMessageError if the array is not a valid row."""
     if (
         type(row) is not list
-        or len(row) != ITEMS
+        or len(row) != ROW_ITEMS
         or type(row[0]) is not str
         or not 0 < len(row[0]) <= MAX_NAME
     ):
@@ -46,9 +47,9 @@
         bounded_int(customer, MAX_CUSTOMER),
         bounded_int(window, MAX_TIME),
         bounded_int(window_ms, MAX_WINDOW_MS) or 1,
-        bounded_int(admitted, MAX_AMOUNT),
-        bounded_int(reconciled, MAX_AMOUNT),
+        bounded_int(admitted, MAX_MILLIUNITS),
+        bounded_int(reconciled, MAX_MILLIUNITS),
     )
 
 
-QUOTA_PAYLOAD = PayloadType(KIND, encode_row, decode_row)
+QUOTA_PAYLOAD = PayloadType(MESSAGE_KIND, encode_row, decode_row)
--- a/granitedock/quota_sharing/presence.py
+++ b/granitedock/quota_sharing/presence.py
@@ -1,8 +1,9 @@
-"""Presence at the counter: gateways that do not hear each other find out who still reaches the counter.
+"""Presence at the counter: shows which of the gateways that cannot reach each other still reach the counter.
 
-Guards against a cut between gateways that all still reach the counter: each side would hold back the other's
-shares although the totals hold all that it admits. Hurts nobody but the counter, by two calls and two reads
-for each silent slot in each interval, and only while somebody is silent. No I/O; times are Unix ms.
+Prevents unused quota after a partition between gateways that all still reach the counter: each side would
+reserve the other's shares although the counter's totals include all that it admits. The cost is load on the
+counter alone, two calls and two reads for each silent slot in each interval, and only while a member is
+silent. No I/O; times are Unix ms.
 """
 
 from __future__ import annotations
@@ -12,10 +13,10 @@
 from granitedock.policy.types import CounterCall, Customer
 from granitedock.quota_sharing.settings import QuotaSharingSettings
 
-PRESENCE_CUSTOMER = Customer(-1)  # marks the calls made here; no customer has this key
-SUSPECTED_INTERVALS = 15  # presence goes on so many intervals after others held this gateway for silent
-EPOCHS_VALID = 2  # how long a presence that was seen holds
-EPOCHS_KEPT = 3  # how long the counter keeps a presence name
+PRESENCE_CUSTOMER = Customer(-1)  # Marks presence calls; no customer has this key.
+SUSPECTED_INTERVALS = 15  # Presence calls continue for so many intervals after others suspected this gateway.
+PRESENCE_VALID_EPOCHS = 2  # A confirmed presence is valid for so many epochs.
+PRESENCE_RETENTION_EPOCHS = 3  # The counter keeps a presence name for so many epochs.
 # Odd 64-bit constants of integer hash functions; they spread slots and epochs over the counter's names.
 SLOT_MULTIPLIER = 0x9E3779B97F4A7C15
 EPOCH_MULTIPLIER = 0xD6E8FEB86659FD93
@@ -24,21 +25,21 @@
 
 
 class Presence:
-    """The presence calls of the gateway in `own_slot`."""
+    """The presence calls of the gateway in `local_slot`."""
 
-    def __init__(self, own_slot: int, settings: QuotaSharingSettings) -> None:
-        self.own_slot = own_slot
+    def __init__(self, local_slot: int, settings: QuotaSharingSettings) -> None:
+        self.local_slot = local_slot
         self.settings = settings
         self.called_at = float("-inf")
         self.suspected_at = float("-inf")
         self.refutations = 0
-        self.reads_made = 0
+        self.read_count = 0
 
     def calls_due(self, silent_slots: Collection[int], refutations: int, now: float) -> list[CounterCall]:
-        """The calls that are due: one that shows this gateway, and reads of some silent slots in turn.
+        """Return the calls to send now: an increment for this gateway, and reads of silent slots in turn.
 
-        They are made while anybody is silent to this gateway, and while others hold it for silent, which it
-        hears as suspicions that it has to refute (`refutations`, so far).
+        Calls are made while any member is silent to this gateway, and while other members suspect this one.
+        A suspicion shows as a refutation that this gateway had to send; `refutations` is their number so far.
         """
         settings = self.settings
         if refutations != self.refutations:
@@ -51,26 +52,26 @@
             return []
         self.called_at = now
         epoch = int(now // settings.presence_epoch_ms)
-        calls = [self._call(self.own_slot, epoch, 1.0, now)]
+        calls = [self._call(self.local_slot, epoch, 1.0, now)]
         slots = sorted(silent_slots)
         for _ in range(min(settings.presence_reads, len(slots))):
-            slot = slots[self.reads_made % len(slots)]
-            self.reads_made += 1
+            slot = slots[self.read_count % len(slots)]
+            self.read_count += 1
             calls.append(self._call(slot, epoch, 0.0, now))
             calls.append(self._call(slot, epoch - 1, 0.0, now))
         return calls
 
-    def shown_until(self, call: CounterCall, total: float) -> float | None:
-        """Until when the slot of a finished call (its `window`) holds as present; None if it does not."""
-        if call.customer is not PRESENCE_CUSTOMER or total <= 0 or call.window == self.own_slot:
+    def valid_until(self, call: CounterCall, total: float) -> float | None:
+        """Return until when the slot of a finished call (its `window`) counts as present, or None."""
+        if call.customer is not PRESENCE_CUSTOMER or total <= 0 or call.window == self.local_slot:
             return None
-        return call.sent_at + EPOCHS_VALID * self.settings.presence_epoch_ms
+        return call.sent_at + PRESENCE_VALID_EPOCHS * self.settings.presence_epoch_ms
 
     def _call(self, slot: int, epoch: int, amount: float, now: float) -> CounterCall:
-        """An add to the presence name of a slot and epoch, which is apart from those of customers' windows.
+        """Return an increment of the presence name of a slot and epoch.
 
-        The call's `window` holds the slot.
+        Presence names do not overlap the names of customers' windows. The call's `window` is the slot.
         """
         name = (slot * SLOT_MULTIPLIER + epoch * EPOCH_MULTIPLIER + NAME_OFFSET) % NAME_SPACE
-        ttl_ms = EPOCHS_KEPT * self.settings.presence_epoch_ms
+        ttl_ms = PRESENCE_RETENTION_EPOCHS * self.settings.presence_epoch_ms
         return CounterCall(PRESENCE_CUSTOMER, name, slot, amount, ttl_ms, now)
--- a/granitedock/quota_sharing/reserve.py
+++ b/granitedock/quota_sharing/reserve.py
@@ -1,4 +1,4 @@
-"""Reserves held back for gateways that fell silent: they may be alive behind a cut, using their even share.
+"""Reserves for silent gateways, which may be alive behind a partition and admit their even share.
 
 No I/O; times are Unix ms.
 """
@@ -12,10 +12,10 @@
 
 
 def reserve(quota: SharedQuota, window: int, silent_since: float, now: float) -> float:
-    """Units that a silent gateway of the subset may have admitted of this window.
+    """Return the units of this window that a silent gateway of the subset may have admitted.
 
-    That is its even share of the rate since it was last heard, and of the burst if it fell silent within the
-    window.
+    The reserve is the gateway's even share of the rate since `silent_since`, plus its even share of the burst
+    if the silence began within the window.
     """
     window_start = window * quota.window_ms
     window_end = window_start + quota.window_ms
@@ -25,37 +25,39 @@
 
 
 class SilentMembers:
-    """Member slots whose gateway is silent, and for which of them a reserve is held back."""
+    """The member slots whose gateway is silent, and which of them need a reserve."""
 
     def __init__(self, settings: QuotaSharingSettings) -> None:
         self.settings = settings
-        self.since: dict[int, float] = {}  # by member slot
-        self.present_until: dict[int, float] = {}  # silent slots that showed at the counter
+        self.silent_since: dict[int, float] = {}  # by member slot
+        self.present_until: dict[int, float] = {}  # by silent member slot whose presence was confirmed
 
     def refresh(self, silent_slots: Mapping[int, float], now: float, steady_now: float) -> None:
-        """Take over who is silent now.
+        """Replace the set of silent members.
 
-        `silent_slots` gives since when, on the steady clock of the membership: slots that were held live by
-        this gateway, and neither are live, nor left by their own message, nor were proved empty by a fresh
-        connection probe of this gateway.
+        `silent_slots` gives the time at which each slot was declared silent, on the steady clock of the
+        membership. It contains the slots that this gateway has known as live, and that are no longer live,
+        whose gateway neither announced its departure nor was proved stopped by a recent connection probe of
+        this gateway.
         """
-        for slot in [slot for slot in self.since if slot not in silent_slots]:
-            del self.since[slot]
+        for slot in [slot for slot in self.silent_since if slot not in silent_slots]:
+            del self.silent_since[slot]
             self.present_until.pop(slot, None)
         for slot, declared_at in silent_slots.items():
-            began = now - (steady_now - declared_at) - self.settings.detection_delay_ms
-            if now - began <= self.settings.max_reserve_ms:
-                self.since.setdefault(slot, began)
+            silent_since = now - (steady_now - declared_at) - self.settings.detection_delay_ms
+            if now - silent_since <= self.settings.max_reserve_ms:
+                self.silent_since.setdefault(slot, silent_since)
             else:
-                self.since.pop(slot, None)
+                self.silent_since.pop(slot, None)
 
     def reserves(self, quota: SharedQuota, window: int, slot_count: int, now: float) -> Iterator[float]:
-        """Units of this window held back for each silent one of the quota's subset, of `slot_count` slots.
+        """Yield the reserve, in units of this window, of each silent gateway in the quota's subset.
 
-        Nothing is held back for one that shows at the counter: its use is in the counter's total.
+        `slot_count` is the number of member slots. A gateway whose presence at the counter is confirmed needs
+        no reserve, because the counter's total includes its usage.
         """
-        for n in range(min(quota.subset_size, slot_count)):
-            slot = (quota.subset_start + n) % slot_count
-            silent_since = self.since.get(slot)
+        for offset in range(min(quota.subset_size, slot_count)):
+            slot = (quota.subset_start + offset) % slot_count
+            silent_since = self.silent_since.get(slot)
             if silent_since is not None and now > self.present_until.get(slot, 0.0):
                 yield reserve(quota, window, silent_since, now)
--- a/granitedock/quota_sharing/sharing.py
+++ b/granitedock/quota_sharing/sharing.py
@@ -1,11 +1,11 @@
-"""Quota sharing of one gateway: what the policy asks of it, and what it broadcasts to the others.
+"""Quota sharing of one gateway: the policy's port, and the broadcasts to other gateways.
 
 For each customer whose total the counter gives, other gateways may have admitted units that the counter does
-not know of. Those that can be heard broadcast them (`uncounted_usage`); for silent ones of the subset a
-reserve of their even share is held back (`reserve`), unless they show at the counter (`presence`). So the sum
-keeps to the allowance whichever gateways are cut off from the counter, from each other, or from both. All of
-it only adds to what counts as used: it never admits more than the counter's total alone would. No I/O; times
-are Unix ms.
+not include. Gateways that are reachable broadcast these units (`uncounted_usage`). For silent gateways of the
+customer's subset, a reserve of their even share is kept (`reserve`), unless their presence at the counter is
+confirmed (`presence`). The sum of admitted units therefore stays within the allowance whichever gateways are
+partitioned from the counter, from each other, or from both. Quota sharing only adds to the usage that counts:
+it never admits more than the counter's total alone would. No I/O; times are Unix ms.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageBroadcast:
-    """Rows for the gateway at `address` ("ip:port")."""
+    """Rows to send to the gateway at `address` ("ip:port")."""
 
     address: str
     rows: tuple[UsageRow, ...]
@@ -32,76 +32,80 @@
 
 @dataclass(frozen=True, slots=True)
 class DueWork:
-    """What a maintenance run wants sent, in this order."""
+    """The messages and counter calls to send after a maintenance run, in this order."""
 
     broadcasts: list[UsageBroadcast]
     counter_calls: list[CounterCall]
 
 
 class QuotaSharing:
-    """One gateway's quota sharing (a `policy.ports.QuotaSharingPort`).
+    """Quota sharing of one gateway (implements `policy.ports.QuotaSharingPort`).
 
-    `membership` is its part in the fleet, which runs on a steady clock of its own.
+    `membership` is this gateway's membership in the fleet, which runs on a steady clock of its own.
     """
 
     def __init__(self, membership: LocalMember, settings: QuotaSharingSettings) -> None:
         self.membership = membership
         self.settings = settings
-        me = membership.membership.local
-        self.usage = UncountedUsage(me.name, me.started_at, settings.max_rows)
+        local = membership.membership.local
+        self.usage = UncountedUsage(local.name, local.started_at, settings.max_rows)
         self.silent_members = SilentMembers(settings)
-        self.presence = Presence(me.slot, settings)
-        self.carrying: set[tuple[int, int]] = set()  # windows whose carried-over units ride on an add
+        self.presence = Presence(local.slot, settings)
+        # Customers' windows whose carried-over units are part of an increment that is not reconciled yet.
+        self.carry_over_pending: set[tuple[int, int]] = set()
         self.restored = False
         self.broadcast_at = float("-inf")
 
-    # For the policy.
+    # Implementation of QuotaSharingPort.
 
     def record_uncounted(self, customer: int, window: int, quota: SharedQuota, units: float) -> None:
-        """See QuotaSharingPort."""
+        """Record units that this gateway admitted without the counter; see QuotaSharingPort."""
         self.usage.record_uncounted(customer, window, quota.window_ms, units)
 
     def reconcile(self, customer: int, window: int, units: float) -> None:
-        """See QuotaSharingPort. Carried-over units are reconciled first."""
-        if (customer, window) in self.carrying:
-            self.carrying.remove((customer, window))
+        """Mark units as added to the counter, carried-over units first; see QuotaSharingPort."""
+        if (customer, window) in self.carry_over_pending:
+            self.carry_over_pending.remove((customer, window))
             units = self.usage.reconcile_carried_over(customer, window, units)
         self.usage.reconcile(customer, window, units)
 
     def carry_over(self, customer: int, window: int) -> float:
-        """See QuotaSharingPort: units of a snapshot, which ride on the next add, once.
+        """Return the units of a snapshot that the next increment includes, once; see QuotaSharingPort.
 
-        A process that ends between that add and the next snapshot adds them again: counting twice rejects
-        some until the window is over, and admits nothing more.
+        A process that ends between that increment and the next snapshot adds the units again after its
+        restart. Such double counting rejects some requests until the window ends, and admits no more.
         """
-        if not self.restored or (customer, window) in self.carrying:
+        if not self.restored or (customer, window) in self.carry_over_pending:
             return 0.0
         units = self.usage.carried_over(customer, window)
         if units:
-            self.carrying.add((customer, window))
+            self.carry_over_pending.add((customer, window))
         return units
 
     def uncounted_elsewhere(self, customer: int, window: int, quota: SharedQuota, now: float) -> float:
-        """See QuotaSharingPort: what others broadcast, and the reserves of the silent."""
+        """Return the units that others broadcast plus the reserves for silent ones; see QuotaSharingPort."""
         units = self.usage.outstanding_elsewhere(customer, window)
-        if self.silent_members.since:
+        if self.silent_members.silent_since:
             slot_count = self.membership.slots.gateways
-            for units_held_back in self.silent_members.reserves(quota, window, slot_count, now):
-                units += units_held_back
+            for reserved_units in self.silent_members.reserves(quota, window, slot_count, now):
+                units += reserved_units
         return units
 
     def counter_call_finished(self, call: CounterCall, outcome: Outcome, total: float) -> None:
-        """See QuotaSharingPort: a total above 0 of a presence call says that the slot's gateway was there."""
+        """Apply the end of a counter call; see QuotaSharingPort.
+
+        A total above 0 of a presence call shows that the gateway in that slot reaches the counter.
+        """
         if outcome is not Outcome.DONE:
             return
-        present_until = self.presence.shown_until(call, total)
+        present_until = self.presence.valid_until(call, total)
         if present_until is not None:
             self.silent_members.present_until[call.window] = present_until
 
-    # For the transport.
+    # Interface to the transport.
 
     def restore(self, rows: list[UsageRow], now: float) -> int:
-        """Take in the rows of a snapshot; returns how many are still of use."""
+        """Merge the rows of a snapshot and return how many of them have not expired."""
         rows_before = self.usage.row_count
         for row in rows:
             if row.started_at != self.usage.started_at:
@@ -110,20 +114,22 @@
         return self.usage.row_count - rows_before
 
     def receive(self, rows: tuple[UsageRow, ...], now: float) -> None:
-        """Merge rows of a datagram; this process's own, sent back by others, are left out."""
-        own = (self.usage.gateway, self.usage.started_at)
+        """Merge the rows of a datagram, except rows of this process that others gossip back."""
+        local_incarnation = (self.usage.gateway, self.usage.started_at)
         for row in rows:
-            if row.incarnation() != own:
+            if row.incarnation() != local_incarnation:
                 self.usage.merge(row, now)
 
     def run_maintenance(self, now: float, steady_now: float) -> DueWork:
-        """The periodic work: refreshes who is silent, drops old rows, and gives what is to be sent now."""
+        """Refresh the silent members, remove expired rows, and return the messages and calls to send now."""
         silent_slots = self.membership.slots.silent(steady_now)
         self.silent_members.refresh(silent_slots, now, steady_now)
         self.usage.remove_expired(now)
         broadcasts = self._broadcasts_due(now)
         refutations = self.membership.membership.counts["refutations"]
-        return DueWork(broadcasts, self.presence.calls_due(self.silent_members.since, refutations, now))
+        return DueWork(
+            broadcasts, self.presence.calls_due(self.silent_members.silent_since, refutations, now)
+        )
 
     def _broadcasts_due(self, now: float) -> list[UsageBroadcast]:
         membership = self.membership.membership
--- a/tests/quota_sharing/test_quota_sharing.py
+++ b/tests/quota_sharing/test_quota_sharing.py
@@ -118,7 +118,7 @@
     truth, sent = {}, []
     for n, customer, units, reconciles in steps:
         if reconciles:
-            units = min(units, gateways[n].own_outstanding(customer, 1))
+            units = min(units, gateways[n].local_outstanding(customer, 1))
             gateways[n].reconcile(customer, 1, units)
             truth[n, customer] = truth.get((n, customer), 0) - units
         else:
@@ -168,7 +168,7 @@
     before.record_uncounted(161, 7, QUOTA, 5.0)
     before.record_uncounted(161, 8, QUOTA, 3.0)
     before.reconcile(161, 8, 1.0)
-    rows = unpack("g0", pack("g0", before.usage.own_unreconciled_rows()))
+    rows = unpack("g0", pack("g0", before.usage.local_unreconciled_rows()))
     me = Member("g0", "10.0.0.0:7946", 9, 0, MemberState.ALIVE, 0, 1)
     after = QuotaSharing(LocalMember(me, Timing(), (), 4, 0.0, Random(1), "c"), QuotaSharingSettings())
     assert after.restore(rows, 16_500.0) == 2 and after.restore(rows, 99_000.0) == 0
@@ -180,7 +180,7 @@
     after.reconcile(161, 8, 6.0)
     assert (
         after.uncounted_elsewhere(161, 8, QUOTA, 16_500.0) == 0.0
-        and after.usage.own_outstanding(161, 8) == 0.0
+        and after.usage.local_outstanding(161, 8) == 0.0
     )
     assert after.carry_over(161, 8) == 0.0
     other = QuotaSharing(LocalMember(member(1), Timing(), (), 4, 0.0, Random(1), "c"), QuotaSharingSettings())
@@ -216,7 +216,7 @@
     assert held_back(11_000.0) == round(
         RATE / 1000 * 1000 / SET, 6
     )  # its part of the rate, this far into the window
-    assert shared.silent_members.since == {3: since}
+    assert shared.silent_members.silent_since == {3: since}
     part.slots.member_changed(11_500.0, MemberChange(member(3, MemberState.GONE), MemberState.DEAD))
     assert held_back(11_600.0) > 0  # that others proved its end does not count
     part.slots.connection_refused(11_700.0, member(3).address)
