--- a/granitedock/outlier_detection/__init__.py
+++ b/granitedock/outlier_detection/__init__.py
@@ -1,4 +1,4 @@
-"""Outlier detection: gateways gossip what they observe of hosts and eject those that fail for several.
+"""Outlier detection: gateways gossip observations of hosts and eject hosts that fail for several gateways.
 
 See docs/outlier-detection-design.md. No I/O.
 """
--- a/granitedock/outlier_detection/detector.py
+++ b/granitedock/outlier_detection/detector.py
@@ -1,10 +1,10 @@
-"""The outlier detector: which hosts are ejected by what gateways observe together, and who probes them.
+"""The outlier detector: decides which hosts are ejected, and which gateways probe them.
 
-Own attempts come first. Observations of others count only from live members, while they are fresh, from
-several gateways, and only as long as fewer speak for the host; a gateway that speaks against most hosts is
-distrusted, as its own network is the likelier cause. Ejections are limited to a share of the hosts, and never
-take the last one of a zone. All of it only takes work away from a host; nothing sends to one. No I/O; times
-are ms of one clock.
+Attempts of this gateway take precedence. Observations of other gateways count only if they are from live
+members, fresh, negative from several gateways, and not outnumbered or equalled by positive ones. A gateway
+with negative observations of most hosts is distrusted, because its own network is the likelier cause.
+Ejections are limited to a share of the hosts and never include the last host of a zone. Outlier detection
+only reduces the requests sent to a host and never adds any. No I/O; times are ms of one clock.
 """
 
 from __future__ import annotations
@@ -28,22 +28,22 @@
 )
 from granitedock.policy.types import EndpointStatus, Host, Outcome
 
-EXPIRY_FACTOR = 2  # observations are held so many times as long as they are fresh
+EXPIRY_TTL_MULTIPLE = 2  # Observations are stored for this multiple of the time for which they are fresh.
 
 
 @dataclass(frozen=True, slots=True)
 class EjectionChange:
-    """A host was ejected, or reinstated (no `reason`)."""
+    """The ejection of a host, or its reinstatement (`reason` is None)."""
 
     host: str
     reason: EjectionReason | None
 
 
 class OutlierDetector:
-    """One gateway's outlier detection (a `policy.ports.OutlierDetectionPort`).
+    """Outlier detection of one gateway (implements `policy.ports.OutlierDetectionPort`).
 
-    `started_at` is the start time of its process (Unix ms); `live_members` gives the names of the live
-    gateways in order, its own among them.
+    `started_at` is the start time of the gateway's process (Unix ms). `live_members` returns the names of the
+    live gateways, including this one, in order.
     """
 
     def __init__(
@@ -57,28 +57,31 @@
         self.settings = settings
         self.live_members = live_members
         self.observations = Observations(
-            gateway, started_at, settings.max_observations, EXPIRY_FACTOR * settings.observation_ttl_ms
+            gateway, started_at, settings.max_observations, EXPIRY_TTL_MULTIPLE * settings.observation_ttl_ms
         )
-        self.statistics: dict[str, AttemptStatistics] = {}  # by host
+        self.statistics: dict[str, AttemptStatistics] = {}  # by host name
         self.hosts: dict[str, Host] = {}
         self.ejected: dict[str, EjectionReason] = {}
         self.distrusted: set[str] = set()
         self.counts: Counter[str] = Counter()
-        self.changes: list[EjectionChange] = []  # for the event log
+        self.changes: list[EjectionChange] = []  # Changes to write to the event log.
         self.sequence = 0
         self.evaluated_at = float("-inf")
         self.broadcast_at = float("-inf")
 
-    # For the policy.
+    # Implementation of OutlierDetectionPort.
 
     def attempt_started(self, host: Host) -> None:
-        """See OutlierDetectionPort."""
+        """Count the attempt as in flight; see OutlierDetectionPort."""
         self._statistics_of(host).in_flight += 1
 
     def attempt_finished(
         self, host: Host, outcome: Outcome, took_ms: float, latency_objective_ms: float, now: float
     ) -> None:
-        """See OutlierDetectionPort. An attempt that was never sent says nothing of the host."""
+        """Publish the outcome; see OutlierDetectionPort.
+
+        An attempt that was never sent is no observation of the host.
+        """
         statistics = self._statistics_of(host)
         statistics.in_flight = max(0, statistics.in_flight - 1)
         if outcome is Outcome.ABANDONED:
@@ -87,10 +90,10 @@
         self._publish(host.name, statistics, now)
 
     def is_ejected(self, host: Host, non_idempotent: bool, now: float) -> bool:
-        """See OutlierDetectionPort.
+        """Return whether the host is ejected for this request; see OutlierDetectionPort.
 
-        A failing host is half-open for the gateways whose turn it is: they probe it with requests, but not
-        with one that could not be sent again.
+        A failing host is half-open for the gateways in their probe turn: they probe it with
+        requests, except with those that must not be sent again.
         """
         self.update_verdicts(now)
         reason = self.ejected.get(host.name)
@@ -99,37 +102,39 @@
         return non_idempotent or reason is EjectionReason.DRAINING or not self.has_probe_turn(host.name, now)
 
     def may_probe(self, host: Host, now: float) -> bool:
-        """See OutlierDetectionPort: in this gateway's turn, or once another gateway had an answer."""
+        """Return whether this is a probe turn, or another gateway had an answer; see OutlierDetectionPort."""
         if self.has_probe_turn(host.name, now):
             return True
         observations = self._trusted_observations(host.name, set(self.live_members()), now)
-        return any(is_fresh_answer(one, self.settings.observation_ttl_ms) for one in observations)
+        return any(
+            is_fresh_answer(observation, self.settings.observation_ttl_ms) for observation in observations
+        )
 
     def has_probe_turn(self, host: str, now: float) -> bool:
-        """Whether it is this gateway's turn to probe this host.
+        """Return whether this gateway is among the probers of this host in the current turn.
 
-        The live members take turns by their place in the order of names, others first for each host. Where
-        membership views differ, some more probe it, or some fewer, for a turn. As some probe at any time, a
-        host that recovered is found although each gateway sees few requests.
+        The live members take turns in the order of their names, with a different start for each host. Where
+        membership views differ, more or fewer gateways probe the host for a turn. Some gateways probe in
+        every turn, so that the recovery of a host is detected although each gateway has few requests.
         """
         members = self.live_members()
         turn = int(now // self.settings.probe_turn_ms) + zlib.crc32(host.encode())
-        place = bisect_left(members, self.gateway)
-        probers = max(1, len(members) // self.settings.gateways_per_prober)
-        return (place + turn) % len(members) < probers
+        position = bisect_left(members, self.gateway)
+        prober_count = max(1, len(members) // self.settings.gateways_per_prober)
+        return (position + turn) % len(members) < prober_count
 
-    # Own attempts and endpoint list.
+    # Attempts and endpoint list of this gateway.
 
     def _statistics_of(self, host: Host) -> AttemptStatistics:
         statistics = self.statistics.get(host.name)
         if statistics is None or host.started_at > statistics.host_started_at:
-            # A host that started again is another process: nothing observed of the one before it holds.
+            # A restarted host is another process, to which earlier observations do not apply.
             statistics = AttemptStatistics(host_started_at=host.started_at)
             self.statistics[host.name] = statistics
         return statistics
 
     def update_hosts(self, hosts: dict[str, Host], now: float) -> None:
-        """Follow this gateway's endpoint list: publish new statuses, drop the hosts that left."""
+        """Apply this gateway's endpoint list: publish changed statuses and remove hosts that it lacks."""
         self.hosts = hosts
         for name, host in hosts.items():
             statistics = self._statistics_of(host)
@@ -142,15 +147,16 @@
     def _publish(
         self, host: str, statistics: AttemptStatistics, now: float, *, broadcast: bool = False
     ) -> None:
-        """Renew this gateway's own observation of a host.
+        """Replace this gateway's observation of a host with the current statistics.
 
-        It is broadcast if it speaks against the host, if the last one did, or on demand.
+        The observation is broadcast if it or the previous one is negative or reports draining, or if
+        `broadcast` is set.
         """
         self.sequence += 1
         observation = statistics.observation(
             self.gateway, self.observations.started_at, self.sequence, host, now
         )
-        previous = self.observations.own(host)
+        previous = self.observations.local_observation(host)
         if observation.is_negative() or observation.draining:
             broadcast = True
         elif previous is not None:
@@ -161,45 +167,47 @@
     # Gossip with other gateways.
 
     def receive(self, observations: tuple[HostObservation, ...], now: float) -> None:
-        """Merge observations of a datagram.
+        """Merge the observations of a datagram.
 
-        One that speaks against a host which answered this gateway of late is met by its own.
+        A negative observation of a host that recently answered this gateway triggers a broadcast of this
+        gateway's own observation.
         """
         for observation in observations:
             if not self.observations.merge(observation, now) or not observation.is_negative():
                 continue
-            own = self.statistics.get(observation.host)
-            if own is not None and own.answered_within(self.settings.observation_ttl_ms, now):
-                self._publish(observation.host, own, now, broadcast=True)
+            statistics = self.statistics.get(observation.host)
+            if statistics is not None and statistics.answered_within(self.settings.observation_ttl_ms, now):
+                self._publish(observation.host, statistics, now, broadcast=True)
 
     def broadcasts_due(self, limit: int, now: float) -> list[HostObservation]:
-        """At most `limit` observations to send now; empty between two broadcasts.
+        """Return at most `limit` observations to send now; empty until the broadcast interval has passed.
 
-        Own ones that still hold are published again, so that they do not expire elsewhere.
+        Observations of this gateway that still apply are published again, so that they do not expire at the
+        other gateways.
         """
         settings = self.settings
         self.observations.remove_expired(now)
-        self._refresh_own(now)
+        self._republish_local(now)
         if now - self.broadcast_at < settings.broadcast_interval_ms or not self.observations.queue:
             return []
         self.broadcast_at = now
         return self.observations.next_broadcast(limit, len(self.live_members()), now)
 
-    def _refresh_own(self, now: float) -> None:
-        """Publish the own observations that still hold; their overloads fade by half each time."""
+    def _republish_local(self, now: float) -> None:
+        """Publish again the observations of this gateway that still apply, with half of their overloads."""
         settings = self.settings
         for name, statistics in self.statistics.items():
-            holds = statistics.status is not EndpointStatus.READY or statistics.failing_within(
+            still_applies = statistics.status is not EndpointStatus.READY or statistics.failing_within(
                 settings.observation_ttl_ms, now
             )
-            if holds and now - statistics.published_at >= settings.refresh_interval_ms:
+            if still_applies and now - statistics.published_at >= settings.refresh_interval_ms:
                 statistics.overloads //= 2
                 self._publish(name, statistics, now)
 
     # Verdicts.
 
     def update_verdicts(self, now: float) -> None:
-        """Evaluate all ready hosts and eject or reinstate them; does so once an interval at most."""
+        """Evaluate all ready hosts and eject or reinstate them, at most once per verdict interval."""
         if now - self.evaluated_at >= self.settings.verdict_interval_ms:
             self.evaluated_at = now
             self._evaluate(now)
@@ -209,11 +217,11 @@
         live = set(self.live_members())
         self.distrusted = distrusted_gateways(self.observations, live, len(self.hosts), settings, now)
         ready = [name for name, host in self.hosts.items() if host.status is EndpointStatus.READY]
-        verdicts = [found for name in ready if (found := self._verdict_on(name, live, now))]
+        verdicts = [host_verdict for name in ready if (host_verdict := self._verdict_on(name, live, now))]
         allowed = limit_ejections(verdicts, self.hosts, ready, settings.max_ejection_share)
         if len(allowed) < len(verdicts):
             self.counts["kept_by_bounds"] += len(verdicts) - len(allowed)
-        self._replace_ejected({one.host: one.reason for one in allowed})
+        self._replace_ejected({ejection.host: ejection.reason for ejection in allowed})
 
     def _verdict_on(self, host: str, live: set[str], now: float) -> Verdict | None:
         was_failing = self.ejected.get(host) is EjectionReason.FAILING
@@ -227,7 +235,7 @@
         self.ejected = ejected
 
     def _trusted_observations(self, name: str, live: set[str], now: float) -> list[HostObservation]:
-        """Fresh observations of other live, trusted gateways on the host's present process."""
+        """Return the fresh observations of the host's current process by other live, trusted gateways."""
         host = self.hosts.get(name)
         if host is None:
             return []
@@ -235,7 +243,7 @@
         for gateway, received in self.observations.by_host.get(name, {}).items():
             if gateway == self.gateway or gateway not in live or gateway in self.distrusted:
                 continue
-            fresh = now - received.received_at <= self.settings.observation_ttl_ms
-            if fresh and received.observation.host_started_at >= int(host.started_at):
+            is_fresh = now - received.received_at <= self.settings.observation_ttl_ms
+            if is_fresh and received.observation.host_started_at >= int(host.started_at):
                 observations.append(received.current(now))
         return observations
--- a/granitedock/outlier_detection/observations.py
+++ b/granitedock/outlier_detection/observations.py
@@ -1,9 +1,9 @@
-"""Observations of hosts: one for each host and gateway, small figures with their age; the newest wins.
+"""Observations of hosts: a few numbers and their ages for each host and gateway; the newest replaces others.
 
-An observation says what one gateway's own attempts at one host came to of late, and whether its own endpoint
-list has the host draining or gone. Observations are ordered by the gateway's incarnation and a sequence
-number, so that reordered, lost and duplicated ones end in the same state. Ages travel instead of times, so
-that clocks need not agree.
+An observation states the results of one gateway's recent attempts at one host, and whether that gateway's
+endpoint list has the host as draining or lacks it. Observations are ordered by the gateway's incarnation and
+a sequence number, so that reordered, lost and duplicated ones converge to the same state. They carry ages
+instead of times, so that the gateways' clocks need not agree.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 from granitedock.membership.broadcast_queue import transmit_limit
 
-NEVER = -1  # the age of what never happened
+NEVER = -1  # The age of an event that never occurred.
 EXPIRY_INTERVAL_MS = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class HostObservation:
-    """What one gateway observes of one host.
+    """One gateway's observation of one host.
 
-    `started_at` and `host_started_at` are the start times of the gateway's and the host's process (Unix ms;
-    the latter as discovery gives it). Ages are in ms, `NEVER` where it did not happen.
+    `started_at` and `host_started_at` are the start times of the gateway's and the host's process (Unix ms);
+    discovery provides the latter. Ages are in ms, `NEVER` for an event that did not occur.
     """
 
     gateway: str
@@ -31,50 +31,50 @@
     sequence: int
     host: str
     host_started_at: int
-    failures: int  # consecutive
-    failure_age_ms: int  # since the last failure
-    answer_age_ms: int  # since the last answer
-    timeouts: int = 0  # of the failures
-    overloads: int = 0  # rejections for want of capacity, of late
-    latency_percent: int = 0  # answer times of late, in percent of the latency objective
+    failures: int  # Consecutive failures.
+    failure_age_ms: int  # Time since the last failure.
+    answer_age_ms: int  # Time since the last answer.
+    timeouts: int = 0  # The timeouts among the failures.
+    overloads: int = 0  # Recent rejections because the host had no capacity.
+    latency_percent: int = 0  # Recent answer times, in percent of the latency objective.
     in_flight: int = 0
-    draining: bool = False  # its own list says so, or that the host is gone
+    draining: bool = False  # The gateway's endpoint list has the host as draining or lacks it.
 
     def rank(self) -> tuple[int, int]:
-        """Of two observations of one gateway and host, the one of higher rank is newer."""
+        """Return the sort key of one gateway's observations of one host; the newer has the higher rank."""
         return (self.started_at, self.sequence)
 
     def key(self) -> tuple[str, str]:
-        """The gateway and the host."""
+        """Return the gateway and the host."""
         return (self.gateway, self.host)
 
-    def aged(self, ms: float) -> HostObservation:
-        """The same observation, `ms` later."""
-        passed = int(ms)
-        failure_age = self.failure_age_ms + passed if self.failure_age_ms >= 0 else NEVER
-        answer_age = self.answer_age_ms + passed if self.answer_age_ms >= 0 else NEVER
+    def aged(self, elapsed_ms: float) -> HostObservation:
+        """Return the same observation with its ages increased by `elapsed_ms`."""
+        added_ms = int(elapsed_ms)
+        failure_age = self.failure_age_ms + added_ms if self.failure_age_ms >= 0 else NEVER
+        answer_age = self.answer_age_ms + added_ms if self.answer_age_ms >= 0 else NEVER
         return replace(self, failure_age_ms=failure_age, answer_age_ms=answer_age)
 
     def is_negative(self) -> bool:
-        """Whether it speaks against the host: failures, and no answer since."""
+        """Return whether the host failed for the gateway and has not answered since."""
         return self.failures > 0 and (self.answer_age_ms < 0 or self.answer_age_ms > self.failure_age_ms)
 
 
 @dataclass(slots=True)
 class ReceivedObservation:
-    """An observation with when it was made or received here (ms of the holder's clock)."""
+    """An observation and the time at which it was made or received (ms of this gateway's clock)."""
 
     observation: HostObservation
     received_at: float
 
     def current(self, now: float) -> HostObservation:
-        """The observation with its ages as they are now."""
+        """Return the observation with its ages at `now`."""
         return self.observation.aged(now - self.received_at)
 
 
 @dataclass(slots=True)
 class QueuedObservation:
-    """An observation to broadcast, by its key; `order` is that of the changes."""
+    """The key of an observation to broadcast; `order` is the number of its change."""
 
     host: str
     gateway: str
@@ -83,9 +83,10 @@
 
 
 class Observations:
-    """All observations that this gateway holds, its own too, and the queue of those to be broadcast.
+    """The observations by all gateways, including this one, and the queue of those to broadcast.
 
-    `max_count` bounds them; a new one beyond it is dropped and counted. They expire `ttl_ms` after they came.
+    `max_count` limits their number; a new one beyond it is dropped and counted. An observation expires
+    `ttl_ms` after it was made or received.
     """
 
     def __init__(self, gateway: str, started_at: int, max_count: int, ttl_ms: float) -> None:
@@ -93,20 +94,23 @@
         self.started_at = started_at
         self.max_count = max_count
         self.ttl_ms = ttl_ms
-        self.by_host: dict[str, dict[str, ReceivedObservation]] = {}  # then by gateway
+        self.by_host: dict[str, dict[str, ReceivedObservation]] = {}  # By host name, then by gateway.
         self.count = 0
         self.queue: dict[tuple[str, str], QueuedObservation] = {}
         self.queued_count = 0
         self.counts: Counter[str] = Counter()
         self.expired_at = float("-inf")
 
-    def own(self, host: str) -> ReceivedObservation | None:
-        """The observation that this gateway made of a host."""
+    def local_observation(self, host: str) -> ReceivedObservation | None:
+        """Return this gateway's observation of a host, or None."""
         by_gateway = self.by_host.get(host)
         return by_gateway.get(self.gateway) if by_gateway is not None else None
 
     def merge(self, observation: HostObservation, now: float) -> bool:
-        """Take in an observation of another gateway; whether it was newer than the known one."""
+        """Merge an observation by another gateway.
+
+        Returns whether it was newer than the known one and could be stored.
+        """
         if observation.gateway == self.gateway:
             return False
         known = self.by_host.get(observation.host, {}).get(observation.gateway)
@@ -115,7 +119,7 @@
         return self.store(observation, now, broadcast=True)
 
     def store(self, observation: HostObservation, now: float, *, broadcast: bool) -> bool:
-        """Hold an observation in place of the known one; whether there was room for it."""
+        """Store an observation in place of the known one and return whether `max_count` permitted it."""
         by_gateway = self.by_host.get(observation.host)
         if by_gateway is None or observation.gateway not in by_gateway:
             if self.count >= self.max_count:
@@ -132,12 +136,12 @@
         return True
 
     def next_broadcast(self, limit: int, members: int, now: float) -> list[HostObservation]:
-        """At most `limit` observations to send next, the least sent first, with their ages as they are now.
+        """Return at most `limit` observations to send next, the least sent first, with their ages at `now`.
 
-        One leaves the queue once it went as often as gossip to `members` members does.
+        An observation leaves the queue after as many transmissions as gossip among `members` members uses.
         """
         max_transmits = transmit_limit(members)
-        chosen = []
+        observations = []
         least_sent = heapq.nsmallest(
             limit, self.queue.values(), key=lambda queued: (queued.transmits, queued.order)
         )
@@ -147,11 +151,11 @@
             if received is None or queued.transmits >= max_transmits:
                 self.queue.pop((queued.gateway, queued.host), None)
             if received is not None:
-                chosen.append(received.current(now))
-        return chosen
+                observations.append(received.current(now))
+        return observations
 
     def remove_expired(self, now: float) -> None:
-        """Drop old observations, so that no host is ejected by them; does so once a second at most."""
+        """Remove expired observations, at most once a second, so that they cannot cause an ejection."""
         if now - self.expired_at < EXPIRY_INTERVAL_MS:
             return
         self.expired_at = now
--- a/granitedock/outlier_detection/report.py
+++ b/granitedock/outlier_detection/report.py
@@ -1,4 +1,4 @@
-"""The state of outlier detection as plain values, under the names that `granitedock hosts` reads."""
+"""The state of outlier detection as plain values, under the keys that `granitedock hosts` reads."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def outlier_report(detector: OutlierDetector, now: float) -> dict[str, Any]:
-    """What `HOSTS` shows (`now` in ms of the detector's clock); for operators: docs/outlier-detection.md."""
+    """Return the HOSTS reply (`now` in ms of the detector's clock); see docs/outlier-detection.md."""
     hosts = {}
     for name, host in sorted(detector.hosts.items()):
         reason = detector.ejected.get(name)
--- a/granitedock/outlier_detection/settings.py
+++ b/granitedock/outlier_detection/settings.py
@@ -1,4 +1,4 @@
-"""Settings of outlier detection; the operators' keys for them are those of `[hosts]` in the fleet file."""
+"""Settings of outlier detection; the keys for operators are under `[hosts]` in the fleet file."""
 
 from __future__ import annotations
 
@@ -7,18 +7,20 @@
 
 @dataclass(frozen=True, slots=True)
 class OutlierDetectionSettings:
-    """Times in ms, and counts."""
+    """The settings of one gateway's outlier detection; times are in ms."""
 
-    observation_ttl_ms: float = 6000.0  # observations older than this count for nothing
-    own_answer_ttl_ms: float = 2000.0  # an own answer no older than this outweighs all observations of others
-    min_failures: int = 3  # consecutive, of several gateways together
+    observation_ttl_ms: float = 6000.0  # Older observations are ignored.
+    local_answer_ttl_ms: float = 2000.0  # A local answer this recent outweighs all observations of others.
+    min_failures: int = 3  # Sum of the consecutive failures over the gateways.
     min_gateways: int = 2
-    max_ejection_share: float = 0.25  # part of the ready hosts that may be ejected
-    distrust_share: float = 0.5  # who speaks against at least this part of the hosts is distrusted
-    distrust_min_hosts: int = 3  # and against so many at least
-    probe_turn_ms: float = 1000.0  # in each turn, some live gateways may probe an ejected host:
-    gateways_per_prober: int = 20  # one in so many, one at least
+    max_ejection_share: float = 0.25  # The share of the ready hosts that may be ejected.
+    # A gateway with negative observations of at least this share of the hosts, and of at least this number of
+    # hosts, is distrusted.
+    distrust_share: float = 0.5
+    distrust_min_hosts: int = 3
+    probe_turn_ms: float = 1000.0  # In each turn, some of the live gateways may probe an ejected host.
+    gateways_per_prober: int = 20  # One prober in a turn for so many live gateways, and at least one.
     verdict_interval_ms: float = 100.0
     broadcast_interval_ms: float = 200.0
-    refresh_interval_ms: float = 1000.0  # an observation that still holds is broadcast again so often
+    refresh_interval_ms: float = 1000.0  # Between broadcasts of an observation that still applies.
     max_observations: int = 20_000
--- a/granitedock/outlier_detection/verdicts.py
+++ b/granitedock/outlier_detection/verdicts.py
@@ -1,4 +1,4 @@
-"""The verdict on one host, whose observations are trusted, and how many hosts may be ejected. No state."""
+"""Rules without state: the verdict on a host, the trust in gateways, and the limit on ejections."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class EjectionReason(Enum):
-    """Why a host is ejected; the values are the words of `HOSTS` and of the event log."""
+    """The reason for an ejection; the values appear in the HOSTS reply and in the event log."""
 
     FAILING = "failing"
     DRAINING = "draining"
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """That a host should be ejected, and how many gateways say so."""
+    """The verdict that a host should be ejected, and the number of gateways that support it."""
 
     host: str
     reason: EjectionReason
@@ -31,41 +31,46 @@
 
 def verdict(
     host: str,
-    own: AttemptStatistics | None,
+    local: AttemptStatistics | None,
     observations: list[HostObservation],
     was_failing: bool,
     settings: OutlierDetectionSettings,
     now: float,
 ) -> Verdict | None:
-    """The verdict on `host` by fresh observations of trusted gateways; None if it should not be ejected.
+    """Return the verdict on `host` from fresh observations by trusted gateways, or None for no ejection.
 
-    `was_failing` says that it is ejected as failing now: then one fresh failure of whoever probes it keeps it
-    ejected, unless as many gateways have answers.
+    `local` is the statistics of this gateway's own attempts. `was_failing` is true if the host is currently
+    ejected as failing. One fresh failure at any prober then keeps it ejected, unless as many gateways have
+    fresh answers.
     """
     draining = sum(observation.draining for observation in observations)
     if draining:
         return Verdict(host, EjectionReason.DRAINING, draining + len(observations))
-    if own is not None and own.answered_within(settings.own_answer_ttl_ms, now):
+    if local is not None and local.answered_within(settings.local_answer_ttl_ms, now):
         return None
     ttl_ms = settings.observation_ttl_ms
-    negative = [one for one in observations if one.is_negative() and one.failure_age_ms <= ttl_ms]
-    positive = [one for one in observations if is_fresh_answer(one, ttl_ms)]
+    negative = [
+        observation
+        for observation in observations
+        if observation.is_negative() and observation.failure_age_ms <= ttl_ms
+    ]
+    positive = [observation for observation in observations if is_fresh_answer(observation, ttl_ms)]
     gateways = len(negative)
     failures = sum(observation.failures for observation in negative)
-    if own is not None and own.failing_within(ttl_ms, now):
+    if local is not None and local.failing_within(ttl_ms, now):
         gateways += 1
-        failures += own.failures
+        failures += local.failures
     if was_failing:
-        enough = gateways >= 1
+        meets_threshold = gateways >= 1
     else:
-        enough = gateways >= settings.min_gateways and failures >= settings.min_failures
-    if enough and gateways > len(positive):
+        meets_threshold = gateways >= settings.min_gateways and failures >= settings.min_failures
+    if meets_threshold and gateways > len(positive):
         return Verdict(host, EjectionReason.FAILING, gateways)
     return None
 
 
 def is_fresh_answer(observation: HostObservation, ttl_ms: float) -> bool:
-    """Whether it speaks for the host: its last attempt was answered, no longer ago than `ttl_ms`."""
+    """Return whether the gateway's last attempt was answered, within the last `ttl_ms`."""
     return not observation.is_negative() and 0 <= observation.answer_age_ms <= ttl_ms
 
 
@@ -76,7 +81,10 @@
     settings: OutlierDetectionSettings,
     now: float,
 ) -> set[str]:
-    """Gateways whose own network is the likelier cause: they speak against most of the hosts."""
+    """Return the gateways with negative observations of most hosts.
+
+    The likelier cause of such observations is the gateway's own network.
+    """
     negative: Counter[str] = Counter()
     for by_gateway in observations.by_host.values():
         for gateway, received in by_gateway.items():
@@ -91,14 +99,14 @@
 def limit_ejections(
     verdicts: list[Verdict], hosts: Mapping[str, Host], ready: list[str], max_share: float
 ) -> list[Verdict]:
-    """As many verdicts as may be carried out, those that most gateways support first.
+    """Return the verdicts that may be carried out; those that most gateways support take precedence.
 
-    At most `max_share` of the `ready` hosts are ejected, and never the last one of a zone.
+    At most `max_share` of the `ready` hosts are ejected, and never the last host of a zone.
     """
     max_ejections = int(max_share * len(ready))
     remaining_in_zone = Counter(hosts[name].zone for name in ready)
     allowed: list[Verdict] = []
-    for candidate in sorted(verdicts, key=lambda one: (-one.gateways, one.host)):
+    for candidate in sorted(verdicts, key=lambda candidate: (-candidate.gateways, candidate.host)):
         zone = hosts[candidate.host].zone
         if len(allowed) < max_ejections and remaining_in_zone[zone] > 1:
             remaining_in_zone[zone] -= 1
