--- a/tests/helpers/process_fleet.py
+++ b/tests/helpers/process_fleet.py
@@ -1,6 +1,7 @@
-"""The scenario that tests with fleets of real gateway processes share, and their time limit.
+"""The scenario shared by the tests with fleets of real gateway processes, and their time limit.
 
-One zone of four hosts at 5 ms a request, and one customer with four times its plan's rate.
+It has one zone of four hosts that take 5 ms per request, and one customer that sends four times its plan's
+rate.
 """
 
 from granitedock.lab.scenario import parse
@@ -27,11 +28,11 @@
 spread = 4
 left_ms = 800
 """
-# The stated time in which the live gateways agree again after a change (docs/membership.md), under load.
+# The documented time (docs/membership.md) in which the live gateways agree after a change, under load.
 WITHIN_S = 10.0
 
 
 def world(count, *replace):
-    """The scenario with `count` gateways; `replace`, (old, new), changes its text first."""
+    """Return the scenario with `count` gateways; `replace`, (old, new), changes its text first."""
     text = (WORLD % count).replace("spread = 4", f"spread = {min(4, count)}")
     return parse(text.replace(*replace) if replace else text)
--- a/tests/quota_sharing/test_quota_sharing_examples.py
+++ b/tests/quota_sharing/test_quota_sharing_examples.py
@@ -1,4 +1,4 @@
-"""Examples of small functions of quota sharing: what each gives for what."""
+"""Examples of small functions of quota sharing: the result of each for given arguments."""
 
 import re
 
--- a/tests/quota_sharing/test_quota_sharing_processes.py
+++ b/tests/quota_sharing/test_quota_sharing_processes.py
@@ -1,4 +1,8 @@
-"""Quota sharing by real gateway processes, under load and faults."""
+"""Quota sharing between real gateway processes, under load and faults.
+
+The tests guard against a customer that is admitted more or less than its plan while gateways are cut off from
+the counter or from each other.
+"""
 
 import os
 import time
@@ -11,162 +15,170 @@
 from granitedock.lab.load.verification import cluster_load, violations
 from granitedock.lab.reactor import on_reactor
 
-RATE, BURST, SET = 40.0, 40.0, 4
-LEAST = 0.9  # of the allowance over some seconds, with real processes, which other work may hold up
-DETECTION_S = 9.0  # the stated time in which a silence is known to all (docs/membership.md)
-SHARED = ("view = true", "view = true\nshared = true")
+RATE_PER_S, BURST_UNITS, SUBSET_SIZE = 40.0, 40.0, 4
+MIN_ALLOWANCE_SHARE = 0.9  # Of the allowance over some seconds; other work may delay real processes.
+DETECTION_S = 9.0  # The documented time in which all gateways know of a silence (docs/membership.md).
+ENABLE_QUOTA_SHARING = ("view = true", "view = true\nshared = true")
 
 
-class Day:
-    """A test cluster under load, whose admitted units are compared with the allowance."""
+class ClusterRun:
+    """A cluster of gateway processes under load, whose served units are compared with the allowance."""
 
     def __init__(self, tmp_path):
-        self.rig = GatewayCluster(world(4, *SHARED), tmp_path)
+        self.cluster = GatewayCluster(world(4, *ENABLE_QUOTA_SHARING), tmp_path)
 
     def __enter__(self):
-        rig = self.rig.__enter__()
-        rig.wait_until_ready()
-        rig.wait_for_agreement(range(4), WITHIN_S)
-        self.load = cluster_load(rig)
+        cluster = self.cluster.__enter__()
+        cluster.wait_until_ready()
+        cluster.wait_for_agreement(range(4), WITHIN_S)
+        self.load = cluster_load(cluster)
         self.load.start()
         time.sleep(3)
         return self
 
-    def __exit__(self, *what):
-        self.rig.__exit__(*what)
+    def __exit__(self, *exception):
+        self.cluster.__exit__(*exception)
 
-    def part(self, seconds):
-        """The part of the allowance that is done in the next seconds."""
-        began = self.load.now_s()
+    def allowance_share(self, seconds):
+        """Return the share of the allowance that is served in the next `seconds`."""
+        started_at = self.load.now_s()
         time.sleep(seconds)
-        return served_units(self.load.records, 161, began, began + seconds) / (RATE * seconds)
+        return served_units(self.load.records, 161, started_at, started_at + seconds) / (RATE_PER_S * seconds)
 
-    def ends(self):
-        """Check that each request had one answer and no rule was broken; the load's rows."""
+    def finish(self):
+        """Check that each request had one answer and no rule was violated; return the load's rows."""
         rows = self.load.stop()
-        assert not violations(self.load, self.rig)
+        assert not violations(self.load, self.cluster)
         assert not [
-            event for gateway in self.rig.gateways for event in gateway.events() if event["event"] == "fault"
+            event
+            for gateway in self.cluster.gateways
+            for event in gateway.events()
+            if event["event"] == "fault"
         ]
         return rows
 
-    def expired(self):
-        """Whether no gateway holds a usage row any more."""
-        return all(self.rig.view(n)["shared"]["rows"] == 0 for n in range(4))
+    def rows_expired(self):
+        """Return whether no gateway has a usage row."""
+        return all(self.cluster.view(n)["shared"]["rows"] == 0 for n in range(4))
 
 
 def test_usage_of_gateways_cut_off_from_the_counter_is_counted_by_those_that_reach_it(
     tmp_path,
 ):
-    with Day(tmp_path) as day:
-        for cut in ([2, 3], [1, 2, 3]):
-            day.rig.cut(cut, "counter")
+    with ClusterRun(tmp_path) as run:
+        for gateways in ([2, 3], [1, 2, 3]):
+            run.cluster.cut(gateways, "counter")
             time.sleep(2)
-            assert LEAST <= day.part(5) <= 1.05
-            day.rig.heal()
+            assert MIN_ALLOWANCE_SHARE <= run.allowance_share(5) <= 1.05
+            run.cluster.heal()
             time.sleep(4)
-        began = time.monotonic()
-        while not day.expired() and time.monotonic() - began < 25:
+        started_at = time.monotonic()
+        while not run.rows_expired() and time.monotonic() - started_at < 25:
             time.sleep(0.5)
-        assert day.expired()
-        assert LEAST <= day.part(4) <= 1.05
-        day.ends()
+        assert run.rows_expired()
+        assert MIN_ALLOWANCE_SHARE <= run.allowance_share(4) <= 1.05
+        run.finish()
 
 
-def test_shares_of_silent_gateways_are_held_back_unless_they_show_at_the_counter(tmp_path):
-    with Day(tmp_path) as day:
-        rig = day.rig
-        rig.cut([2, 3], "counter")
-        rig.cut([2, 3], [0, 1])
-        began = day.load.now_s()
+def test_shares_of_silent_gateways_are_reserved_unless_they_are_present_at_the_counter(tmp_path):
+    with ClusterRun(tmp_path) as run:
+        cluster = run.cluster
+        cluster.cut([2, 3], "counter")
+        cluster.cut([2, 3], [0, 1])
+        started_at = run.load.now_s()
         time.sleep(DETECTION_S)
-        over = served_units(day.load.records, 161, began, began + DETECTION_S) - RATE * DETECTION_S
-        assert (
-            over <= 2 * (BURST + RATE * DETECTION_S) / SET
-        )  # the stated transient: the silent gateways' shares
-        assert LEAST <= day.part(5) <= 1.05
-        # A gateway that restarts or resumes during the split changes nothing of the sum.
-        rig.restart(3)
-        rig.wait_until_ready(3)
-        rig.pause(2)
+        excess = (
+            served_units(run.load.records, 161, started_at, started_at + DETECTION_S)
+            - RATE_PER_S * DETECTION_S
+        )
+        # The documented transient excess is the shares of the silent gateways.
+        assert excess <= 2 * (BURST_UNITS + RATE_PER_S * DETECTION_S) / SUBSET_SIZE
+        assert MIN_ALLOWANCE_SHARE <= run.allowance_share(5) <= 1.05
+        # A gateway that restarts or resumes during the partition does not change the sum.
+        cluster.restart(3)
+        cluster.wait_until_ready(3)
+        cluster.pause(2)
         time.sleep(3)
-        rig.resume(2)
+        cluster.resume(2)
         time.sleep(1)
-        assert day.part(5) <= 1.05
-        rig.heal()
-        rig.wait_for_agreement(range(4), 2 * WITHIN_S)
+        assert run.allowance_share(5) <= 1.05
+        cluster.heal()
+        cluster.wait_for_agreement(range(4), 2 * WITHIN_S)
         time.sleep(5)
-        assert LEAST <= day.part(4) <= 1.05
-        rig.cut([2, 3], [0, 1])  # from each other only: all of them count
+        assert MIN_ALLOWANCE_SHARE <= run.allowance_share(4) <= 1.05
+        cluster.cut([2, 3], [0, 1])  # They are partitioned from each other only; all reach the counter.
         time.sleep(DETECTION_S + 3)
-        assert LEAST <= day.part(5) <= 1.05
-        assert rig.view(0)["shared"]["present_at_counter"] == [2, 3]
-        day.ends()
+        assert MIN_ALLOWANCE_SHARE <= run.allowance_share(5) <= 1.05
+        assert cluster.view(0)["shared"]["present_at_counter"] == [2, 3]
+        run.finish()
 
 
 def test_a_counter_with_kept_old_frozen_or_no_totals_is_not_read_as_nothing_used(
     tmp_path,
 ):
-    with Day(tmp_path) as day:
-        rig = day.rig
-        assert LEAST <= day.part(3) <= 1.05
-        began = day.load.now_s()
-        rig.cut(range(4), "counter")  # away, and back with its totals
+    with ClusterRun(tmp_path) as run:
+        cluster = run.cluster
+        assert MIN_ALLOWANCE_SHARE <= run.allowance_share(3) <= 1.05
+        started_at = run.load.now_s()
+        cluster.cut(range(4), "counter")  # The counter is unreachable, then reachable with its totals.
         time.sleep(2)
-        rig.heal()
-        time.sleep(1)  # connections come up, and totals of the calls that were held
-        assert LEAST <= day.part(5) <= 1.05
-        old = on_reactor(rig.counter.counts.copy)
+        cluster.heal()
+        time.sleep(1)  # Connections are established and delayed calls return totals.
+        assert MIN_ALLOWANCE_SHARE <= run.allowance_share(5) <= 1.05
+        old_counts = on_reactor(cluster.counter.counts.copy)
         time.sleep(1)
-        rig.restart_counter(old)
-        assert LEAST <= day.part(5) <= 1.1
-        rig.restart_counter(ExpiringCounts())
-        assert LEAST <= day.part(5) <= 1.1
-        rig.move_counter()
-        assert LEAST <= day.part(5) <= 1.1
-        frozen = on_reactor(rig.counter.counts.copy)
-        on_reactor(setattr, rig.counter, "frozen_counts", frozen)
+        cluster.restart_counter(old_counts)
+        assert MIN_ALLOWANCE_SHARE <= run.allowance_share(5) <= 1.1
+        cluster.restart_counter(ExpiringCounts())
+        assert MIN_ALLOWANCE_SHARE <= run.allowance_share(5) <= 1.1
+        cluster.move_counter()
+        assert MIN_ALLOWANCE_SHARE <= run.allowance_share(5) <= 1.1
+        frozen_totals = on_reactor(cluster.counter.counts.copy)
+        on_reactor(setattr, cluster.counter, "frozen_counts", frozen_totals)
         time.sleep(2)
-        assert LEAST <= day.part(5) <= 1.15
-        on_reactor(setattr, rig.counter, "frozen_counts", None)
+        assert MIN_ALLOWANCE_SHARE <= run.allowance_share(5) <= 1.15
+        on_reactor(setattr, cluster.counter, "frozen_counts", None)
         time.sleep(5)
-        assert LEAST <= day.part(4) <= 1.05
-        lasted = day.load.now_s() - began
-        assert served_units(day.load.records, 161, began, began + lasted) <= 1.05 * (RATE * lasted + BURST)
-        day.ends()
-
-
-def test_a_disk_that_holds_up_a_snapshot_holds_up_no_request(tmp_path):
-    # A pipe that nobody reads holds up whoever opens it to write, as a slow disk did, and with it every call
-    # to the counter that was out: breakers opened at gateways whose counter answered in time.
-    with Day(tmp_path) as day:
+        assert MIN_ALLOWANCE_SHARE <= run.allowance_share(4) <= 1.05
+        elapsed_s = run.load.now_s() - started_at
+        assert served_units(run.load.records, 161, started_at, started_at + elapsed_s) <= 1.05 * (
+            RATE_PER_S * elapsed_s + BURST_UNITS
+        )
+        run.finish()
+
+
+def test_a_disk_that_delays_a_snapshot_delays_no_request(tmp_path):
+    # Opening a pipe without a reader blocks the writer, as a slow disk does. If it blocks the event loop, it
+    # delays every counter call in flight: circuit breakers opened at gateways whose counter answered in time.
+    with ClusterRun(tmp_path) as run:
         for n in range(4):
             os.mkfifo(tmp_path / f"g{n}.snapshot.new")
-        day.rig.cut([2, 3], "counter")  # from now on there is something to write
+        run.cluster.cut([2, 3], "counter")  # From now on the snapshots have rows to write.
         time.sleep(3)
-        rows = day.ends()  # one answer to each request, in its time
-        late = [row for row in rows if row.sent_at_s > 4.0]
-        assert {row.gateway for row in late if row.outcome in ("done", "deferred")} == {0, 1, 2, 3}
+        rows = run.finish()  # Each request had one answer within its deadline.
+        late_rows = [row for row in rows if row.sent_at_s > 4.0]
+        assert {row.gateway for row in late_rows if row.outcome in ("done", "deferred")} == {0, 1, 2, 3}
 
 
 def test_uncounted_usage_is_restored_after_a_restart_and_a_damaged_snapshot_is_refused(tmp_path):
-    with Day(tmp_path) as day:
-        rig, file = day.rig, tmp_path / "g3.snapshot"
-        rig.cut([3], "counter")
+    with ClusterRun(tmp_path) as run:
+        cluster, snapshot = run.cluster, tmp_path / "g3.snapshot"
+        cluster.cut([3], "counter")
         time.sleep(2)
-        rig.restart(3)
-        rig.wait_until_ready(3)
-        read = [event for event in rig.gateways[3].events() if event["event"] == "snapshot read"]
-        assert read[-1]["of_use"] >= 1
-        rig.heal()
+        cluster.restart(3)
+        cluster.wait_until_ready(3)
+        read_events = [event for event in cluster.gateways[3].events() if event["event"] == "snapshot read"]
+        assert read_events[-1]["of_use"] >= 1
+        cluster.heal()
         time.sleep(2)
-        assert (
-            LEAST <= day.part(5) <= 1.1
-        )  # a fresh process brings a quarter of the burst: 0.05 of five seconds
-        rig.kill(3)
-        file.write_bytes(file.read_bytes()[:-1] + b"?")
-        rig.start(3)
-        rig.wait_until_ready(3)
-        refused = [event for event in rig.gateways[3].events() if event["event"] == "snapshot refused"]
-        assert "torn" in refused[-1]["why"]
-        day.ends()
+        # A fresh process adds a quarter of the burst, which is 0.05 of the allowance of five seconds.
+        assert MIN_ALLOWANCE_SHARE <= run.allowance_share(5) <= 1.1
+        cluster.kill(3)
+        snapshot.write_bytes(snapshot.read_bytes()[:-1] + b"?")
+        cluster.start(3)
+        cluster.wait_until_ready(3)
+        refused_events = [
+            event for event in cluster.gateways[3].events() if event["event"] == "snapshot refused"
+        ]
+        assert "torn" in refused_events[-1]["why"]
+        run.finish()
