--- a/granitedock/simulator_adapter/__init__.py
+++ b/granitedock/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the decisions and the simulator's wire."""
+"""The adapter that runs the policy on the simulator's wire protocol."""
--- a/granitedock/simulator_adapter/__main__.py
+++ b/granitedock/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Run the decisions on the simulator's wire: python -m granitedock.simulator_adapter."""
+"""Run the policy on the simulator's wire protocol: python -m granitedock.simulator_adapter."""
 
 from granitedock.simulator_adapter.batches import run
 
--- a/granitedock/simulator_adapter/batches.py
+++ b/granitedock/simulator_adapter/batches.py
@@ -1,6 +1,6 @@
-"""Batches of events in, replies with commands out: the loop over the simulator's pipe.
+"""The loop over the simulator's pipe, which reads batches of events and writes replies with commands.
 
-Sessions share nothing but the numbered endpoint lists of the wire, which belong to the process.
+The only state that sessions share is the numbered endpoint lists of the wire, which belong to the process.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from typing import BinaryIO
 
 from granitedock.simulator_adapter.codec import (
-    GIVE_UP,
+    ABORT_INSTANCE,
+    ENDPOINT_LIST,
+    ENDPOINT_LIST_CHANGED,
+    ENDPOINT_LIST_FAILED,
     HELLO,
-    LIST,
-    LIST_CHANGED,
-    LIST_FAILED,
     STOP,
     Command,
     EndpointRecord,
@@ -39,16 +39,17 @@
 
 
 class BatchProcessor:
-    """All instances of one process, by name."""
+    """Processes batches for all instances of one process, whose sessions it keeps by instance name."""
 
     def __init__(self) -> None:
         self.sessions: dict[str, Session] = {}
         self.endpoint_lists: dict[int, list[EndpointRecord]] = {}
 
     def process(self, line: bytes) -> bytes:
-        """The reply to a batch, both a line of JSON. Raises MalformedBatchError.
+        """Process a batch and return the reply; both are a line of JSON.
 
-        An instance whose events make no sense gives up; the others go on.
+        An instance with an invalid event is aborted, and the others continue. Raises MalformedBatchError if
+        the line is not a batch.
         """
         batch = decode_batch(line)
         replies = []
@@ -58,13 +59,13 @@
             except (MalformedBatchError, ValueError, KeyError, TypeError, IndexError) as error:
                 reason = f"{group.instance}: {error_kind(error)}: {error}"
                 print(f"granitedock: {reason}", file=sys.stderr)
-                commands = [[GIVE_UP, reason]]
+                commands = [[ABORT_INSTANCE, reason]]
             if commands:
                 replies.append((group.instance, commands))
         return encode_replies(replies)
 
     def process_events(self, now: float, instance: str, events: list[Event]) -> list[Command]:
-        """Take an instance's events in order; the commands of its session since the last batch."""
+        """Process an instance's events in order and return its session's commands since the last batch."""
         session = self.sessions.get(instance)
         if session is not None:
             session.advance_clock(now)
@@ -73,16 +74,16 @@
             handler = SESSION_EVENTS.get(name)
             if handler is not None:
                 if session is None:
-                    raise before_hello(name)
+                    raise before_hello_error(name)
                 handler(session, *event[1:])
-            elif name == LIST:
+            elif name == ENDPOINT_LIST:
                 self.endpoint_lists[event[1]] = event[2]
-            elif name == LIST_CHANGED:
+            elif name == ENDPOINT_LIST_CHANGED:
                 if session is None:
-                    raise before_hello(name)
-                session.on_endpoint_list(event[2], self.records(event))
+                    raise before_hello_error(name)
+                session.on_endpoint_list(event[2], self.endpoint_records(event))
             elif name == STOP:
-                self.sessions.pop(instance, None)  # with its pending commands: its requests are void
+                self.sessions.pop(instance, None)  # Drops its pending commands, as its requests are void.
                 session = None
             elif name == HELLO:
                 session = self.sessions[instance] = Session(now, event[1], event[2])
@@ -91,23 +92,25 @@
                 raise MalformedBatchError(message)
         return session.take_commands() if session is not None else []
 
-    def records(self, event: Event) -> list[EndpointRecord]:
-        """The records of the list that an event names; a list that could not be fetched has none."""
-        return [] if event[2] == LIST_FAILED else lookup(self.endpoint_lists, event[1], "list")
+    def endpoint_records(self, event: Event) -> list[EndpointRecord]:
+        """Return the records of the endpoint list in an event; a list that was not fetched has none."""
+        return (
+            [] if event[2] == ENDPOINT_LIST_FAILED else lookup(self.endpoint_lists, event[1], "endpoint list")
+        )
 
 
-def before_hello(name: str) -> MalformedBatchError:
-    """The error of an event for an instance that was not introduced."""
-    return MalformedBatchError(f"{name} before Hello")
+def before_hello_error(name: str) -> MalformedBatchError:
+    """Return the error for an event of an instance that has not sent Hello."""
+    return MalformedBatchError(f"event {name} before Hello")
 
 
 def error_kind(error: Exception) -> str:
-    """The kind of error in the reason for giving up; malformed input keeps the name it has on the wire."""
+    """Return the kind of error for the reason of an abort; malformed input has its name on the wire."""
     return "Malformed" if isinstance(error, MalformedBatchError) else type(error).__name__
 
 
 def run(source: BinaryIO | None = None, sink: BinaryIO | None = None) -> int:
-    """Answer batches until the input ends; the exit code: 0 at its end, 1 at one that is malformed."""
+    """Reply to batches and return the exit code: 0 at the end of the input, 1 after a malformed batch."""
     source = source or sys.stdin.buffer
     sink = sink or sys.stdout.buffer
     processor = BatchProcessor()
--- a/granitedock/simulator_adapter/codec.py
+++ b/granitedock/simulator_adapter/codec.py
@@ -1,4 +1,7 @@
-"""The words of the simulator's wire: a batch's form, and the values of its fields and commands. No I/O."""
+"""The simulator's wire protocol: the encoding of batches, and the values of fields and commands.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +14,13 @@
 from granitedock.policy.types import EndpointStatus, Outcome
 from granitedock.simulator_adapter.errors import MalformedBatchError
 
-Event = list[Any]  # the event's name, then its fields by position
-Command = list[Any]  # the command's name, then its fields by position
-EndpointRecord = list[Any]  # size, make, start time in ms, address, zone, cell, status
+Event = list[Any]  # The event's name, followed by its fields by position.
+Command = list[Any]  # The command's name, followed by its fields by position.
+# Size, machine type, start time in Unix ms, address, zone, cell and status, by position.
+EndpointRecord = list[Any]
 Value = TypeVar("Value")
 
-# Outcomes of attempts and of counter calls, by the numbers that the wire gives them.
+# Outcomes of attempts and counter calls, by their numbers on the wire.
 OUTCOMES = {
     0: Outcome.DONE,
     5: Outcome.ERROR,
@@ -28,29 +32,30 @@
     114: Outcome.ABANDONED,
 }
 ENDPOINT_STATUSES = {"IN": EndpointStatus.READY, "LAME": EndpointStatus.DRAINING, "OUT": EndpointStatus.GONE}
-LIST_IS_COMPLETE = {"FULL": True, "SAVED": True, "INCREMENTAL": False}  # by the form of an endpoint list
-LIST_FAILED = "FAILED"  # the form of a list that could not be fetched
+# Whether an endpoint list names all hosts, by the form of the list.
+IS_COMPLETE_BY_LIST_FORM = {"FULL": True, "SAVED": True, "INCREMENTAL": False}
+ENDPOINT_LIST_FAILED = "FAILED"  # The form of a list that could not be fetched.
 
-# Events of an instance's life and of the process; the others are in `batches.SESSION_EVENTS`.
+# Events of an instance's lifecycle and of the process. `batches.SESSION_EVENTS` has the other events.
 HELLO = "Hello"
 STOP = "Stop"
-LIST = "List"
-LIST_CHANGED = "RosterChange"
+ENDPOINT_LIST = "List"
+ENDPOINT_LIST_CHANGED = "RosterChange"
 
 # Commands.
 SEND = "Send"
 REJECT = "TurnAway"
 FAIL = "DropRequest"
 CANCEL = "Withdraw"
-COUNT = "Count"
+CALL_COUNTER = "Count"
 START_TIMER = "Defer"
 LOG = "Emit"
-GIVE_UP = "BailOut"
+ABORT_INSTANCE = "BailOut"
 
 
 @dataclass(slots=True)
 class InstanceEvents:
-    """What happened to one instance, in order."""
+    """The events of one instance, in order."""
 
     instance: str
     events: list[Event]
@@ -58,32 +63,38 @@
 
 @dataclass(slots=True)
 class Batch:
-    """What happened at one moment, `now` in Unix ms."""
+    """The events of all instances at one point in time, `now`, in Unix ms."""
 
     now: float
     groups: list[InstanceEvents]
 
 
 def decode_batch(line: bytes) -> Batch:
-    """The batch in a line of JSON. Raises MalformedBatchError."""
+    """Decode a batch from a line of JSON.
+
+    Raises MalformedBatchError if the line is not a batch.
+    """
     try:
         batch = orjson.loads(line)
         now = float(batch["MomentMs"])
         groups = [InstanceEvents(group["Who"], group["happened"]) for group in batch["groups"]]
     except (ValueError, KeyError, TypeError) as error:
-        message = f"not a batch: {error}"
+        message = f"expected a batch as a line of JSON: {error}"
         raise MalformedBatchError(message) from None
     return Batch(now, groups)
 
 
 def encode_replies(replies: list[tuple[str, list[Command]]]) -> bytes:
-    """A line of JSON with the commands of each instance."""
+    """Encode the commands of each instance as a line of JSON."""
     groups = [{"Who": instance, "cmds": commands} for instance, commands in replies]
     return orjson.dumps({"groups": groups}) + b"\n"
 
 
 def lookup(table: Mapping[Any, Value], key: Any, kind: str) -> Value:
-    """The table's entry; `kind` names it in the error. Raises MalformedBatchError, never guesses."""
+    """Return the entry of the table at a key.
+
+    Raises MalformedBatchError if there is none; there is no default. `kind` describes the key in the error.
+    """
     try:
         return table[key]
     except (KeyError, TypeError):
--- a/granitedock/simulator_adapter/errors.py
+++ b/granitedock/simulator_adapter/errors.py
@@ -1,7 +1,7 @@
-"""Errors of the simulator's adapter."""
+"""Errors of the simulator adapter."""
 
 from granitedock.errors import GranitedockError
 
 
 class MalformedBatchError(GranitedockError):
-    """Input that is not what the page of the simulator's wire describes."""
+    """Input that does not conform to the documentation of the simulator's wire protocol."""
--- a/granitedock/simulator_adapter/session.py
+++ b/granitedock/simulator_adapter/session.py
@@ -1,7 +1,7 @@
-"""One gateway instance on the simulator's wire: ids become objects, and effects become commands.
+"""One gateway instance on the simulator's wire: maps ids to objects, and effects to commands.
 
-Each instance has a `Session` of its own: its gateway, hosts, requests, customers, counter calls and timers.
-Sessions share nothing.
+Each instance has its own `Session` with a gateway, hosts, requests, customers, counter calls and timers.
+Sessions share no state.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
     RequestClass,
 )
 from granitedock.simulator_adapter.codec import (
+    CALL_COUNTER,
     CANCEL,
-    COUNT,
+    ENDPOINT_LIST_FAILED,
     ENDPOINT_STATUSES,
     FAIL,
-    LIST_FAILED,
-    LIST_IS_COMPLETE,
+    IS_COMPLETE_BY_LIST_FORM,
     LOG,
     OUTCOMES,
     REJECT,
@@ -41,14 +41,14 @@
 
 
 class Session:
-    """One instance on the wire; it is the EffectHandler of its gateway.
+    """One instance on the wire, and the EffectHandler of its gateway.
 
-    The parameters of the methods `on_...` are the fields of the wire's events, in their order; times are
-    in ms. Each raises MalformedBatchError for what is unknown.
+    The parameters of the `on_...` methods are the fields of the wire's events, in their order, with times in
+    ms. The methods raise MalformedBatchError for an unknown id, name or code, unless stated otherwise.
     """
 
     def __init__(self, now: float, seed: int, settings: dict[str, Any]) -> None:
-        """`settings` is the object of the platform's settings in the instance's first event."""
+        """Create a session; `settings` is the platform's settings object in the instance's first event."""
         self.now = now
         self.commands: list[Command] = []
         self.request_classes: dict[str, RequestClass] = {
@@ -60,25 +60,26 @@
         self.requests: dict[int, Request] = {}
         self.request_ids: dict[Request, int] = {}
         self.customers: WeakValueDictionary[str, Customer] = WeakValueDictionary()
-        self.counter_calls: dict[int, deque[CounterCall]] = {}  # by count, in the order of their answers
-        self.timers: dict[int, Any] = {}  # what each is for, as the policy gave it
+        # Pending calls by counter name, in the order of the replies.
+        self.counter_calls: dict[int, deque[CounterCall]] = {}
+        self.timers: dict[int, Any] = {}  # The subject that the policy gave for each timer, by timer id.
         self.last_timer_id = 0
         self.gateway = platform_settings.gateway(
             self, now, seed, settings, list(self.request_classes.values())
         )
 
     def advance_clock(self, now: float) -> None:
-        """Set the time, Unix ms, before events are taken."""
+        """Set the current time, in Unix ms, before events are processed."""
         self.now = now
         self.gateway.advance_clock(now)
 
     def take_commands(self) -> list[Command]:
-        """The commands since the last call."""
+        """Return the commands since the last call and remove them."""
         commands = self.commands
         self.commands = []
         return commands
 
-    # Effects become commands.
+    # Effects, each appended as a command.
 
     def send_attempt(self, attempt: Attempt, attempt_deadline: float | None) -> None:
         """See EffectHandler."""
@@ -103,39 +104,39 @@
     def call_counter(self, call: CounterCall) -> None:
         """See EffectHandler."""
         self.counter_calls.setdefault(call.name, deque()).append(call)
-        self.commands.append([COUNT, call.name, call.amount, call.ttl_ms])
+        self.commands.append([CALL_COUNTER, call.name, call.amount, call.ttl_ms])
 
-    def start_timer(self, after_ms: float, why: object) -> None:
+    def start_timer(self, after_ms: float, subject: object) -> None:
         """See EffectHandler."""
         self.last_timer_id += 1
-        self.timers[self.last_timer_id] = why
+        self.timers[self.last_timer_id] = subject
         self.commands.append([START_TIMER, after_ms, self.last_timer_id])
 
     def log_decision(self, line: str) -> None:
         """See EffectHandler."""
         self.commands.append([LOG, line])
 
-    # Events: ids become objects.
+    # Events, whose ids are mapped to objects.
 
     def on_endpoint_list(self, form: str, records: list[EndpointRecord]) -> None:
-        """A list of hosts, complete or only what changed by its form."""
-        if form == LIST_FAILED:
+        """Update the hosts from an endpoint list; its form states whether it is complete or only changes."""
+        if form == ENDPOINT_LIST_FAILED:
             return
-        complete = lookup(LIST_IS_COMPLETE, form, "form of roster")
+        complete = lookup(IS_COMPLETE_BY_LIST_FORM, form, "form of an endpoint list")
         updates = [self.endpoint_update(*record) for record in records]
         self.gateway.update_endpoints(updates, complete)
 
     def endpoint_update(  # noqa: PLR0913 - the fields of the record on the wire
         self,
         size: float | None,
-        make: str | None,
+        machine_type: str | None,
         started_at: float | None,
         address: str,
         zone: str | None,
         cell: int | None,
         status: str,
     ) -> EndpointUpdate:
-        """The update that a record of an endpoint list says; its host is made on first sight."""
+        """Return the update from a record of an endpoint list; a host is created for a new address."""
         host = self.hosts.get(address)
         if host is None:
             host = self.hosts[address] = Host()
@@ -143,11 +144,11 @@
         return EndpointUpdate(
             host,
             1.0 if size is None else float(size),
-            make or "",
+            machine_type or "",
             zone or "",
             cell or 0,
             started_at or 0.0,
-            lookup(ENDPOINT_STATUSES, status, "state of a host"),
+            lookup(ENDPOINT_STATUSES, status, "host status"),
         )
 
     def on_request(  # noqa: PLR0913 - the fields of the event on the wire
@@ -162,12 +163,12 @@
         _subset_start: int | None = None,
         _options: int | None = None,
     ) -> None:
-        """A client's request came; `customer_key` is in hex digits."""
+        """Handle a request from a client; `customer_key` is a hexadecimal number."""
         customer = self.customers.get(customer_key)
         if customer is None:
             customer = self.customers[customer_key] = Customer(int(customer_key, 16))
         request = Request(
-            lookup(self.request_classes, class_name, "product"),
+            lookup(self.request_classes, class_name, "request class"),
             lookup(self.plans, plan_name, "plan"),
             customer,
             self.now,
@@ -192,50 +193,48 @@
         units: float | None = None,
         _load_report: list[float] | None = None,
     ) -> None:
-        """An attempt ended; its number counts from 0."""
-        request = lookup(self.requests, request_id, "task")
+        """Finish an attempt; attempts of a request are numbered from 0."""
+        request = lookup(self.requests, request_id, "request")
         attempt = request.attempts[attempt_number]
-        found = lookup(OUTCOMES, outcome, "ending")
-        self.gateway.attempt_finished(attempt, found, took_ms, bool(final), units or 0.0, used or 0)
+        attempt_outcome = lookup(OUTCOMES, outcome, "outcome")
+        self.gateway.attempt_finished(attempt, attempt_outcome, took_ms, bool(final), units or 0.0, used or 0)
         self.release(request)
 
     def on_response_started(
         self, request_id: int, attempt_number: int, _address: str, _took_ms: float
     ) -> None:
-        """The first bytes of an attempt's answer came."""
-        request = lookup(self.requests, request_id, "task")
+        """Record that the first bytes of the response to an attempt have arrived."""
+        request = lookup(self.requests, request_id, "request")
         self.gateway.response_started(request.attempts[attempt_number])
 
     def on_client_disconnected(self, request_id: int) -> None:
-        """The client gave the request up, which may have ended a moment before."""
+        """End a request whose client has disconnected; one that has finished just before is ignored."""
         request = self.requests.get(request_id)
         if request is not None:
             self.gateway.client_disconnected(request)
             self.release(request)
 
-    def on_counter_call_finished(
-        self, outcome: int, _took_ms: float, count: int, total: float | None
-    ) -> None:
-        """The oldest pending call to this count ended."""
-        pending = lookup(self.counter_calls, count, "count")
+    def on_counter_call_finished(self, outcome: int, _took_ms: float, name: int, total: float | None) -> None:
+        """Finish the oldest pending call with this counter name."""
+        pending = lookup(self.counter_calls, name, "counter name")
         call = pending.popleft()
         if not pending:
-            del self.counter_calls[count]
-        self.gateway.counter_call_finished(call, lookup(OUTCOMES, outcome, "ending"), total or 0.0)
+            del self.counter_calls[name]
+        self.gateway.counter_call_finished(call, lookup(OUTCOMES, outcome, "outcome"), total or 0.0)
 
     def on_timer_fired(self, timer_id: int) -> None:
-        """A timer is due; one that is unknown is ignored."""
-        why = self.timers.pop(timer_id, None)
-        if why is not None:
-            self.gateway.timer_fired(why)
+        """Pass the timer's subject to the gateway; an unknown timer is ignored."""
+        subject = self.timers.pop(timer_id, None)
+        if subject is not None:
+            self.gateway.timer_fired(subject)
 
     def on_health_check(self, *_fields: Any) -> None:
-        """Ignored: no decision asks for health checks."""
+        """Ignore the result of a health check; the policy requests none."""
 
     def on_peer_message(self, *_fields: Any) -> None:
-        """Ignored: gateways share the counter alone here."""
+        """Ignore a message from a peer; in the simulator, gateways share state only through the counter."""
 
     def release(self, request: Request) -> None:
-        """Forget a request once it is over and none of its attempts can come back."""
+        """Remove a finished request once no attempt is in flight, as no result of an attempt can follow."""
         if request.state is RequestState.FINISHED and not request.in_flight and request in self.request_ids:
             del self.requests[self.request_ids.pop(request)]
--- a/tests/simulator_adapter/test_simulator_adapter.py
+++ b/tests/simulator_adapter/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: endpoint lists, restarts, and malformed input."""
+"""The simulator adapter: endpoint lists, restarts and malformed input."""
 
 import io
 import json
@@ -13,7 +13,7 @@
 HELLO = (
     f'["Hello",7,{SETTINGS}],["List",0,[[null,null,null,"h:1",null,null,"IN"]]],["RosterChange",0,"SAVED",1]'
 )
-REQ = '["Req",%d,"%s","p","00000000000000a1",4000.0,null,null,null,null]'
+REQUEST = '["Req",%d,"%s","p","00000000000000a1",4000.0,null,null,null,null]'
 
 
 def batch(*events):
@@ -25,17 +25,23 @@
     return json.loads(processor.process(batch(*events)))
 
 
-def test_a_task_goes_to_the_listed_host_and_a_stop_and_hello_in_one_batch_start_anew():
+def test_a_request_is_sent_to_the_listed_host_and_stop_and_hello_in_one_batch_restart_the_instance():
+    """Guards against a restarted instance that keeps requests or pending commands from before the Stop."""
     processor = BatchProcessor()
-    assert replies(processor, HELLO, REQ % (1, "r")) == {
+    assert replies(processor, HELLO, REQUEST % (1, "r")) == {
         "groups": [{"Who": "gateway-0", "cmds": [["Send", 1, 0, "h:1"]]}]
     }
-    restarted = replies(processor, REQ % (2, "r"), '["Stop"]', HELLO, '["Aborted",1]', REQ % (3, "r"))
+    restarted = replies(processor, REQUEST % (2, "r"), '["Stop"]', HELLO, '["Aborted",1]', REQUEST % (3, "r"))
     assert restarted["groups"][0]["cmds"] == [["Send", 3, 0, "h:1"]]
 
 
-def test_an_unknown_product_bails_out_and_what_is_no_batch_ends_the_run():
-    commands = replies(BatchProcessor(), HELLO, REQ % (1, "x"))["groups"][0]["cmds"]
+def test_an_unknown_request_class_aborts_the_instance_and_a_malformed_batch_ends_the_run():
+    """Guards against an invalid event that ends the process, and a malformed line that is skipped.
+
+    An event that the adapter cannot interpret aborts its instance alone. A line that is not a batch ends the
+    run with exit code 1, and an empty batch has an empty reply.
+    """
+    commands = replies(BatchProcessor(), HELLO, REQUEST % (1, "x"))["groups"][0]["cmds"]
     assert [command[0] for command in commands] == ["BailOut"]
     assert run(io.BytesIO(b"not json\n"), io.BytesIO()) == 1
     output = io.BytesIO()
