--- a/granitedock/commands/__init__.py
+++ b/granitedock/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of `python -m granitedock`, one module for each topic; loaded when one is called."""
+"""The commands of `python -m granitedock`, in a module for each topic that is imported when one is run."""
--- a/granitedock/commands/check_report.py
+++ b/granitedock/commands/check_report.py
@@ -1,6 +1,6 @@
-"""The words under which `granitedock check` prints what a gateway would serve with.
+"""The names under which `granitedock check` prints the settings that a gateway would use.
 
-Operators' scripts read them, so they stay as they were when fields of the program got other names.
+Operators' scripts read these names, so they stay the same when a field of the program is renamed.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 }
 
 
-def printed(value: Any) -> Any:
-    """The value with its dataclasses as objects, their fields under the printed names, in their order."""
+def printable(value: Any) -> Any:
+    """Return the value with each dataclass as a dict of its fields, in order, under the printed names."""
     if is_dataclass(value):
         return {
-            PRINTED_NAMES.get(field.name, field.name): printed(getattr(value, field.name))
+            PRINTED_NAMES.get(field.name, field.name): printable(getattr(value, field.name))
             for field in fields(value)
         }
     if isinstance(value, list):
-        return [printed(item) for item in value]
+        return [printable(item) for item in value]
     return value
--- a/granitedock/commands/control.py
+++ b/granitedock/commands/control.py
@@ -1,4 +1,4 @@
-"""Commands of the configuration service: run a control process, and check, apply and show changes."""
+"""Commands of the configuration service: run a control process, check and apply changes, show the state."""
 
 from __future__ import annotations
 
@@ -16,22 +16,26 @@
 
 @click.command()
 @click.option(
-    "--config", "path", required=True, type=click.Path(dir_okay=False), help="This process's TOML file."
+    "--config",
+    "path",
+    required=True,
+    type=click.Path(dir_okay=False),
+    help="The TOML file with this process's settings.",
 )
 @click.option(
     "--follow",
     "leaders",
     multiple=True,
-    help="Be a replica of the control process here, instead of the file's.",
+    help="The address of a control process to follow as a replica, instead of those in the file.",
 )
 @click.option(
     "--import",
     "imported",
     type=click.Path(exists=True, dir_okay=False),
-    help="A platform's file whose plans and classes become version 1 of an empty store.",
+    help="A platform file whose plans and request classes become version 1 of an empty store.",
 )
 def control(path: str, leaders: tuple[str, ...], imported: str | None) -> None:
-    """Serve plans and request classes to gateways until SIGTERM: the writer, or a replica."""
+    """Serve plans and request classes to gateways until SIGTERM, as the writer or as a replica."""
     from granitedock.configuration.control_process import run
     from granitedock.configuration.errors import ConfigurationError
     from granitedock.configuration.settings import load_control
@@ -53,13 +57,13 @@
 
 @click.group("config")
 def config_group() -> None:
-    """Plans and request classes in force while gateways run (docs/configuration-service.md)."""
+    """Check, apply and show the plans and request classes in force (docs/configuration-service.md)."""
 
 
-def call(
+def call_with_click_errors(
     function: Callable[Parameters, Result], *args: Parameters.args, **kwargs: Parameters.kwargs
 ) -> Result:
-    """The function's result; its ConfigurationError becomes the command's error, click.ClickException."""
+    """Call the function and return its result; raise click.ClickException for its ConfigurationError."""
     from granitedock.configuration.errors import ConfigurationError
 
     try:
@@ -71,63 +75,62 @@
 @config_group.command("check")
 @click.argument("change", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 def config_check(change: Path) -> None:
-    """Check the change in the JSON file CHANGE by its form alone; nothing is asked or sent."""
+    """Check the format of the change in the JSON file CHANGE, without contacting a control process."""
     from granitedock.configuration.change_codec import parse_change
 
-    read = call(parse_change, change.read_bytes(), str(change))
-    click.echo(f"{change}: {len(read.edit)} entries on version {read.base}")
+    parsed_change = call_with_click_errors(parse_change, change.read_bytes(), str(change))
+    click.echo(f"{change}: {len(parsed_change.edit)} entries on version {parsed_change.base}")
 
 
 @config_group.command("apply")
 @click.argument("change", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@click.option("--to", "address", required=True, help="The writer's address.")
-@click.option(
-    "--within", "timeout_s", default=10.0, show_default=True, help="Seconds to wait for the answer."
-)
+@click.option("--to", "address", required=True, help="The address of the writer.")
+@click.option("--within", "timeout_s", default=10.0, show_default=True, help="Seconds to wait for the reply.")
 def config_apply(change: Path, address: str, timeout_s: float) -> None:
-    """Put the change in the JSON file CHANGE in force, if it is made on the present version."""
+    """Apply the change in the JSON file CHANGE, if it is based on the current version."""
     from granitedock.configuration import control_client
     from granitedock.configuration.change_codec import parse_change
 
     data = change.read_bytes()
-    call(parse_change, data, str(change))
-    applied = call(control_client.apply, address, data, timeout_s)
+    call_with_click_errors(parse_change, data, str(change))
+    applied = call_with_click_errors(control_client.apply, address, data, timeout_s)
     click.echo(f"version {applied['version']}, digest {applied['digest']}")
 
 
 @config_group.command("show")
 @click.argument("address")
-@click.option("--plan", help="Only the plan of this name.")
-@click.option(
-    "--within", "timeout_s", default=10.0, show_default=True, help="Seconds to wait for the answer."
-)
+@click.option("--plan", help="Show only the plan with this name.")
+@click.option("--within", "timeout_s", default=10.0, show_default=True, help="Seconds to wait for the reply.")
 def config_show(address: str, plan: str | None, timeout_s: float) -> None:
-    """The document that the control process at ADDRESS holds, as JSON."""
+    """Show the configuration document of the control process at ADDRESS, as JSON."""
     import orjson
 
     from granitedock.configuration import control_client
 
-    shown: Any = call(control_client.document, address, timeout_s)
+    output: Any = call_with_click_errors(control_client.document, address, timeout_s)
     if plan is not None:
-        matching = [record for record in shown["plans"] if record["Name"] == plan]
+        matching = [record for record in output["plans"] if record["Name"] == plan]
         if not matching:
             raise CommandError(address, f"no plan {plan!r}")
-        shown = matching[0]
-    click.echo(orjson.dumps(shown, option=orjson.OPT_INDENT_2).decode())
+        output = matching[0]
+    click.echo(orjson.dumps(output, option=orjson.OPT_INDENT_2).decode())
 
 
 @config_group.command("status")
 @click.argument("addresses", nargs=-1, required=True)
 @click.option(
-    "--all", "include_current", is_flag=True, help="A line for each follower, also those that lack nothing."
+    "--all", "include_current", is_flag=True, help="Print a line for each gateway, also if it is up to date."
 )
-@click.option("--json", "as_json", is_flag=True, help="All of it, in JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the complete status as JSON.")
 @click.option(
-    "--within", "timeout_s", default=10.0, show_default=True, help="Seconds to wait for each answer."
+    "--within", "timeout_s", default=10.0, show_default=True, help="Seconds to wait for each reply."
 )
 def config_status(addresses: tuple[str, ...], include_current: bool, as_json: bool, timeout_s: float) -> None:
-    """Which version the followers of the control processes at ADDRESSES have in force, how many lag and by
-    how long. Exits with 1 if one lags, or a control process does not answer."""
+    """Show which version the gateways that follow the control processes at ADDRESSES have in force.
+
+    Shows how many gateways lag, and for how long. Exits with 1 if a gateway lags or a control process does
+    not answer.
+    """
     import orjson
 
     from granitedock.configuration import status_report
--- a/granitedock/commands/errors.py
+++ b/granitedock/commands/errors.py
@@ -1,4 +1,4 @@
-"""The error that a command ends with; click prints its text and exits with 1."""
+"""The error with which a command fails; click prints its text and exits with 1."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class CommandError(GranitedockError, click.ClickException):
-    """A command that failed at `source`: a file, an address or an option. Its text is SOURCE: REASON."""
+    """A failed command; `source` is the file, address or option at fault, and the text `SOURCE: REASON`."""
 
     def __init__(self, source: str, reason: object) -> None:
         click.ClickException.__init__(self, f"{source}: {reason}")
--- a/granitedock/commands/gateway.py
+++ b/granitedock/commands/gateway.py
@@ -1,4 +1,4 @@
-"""Commands of a gateway: serve, and show the settings that it would serve with."""
+"""Commands of a gateway: run it, and print the settings that it would use."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import click
 
-from granitedock.commands.check_report import printed
+from granitedock.commands.check_report import printable
 from granitedock.commands.errors import CommandError
 from granitedock.commands.settings_files import load_configuration_file, load_fleet_file
 
@@ -22,33 +22,33 @@
     envvar="LB_CONFIG",
     required=True,
     type=click.Path(exists=True, dir_okay=False),
-    help="The JSON file that tells the gateway its name, addresses, limits and settings.",
+    help="The platform file (JSON) with the gateway's name, addresses, limits and settings.",
 )
 @click.option(
     "--fleet",
     "fleet_path",
     envvar="GRANITEDOCK_FLEET",
     type=click.Path(dir_okay=False),
-    help="The operators' TOML file that turns the view of the fleet on (deploy/fleet.toml).",
+    help="The operators' TOML file that enables membership (deploy/fleet.toml).",
 )
 @click.option(
     "--config",
     "settings_path",
     envvar="GRANITEDOCK_CONFIG",
     type=click.Path(dir_okay=False),
-    help="The operators' TOML file of the gateway's own settings (deploy/gateway.toml).",
+    help="The operators' TOML file with settings of the gateway (deploy/gateway.toml).",
 )
 @click.option(
     "--configuration",
     "configuration_path",
     envvar="GRANITEDOCK_CONFIGURATION",
     type=click.Path(dir_okay=False),
-    help="The operators' TOML file that turns the configuration service on (docs/configuration-service.md).",
+    help="The operators' TOML file that enables the configuration service (docs/configuration-service.md).",
 )
 def serve(
     platform_path: str, fleet_path: str | None, settings_path: str | None, configuration_path: str | None
 ) -> None:
-    """Serve until SIGTERM."""
+    """Run the gateway until SIGTERM."""
     from granitedock.gateway_process import serve as run
 
     fleet_file = load_fleet_file(fleet_path)
@@ -58,7 +58,7 @@
 
 
 def fleet_summary(file: MembershipFile, settings: dict[str, Any]) -> dict[str, Any]:
-    """What the membership file turns on for this gateway, its timing, and the bound on quota overshoot."""
+    """Return what the membership file enables for this gateway, the timing, and the bound on quota excess."""
     from granitedock import platform_settings
     from granitedock.membership.settings import membership_permitted
     from granitedock.quota_sharing.bound import bound_report
@@ -77,17 +77,17 @@
 
 
 def settings_summary(platform_file: dict[str, Any], limits: Limits) -> dict[str, Any]:
-    """What a gateway reads out of the platform's file, under the names that `check` prints."""
+    """Return what a gateway reads from the platform file, under the names that `check` prints."""
     from granitedock import platform_settings
 
     settings = platform_file["settings"]
     return {
-        "limits": printed(limits),
-        "seat": printed(platform_settings.identity(int(platform_file["seed"], 16), settings)),
-        "leave": printed(platform_settings.permitted_features(settings)),
-        "cold": printed(platform_settings.slow_start(settings)),
-        "products": printed(platform_settings.request_classes(settings)),
-        "plans": printed(platform_settings.plans(settings)),
+        "limits": printable(limits),
+        "seat": printable(platform_settings.identity(int(platform_file["seed"], 16), settings)),
+        "leave": printable(platform_settings.permitted_features(settings)),
+        "cold": printable(platform_settings.slow_start(settings)),
+        "products": printable(platform_settings.request_classes(settings)),
+        "plans": printable(platform_settings.plans(settings)),
     }
 
 
@@ -106,7 +106,7 @@
 def check(
     platform_path: str, fleet_path: str | None, settings_path: str | None, configuration_path: str | None
 ) -> None:
-    """Read such a file and print what the gateway would serve with."""
+    """Check a gateway's files and print the settings that it would use."""
     import orjson
 
     from granitedock.platform_file import PlatformFileError
--- a/granitedock/commands/laboratory.py
+++ b/granitedock/commands/laboratory.py
@@ -9,7 +9,7 @@
 
 @click.group()
 def lab() -> None:
-    """The laboratory: emulated worlds round real gateways on loopback (docs/lab.md)."""
+    """Run and measure real gateways on loopback in an emulated environment (docs/lab.md)."""
 
 
 @lab.command("run")
@@ -18,11 +18,13 @@
     "--out",
     "output",
     type=click.Path(file_okay=False),
-    help="Keep files, logs, rows and plots in this folder.",
+    help="Write files, logs, rows and plots to this folder.",
 )
 def lab_run(scenario: str | None, output: str | None) -> None:
-    """Play SCENARIO with real gateways (without one: a minute of two gateways and a zone that slows); exits
-    with 1 if it does not show what it expects."""
+    """Run SCENARIO with real gateways; exits with 1 if the result is not as the scenario expects.
+
+    The default scenario runs two gateways for a minute, with a zone that becomes slow.
+    """
     from granitedock.lab.scenario import ScenarioError
     from granitedock.lab.scenario_runner import DEFAULT_SCENARIO, run_scenario
 
@@ -34,16 +36,25 @@
 
 @click.command("load")
 @click.argument("scenario", type=click.Path(dir_okay=False))
-@click.option("--to", "addresses", multiple=True, required=True, help="A gateway; once for each, in order.")
-@click.option("--seconds", "length_s", type=float, help="Instead of the scenario's own length.")
 @click.option(
-    "--out", "output", type=click.Path(file_okay=False), help="Keep the rows and plots in this folder."
+    "--to",
+    "addresses",
+    multiple=True,
+    required=True,
+    help="The address of a gateway; repeat it for each gateway, in order.",
+)
+@click.option("--seconds", "length_s", type=float, help="The length of the run, instead of the scenario's.")
+@click.option(
+    "--out", "output", type=click.Path(file_okay=False), help="Write the rows and plots to this folder."
 )
 def load_gateways(
     scenario: str, addresses: tuple[str, ...], length_s: float | None, output: str | None
 ) -> None:
-    """Put the load of SCENARIO's clients on gateways that run already; exits with 1 if an answer broke the
-    first rule. Its faults are not played: those are for `lab run`."""
+    """Put the load of SCENARIO's clients on gateways that already run.
+
+    Exits with 1 if a request did not get exactly one answer in time (rule 1). The faults of the scenario are
+    not injected; only `lab run` injects them.
+    """
     from granitedock.lab.scenario import ScenarioError
     from granitedock.lab.scenario_runner import run_load
 
@@ -57,22 +68,22 @@
 @click.argument("runs", nargs=-1, required=True, type=click.Path(file_okay=False))
 @click.option("--out", "output", default="report.png", show_default=True, type=click.Path(dir_okay=False))
 def report_runs(runs: tuple[str, ...], output: str) -> None:
-    """Report on RUNS, folders that `lab run` left: one, or several side by side."""
+    """Report on RUNS, one or more folders written by `lab run`, side by side."""
     from granitedock.lab import report, run_storage
 
     try:
-        loaded = [run_storage.read(run) for run in runs]
+        loaded_runs = [run_storage.read(run) for run in runs]
     except run_storage.RunError as error:
         raise click.ClickException(str(error)) from None
-    for run in loaded:
+    for run in loaded_runs:
         for line in report.report_lines(run):
             click.echo(line)
-    report.plot(loaded, Path(output))
+    report.plot(loaded_runs, Path(output))
     click.echo(f"plots in {output}")
 
 
 @lab.command("scale")
-@click.option("--quick", is_flag=True, help="Smaller sizes and shorter runs: under two minutes.")
+@click.option("--quick", is_flag=True, help="Use smaller sizes and shorter runs, for less than two minutes.")
 @click.option(
     "--out",
     "output",
@@ -83,25 +94,30 @@
 @click.option(
     "--page",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Fill this page's tables (docs/CAPACITY.md); without it they are printed.",
+    help="Write the tables into this page (docs/CAPACITY.md) instead of printing them.",
 )
 @click.option(
-    "--plots", type=click.Path(file_okay=False, path_type=Path), help="Draw the plots into this folder."
+    "--plots", type=click.Path(file_okay=False, path_type=Path), help="Write the plots to this folder."
 )
 @click.option(
     "--again",
     "show_only",
     is_flag=True,
-    help="Measure nothing: show what the file of --out holds.",
+    help="Show the results in the file of --out, without a measurement.",
 )
 @click.option(
-    "--only", "kind", help="Measure one kind anew, as the results name it, and keep the rest of --out."
+    "--only",
+    "kind",
+    help="Repeat the measurements of one kind, by its name in the results, and keep the rest of --out.",
 )
 def lab_scale(  # noqa: PLR0913 - a parameter for each option
     quick: bool, output: Path, page: Path | None, plots: Path | None, show_only: bool, kind: str | None
 ) -> None:
-    """Measure what hosts, plans, gateways, requests, calls and changes cost, up to the operators' size; keeps
-    one JSON and makes the tables of docs/CAPACITY.md. Exits with 1 if a measurement could not be taken."""
+    """Measure the cost of hosts, plans, gateways, requests, calls and changes, up to the operators' size.
+
+    Writes the results to one JSON file and makes the tables of docs/CAPACITY.md. Exits with 1 if a
+    measurement could not be taken.
+    """
     from granitedock.lab.scale import command, results
     from granitedock.lab.scale.errors import ScaleError
 
@@ -116,22 +132,49 @@
 
 
 @click.command("check-model")
-@click.option("--views", is_flag=True, help="The fleet's views instead of gateways with tasks.")
+@click.option("--views", is_flag=True, help="Check the membership views instead of gateways with requests.")
 @click.option("--gateways", type=click.IntRange(1, 5), default=2, show_default=True)
 @click.option("--hosts", type=click.IntRange(1, 4), default=2, show_default=True)
-@click.option("--task", "tasks", multiple=True, help="read, mark or once, once for each; ! for a ceiling.")
+@click.option(
+    "--task",
+    "tasks",
+    multiple=True,
+    help="The class of a request: read, mark or once, with ! for a customer under a ceiling; repeatable.",
+)
 @click.option("--faults", type=click.IntRange(0, 5), default=1, show_default=True)
-@click.option("--warm", type=click.IntRange(0, 50), default=0, show_default=True, help="Tasks served before.")
-@click.option("--window-ms", default=1200.0, show_default=True, help="With --views: faults begin within it.")
-@click.option("--most", "max_states", default=5_000_000, show_default=True, help="States to visit at most.")
-@click.option("--workers", type=click.IntRange(1, 64), default=1, show_default=True, help="Processes.")
+@click.option(
+    "--warm",
+    type=click.IntRange(0, 50),
+    default=0,
+    show_default=True,
+    help="Requests that each gateway has served at the start.",
+)
+@click.option(
+    "--window-ms",
+    default=1200.0,
+    show_default=True,
+    help="With --views: the time, from the start, in which faults begin.",
+)
+@click.option(
+    "--most",
+    "max_states",
+    default=5_000_000,
+    show_default=True,
+    help="The maximum number of states to visit.",
+)
+@click.option(
+    "--workers", type=click.IntRange(1, 64), default=1, show_default=True, help="The number of processes."
+)
 @click.option(
     "--trace", "trace_path", default="trace.json", show_default=True, type=click.Path(dir_okay=False)
 )
 @click.option(
-    "--replay", "replay_path", type=click.Path(dir_okay=False), help="Play this trace again instead."
+    "--replay",
+    "replay_path",
+    type=click.Path(dir_okay=False),
+    help="Replay this trace instead of exploring the states.",
 )
-@click.option("--quiet", is_flag=True, help="Say only what came of it.")
+@click.option("--quiet", is_flag=True, help="Print only the result.")
 def check_model(  # noqa: PLR0913 - a parameter for each option
     views: bool,
     gateways: int,
@@ -146,8 +189,10 @@
     replay_path: str | None,
     quiet: bool,
 ) -> None:
-    """Visit every state of a small world through the program's own state machines; exits with 1 and a trace
-    if a property is broken (docs/model-checking.md)."""
+    """Explore all states of a small world that runs the program's own state machines.
+
+    Exits with 1 and writes a trace if a property is violated (docs/model-checking.md).
+    """
     from granitedock.model_checking import command
     from granitedock.model_checking.errors import TraceError
     from granitedock.model_checking.gateway_world_shape import GatewayWorldShape
@@ -155,20 +200,20 @@
     from granitedock.model_checking.trace import describe_gateways, describe_membership
 
     if views:
-        world = describe_membership(MembershipWorldShape(gateways, faults, window_ms))
+        description = describe_membership(MembershipWorldShape(gateways, faults, window_ms))
     else:
         tasks = tasks or ("once", "mark", "read")
-        world = describe_gateways(GatewayWorldShape(gateways, hosts, tasks, faults, warm))
+        description = describe_gateways(GatewayWorldShape(gateways, hosts, tasks, faults, warm))
     lines: list[str] = []
     echo = lines.append if quiet else click.echo
     try:
         if replay_path:
-            code = command.replay(replay_path, echo)
+            exit_code = command.replay(replay_path, echo)
         else:
-            code = command.check(world, max_states, workers, trace_path, echo)
+            exit_code = command.check(description, max_states, workers, trace_path, echo)
     except TraceError as error:
         raise click.ClickException(str(error)) from None
     for line in lines:
         if not line.startswith("depth"):
             click.echo(line)
-    raise SystemExit(code)
+    raise SystemExit(exit_code)
--- a/granitedock/commands/queries.py
+++ b/granitedock/commands/queries.py
@@ -1,4 +1,4 @@
-"""Commands that query running gateways over the gateways' own client port (RESP)."""
+"""Commands that query running gateways over their client port (RESP)."""
 
 from __future__ import annotations
 
@@ -16,24 +16,27 @@
 
 @click.command()
 @click.argument("address")
-@click.option("--within", "timeout_s", default=3.0, show_default=True, help="Seconds to wait for the answer.")
+@click.option("--within", "timeout_s", default=3.0, show_default=True, help="Seconds to wait for the reply.")
 def counters(address: str, timeout_s: float) -> None:
-    """Ask the running gateway at ADDRESS for its counters."""
+    """Show the counters of the running gateway at ADDRESS."""
     click.echo(query_gateway(address, b"INFO", timeout_s).decode().replace("\r\n", "\n"), nl=False)
 
 
 @click.command()
 @click.argument("addresses", nargs=-1, required=True)
-@click.option("--listen", help="Serve them at this address, HOST:PORT, until stopped, instead of once.")
+@click.option(
+    "--listen",
+    help="Serve the metrics at this address, HOST:PORT, until stopped, instead of printing them once.",
+)
 @click.option(
     "--within",
     "timeout_s",
     default=3.0,
     show_default=True,
-    help="Seconds to wait for a gateway's answer.",
+    help="Seconds to wait for the reply of a gateway.",
 )
 def metrics(addresses: tuple[str, ...], listen: str | None, timeout_s: float) -> None:
-    """The counters of the running gateways at ADDRESSES, as Prometheus reads them."""
+    """Export the counters of the running gateways at ADDRESSES in the Prometheus text format."""
     from granitedock.metrics import GatewayCollector, exposition_text, serve
 
     collector = GatewayCollector(addresses, lambda address: query_gateway(address, b"INFO", timeout_s))
@@ -47,17 +50,20 @@
 
 
 def json_command(query: bytes, help_text: str) -> Callable[[Formatter], click.Command]:
-    """Decorate a formatter to make the command of its name, which queries a gateway for a JSON object.
+    """Return a decorator that makes a formatter into the command of the same name.
 
-    The command prints the formatter's lines, or with --json the reply as it came.
+    The command queries a gateway for a JSON object and prints the lines of the formatter or, with --json, the
+    unchanged reply.
     """
 
     def decorate(formatter: Formatter) -> click.Command:
         @click.command(formatter.__name__, help=help_text)
         @click.argument("address")
-        @click.option("--json", "as_json", is_flag=True, help="As the gateway words it, in JSON.")
         @click.option(
-            "--within", "timeout_s", default=3.0, show_default=True, help="Seconds to wait for the answer."
+            "--json", "as_json", is_flag=True, help="Print the unchanged JSON reply of the gateway."
+        )
+        @click.option(
+            "--within", "timeout_s", default=3.0, show_default=True, help="Seconds to wait for the reply."
         )
         def command(address: str, as_json: bool, timeout_s: float) -> None:
             import orjson
@@ -71,9 +77,11 @@
     return decorate
 
 
-@json_command(b"FLEET", "Show what the running gateway at ADDRESS holds of the other gateways.")
+@json_command(
+    b"FLEET", "Show the membership view that the running gateway at ADDRESS has of the other gateways."
+)
 def fleet(view: JsonObject) -> Iterable[str]:
-    """Format the gateway's membership list."""
+    """Format the members that the gateway knows, with their states."""
     yield f"{view['name']} at {view['address']}: {view['live']} live, unwell {view['unwell']}"
     row = "{:<20} {:<21} {:<8} {:>5} {:>10}  {}".format
     yield row("member", "address", "state", "seat", "since s", "its share")
@@ -85,10 +93,10 @@
 
 @json_command(
     b"HOSTS",
-    "Show what the running gateway at ADDRESS knows of the hosts, from whom, and what it does by it.",
+    "Show the state and ejection of hosts at the running gateway at ADDRESS, and who observed failures.",
 )
 def hosts(view: JsonObject) -> Iterable[str]:
-    """Format the hosts' status, ejections, and the observations that other gateways sent."""
+    """Format the status and ejection of each host, and the observations that other gateways sent."""
     row = "{:<24} {:<9} {:<9} {:<9} {}".format
     yield row("host", "listed", "own eyes", "kept out", "told by (age s: failures in a row)")
     for name, host in view["hosts"].items():
@@ -102,10 +110,10 @@
 
 
 @json_command(
-    b"CONFIG", "Show which configuration the running gateway at ADDRESS has in force, and from whom."
+    b"CONFIG", "Show the configuration that the running gateway at ADDRESS has in force, and its source."
 )
 def configuration(view: JsonObject) -> Iterable[str]:
-    """Format the configuration's version and the gateway's link to the configuration service."""
+    """Format the version of the configuration, and the connection to the configuration service."""
     yield f"version {view['version']}, digest {view['digest']}, cluster {view['cluster']}"
     yield f"{view['plans']} plans, {view['classes']} classes"
     yield f"{view['state']} {view['control']}; own order {', '.join(view['addresses'])}"
--- a/granitedock/commands/settings_files.py
+++ b/granitedock/commands/settings_files.py
@@ -1,4 +1,4 @@
-"""Operators' settings files that commands are given, read and checked before anything is started."""
+"""Loading of the operators' settings files of a command, before the command starts anything."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 def load_fleet_file(path: str | None) -> MembershipFile | None:
-    """The membership settings in the file at `path`, or None without one. Raises click.ClickException."""
+    """Load the membership settings.
+
+    Returns None without a path, and raises click.ClickException if the file cannot be read or is not valid.
+    """
     if path is None:
         return None
     from granitedock.membership.settings import load
@@ -25,7 +28,10 @@
 
 
 def load_configuration_file(path: str | None) -> GatewayFile | None:
-    """A gateway's configuration service settings, or None without a file. Raises click.ClickException."""
+    """Load a gateway's settings for the configuration service.
+
+    Returns None without a path, and raises click.ClickException if the file cannot be read or is not valid.
+    """
     if path is None:
         return None
     from granitedock.configuration.settings import load_gateway
--- a/granitedock/simulator_adapter/codec.py
+++ b/granitedock/simulator_adapter/codec.py
@@ -93,7 +93,8 @@
 def lookup(table: Mapping[Any, Value], key: Any, kind: str) -> Value:
     """Return the entry of the table at a key.
 
-    Raises MalformedBatchError if there is none; there is no default. `kind` describes the key in the error.
+    Raises MalformedBatchError if there is none, and never substitutes a default. `kind` describes the key in
+    the error.
     """
     try:
         return table[key]
