--- a/tests/outlier_detection/test_outlier_detection_processes.py
+++ b/tests/outlier_detection/test_outlier_detection_processes.py
@@ -124,8 +124,8 @@
         proxies = [
             proxy for proxy in cluster.tcp_proxies if proxy.gateway == "gateway/5" and proxy.party == "hosts"
         ]
-        # The link of the host with the most requests is cut. The gateways' seeds determine how the load spreads,
-        # and the host with the fewest gets about one request per second, too few for the check below.
+        # The link of the host with the most requests is cut. The gateways' seeds determine how the load
+        # spreads, and the host with the fewest gets about one request per second, too few for this check.
         names = list(cluster.surroundings.host_addresses)
         busiest = max(names, key=lambda name: cluster.host(name).received)
         proxies[names.index(busiest)].party = "hosts/0"  # Name the link, so that it can be cut alone.
