--- a/granitedock/configuration/follower.py
+++ b/granitedock/configuration/follower.py
@@ -1,7 +1,7 @@
-"""Following the configuration of one of several control processes. No I/O.
+"""State machine of a configuration follower, which is a gateway or a replica. No I/O.
 
-The state machine of a follower, gateway or replica alike: which address, when, and when a connection is given
-up. It goes on by what it has for as long as no control process can be reached.
+Chooses which of several control processes to connect to and when, and decides when a connection is
+abandoned. While no control process can be reached, the configuration in force stays in force.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 from granitedock.configuration.follower_timing import FollowerTiming, ReconnectSchedule, address_order
 from granitedock.configuration.http_records import FollowingRecord
 from granitedock.configuration.message_codec import decode
-from granitedock.configuration.message_handler import MOST_REASON, MessageHandler
+from granitedock.configuration.message_handler import MAX_REASON_CHARACTERS, MessageHandler
 from granitedock.state_table import advance
 
 
 @dataclass(frozen=True, slots=True)
 class FollowerSettings:
-    """Who follows, and whom: its name, its cluster, the addresses of control processes, and its times."""
+    """Settings of a follower: its name, its cluster, the control processes' addresses, and its timeouts."""
 
     name: str
     cluster: str
@@ -37,14 +37,14 @@
     timing: FollowerTiming = field(default_factory=FollowerTiming)
 
 
-def count_nowhere(_name: str) -> None:
-    """Count nothing beyond the follower's own counters."""
+def ignore_count(_name: str) -> None:
+    """Ignore a count that only the follower's own counters record."""
 
 
 class Follower:
-    """One follower. Its inputs' `now` is in ms of any clock that never steps back.
+    """One follower; `now` of each input is in ms of any monotonic clock.
 
-    `log(event, **figures)` logs what an operator should see, `count_outside(name)` is called for each count.
+    `log(event, **figures)` logs events for operators. `report_count(name)` is called for each counted event.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         transport: TransportPort,
         random: Random,
         log: EventLogger,
-        count_outside: Callable[[str], None] = count_nowhere,
+        report_count: Callable[[str], None] = ignore_count,
     ) -> None:
         self.name = settings.name
         self.cluster = settings.cluster
@@ -62,7 +62,7 @@
         self.document = document
         self.transport = transport
         self.log = log
-        self.count_outside = count_outside
+        self.report_count = report_count
         self.counts: Counter[str] = Counter()
         self.handler = MessageHandler(settings.cluster, document, transport, log, self.count)
         addresses = address_order(settings.name, settings.addresses)
@@ -72,12 +72,12 @@
         self.running = False
 
     def count(self, name: str) -> None:
-        """Count an event, here and outside."""
+        """Count an event in the follower's counters, and report it to `report_count`."""
         self.counts[name] += 1
-        self.count_outside(name)
+        self.report_count(name)
 
     def status(self) -> FollowingRecord:
-        """Whom it follows and what it counted, as JSON can hold it."""
+        """Return the control process that is followed, and the counters, as JSON-compatible values."""
         connection = self.connection
         return {
             "control": connection.address,
@@ -89,64 +89,75 @@
     # Inputs.
 
     def start(self, now: float) -> None:
-        """Begin to follow."""
+        """Start following: connect to the first address."""
         self.now = now
         self.running = True
         self.connect_due()
 
     def stop(self, now: float) -> None:
-        """End the connection; no further one is begun."""
+        """Abort the connection and open no further one."""
         self.now = now
         self.running = False
         if self.connection.network is not None:
             self.transport.abort(self.connection)
 
     def connected(self, connection: Connection, network: WatchConnection, now: float) -> None:
-        """A connection is up."""
+        """Handle an established connection."""
         self.now = now
         connection.network = network
-        connection.heard_at = now
+        connection.last_received_at = now
         self.advance(connection, ConnectionEvent.CONNECTED)
 
     def disconnected(self, connection: Connection, now: float) -> None:
-        """A connection has ended, or could not be made."""
+        """Handle a connection that has closed or could not be established."""
         self.now = now
         self.advance(connection, ConnectionEvent.DISCONNECTED)
 
-    def reject(self, connection: Connection, why: str, now: float) -> None:
-        """What came is no watch on the configuration: another status, another cluster, no message."""
+    def reject(self, connection: Connection, reason: str, now: float) -> None:
+        """Reject a response that is no watch on this cluster's configuration.
+
+        Covers another HTTP status, another cluster, and a line that is not a valid message.
+        """
         self.now = now
         self.count("refused")
-        self.log("control connection rejected", control=connection.address, why=why[:MOST_REASON])
+        self.log(
+            "control connection rejected", control=connection.address, why=reason[:MAX_REASON_CHARACTERS]
+        )
         self.advance(connection, ConnectionEvent.REJECTED)
 
     def line_received(self, connection: Connection, line: bytes, now: float) -> None:
-        """One line from control, without its end; an empty one is a heartbeat."""
+        """Handle one line from the control process, without its line end; an empty line is a heartbeat."""
         self.now = now
         expected = connection.state in (ConnectionState.AWAITING_FIRST_LINE, ConnectionState.FOLLOWING)
         if connection is not self.connection or not expected:
             return
-        connection.heard_at = now
+        connection.last_received_at = now
         if not line.strip():
             self.advance(connection, ConnectionEvent.LINE_RECEIVED)
             return
         try:
             message = decode(line)
             self.advance(connection, ConnectionEvent.LINE_RECEIVED)
-            self.schedule.message_received()
+            self.schedule.reset_backoff()
             self.handler.handle(connection, message, now)
-        except ConfigurationError as fault:
-            self.reject(connection, str(fault), now)
+        except ConfigurationError as error:
+            self.reject(connection, str(error), now)
 
     def check_timeouts(self, now: float) -> None:
-        """Periodic check: silence, control that stays behind, and the way back to the first address."""
+        """Abandon a connection that is silent, behind, or due to return to the first address.
+
+        Called periodically.
+        """
         self.now = now
         connection = self.connection
         timeout = self.silence_timeout(connection.state)
-        if timeout is not None and now - connection.heard_at > timeout:
+        if timeout is not None and now - connection.last_received_at > timeout:
             self.count("silences")
             self.advance(connection, ConnectionEvent.TIMED_OUT)
-        elif connection.behind_since is not None and now - connection.behind_since > self.timing.behind_ms:
+        elif (
+            connection.behind_since is not None
+            and now - connection.behind_since > self.timing.behind_timeout_ms
+        ):
             self.count("behind")
             self.log("control is behind", control=connection.address, version=self.document.version)
             self.advance(connection, ConnectionEvent.BEHIND)
@@ -154,55 +165,55 @@
             self.advance(connection, ConnectionEvent.RETURN_DUE)
 
     def silence_timeout(self, state: ConnectionState) -> float | None:
-        """How long control may be silent in this state, ms; None where nothing is expected of it."""
+        """Return the silence timeout in this state, in ms, or None where no line is expected."""
         if state is ConnectionState.AWAITING_FIRST_LINE:
-            return self.timing.first_line_ms
+            return self.timing.first_line_timeout_ms
         if state is ConnectionState.FOLLOWING:
-            return self.timing.silence_ms
+            return self.timing.silence_timeout_ms
         return None
 
-    # Effects of the table.
+    # Effects named in the transition table.
 
     def advance(self, connection: Connection, event: ConnectionEvent) -> None:
-        """Apply an event to a connection."""
+        """Apply an event to a connection by the transition table."""
         advance(TRANSITIONS, connection, event, self)
 
     def connect(self, connection: Connection) -> None:
-        """Begin to connect."""
+        """Start connecting to the connection's address."""
         self.count("dials")
-        self.schedule.connecting(connection.address, self.now)
+        self.schedule.connection_started(connection.address, self.now)
         self.transport.connect(connection, connection.address)
 
     def try_next_address(self, connection: Connection) -> None:
-        """Connect to the next address after a growing wait, if this connection was not replaced already."""
+        """Connect to the next address after a backoff, unless this connection has already been replaced."""
         if connection is self.connection and self.running:
-            self.connect_later(self.schedule.next_address())
+            self.connect_later(self.schedule.advance_address())
 
     def connect_later(self, wait_ms: float) -> None:
-        """Replace the connection by one to the address whose turn it is, begun after `wait_ms`."""
+        """Replace the connection by one to the schedule's address, and open it after `wait_ms`."""
         self.connection = Connection(self.schedule.address)
         self.transport.call_later(wait_ms, self.connect_due)
 
     def connect_due(self) -> None:
-        """Connect now, unless the follower was stopped."""
+        """Connect now, unless the follower has been stopped."""
         if self.running:
             self.advance(self.connection, ConnectionEvent.CONNECT_DUE)
 
     def abort(self, connection: Connection) -> None:
-        """End a connection at once."""
+        """Abort a connection."""
         self.transport.abort(connection)
 
     def abort_and_try_next(self, connection: Connection) -> None:
-        """End a connection and go on to the next address."""
+        """Abort a connection and connect to the next address."""
         self.abort(connection)
         self.try_next_address(connection)
 
     def abort_and_try_first(self, connection: Connection) -> None:
-        """End a connection and go back to the first address.
+        """Abort a connection and connect to the first address.
 
-        Guards against a load that stays uneven once a lost control process is back.
+        Prevents load that stays uneven among the control processes after a failed one has recovered.
         """
         self.abort(connection)
         if connection is self.connection and self.running:
-            self.schedule.first_address()
+            self.schedule.return_to_first_address()
             self.connect_later(0.0)
--- a/granitedock/configuration/follower_connection.py
+++ b/granitedock/configuration/follower_connection.py
@@ -1,6 +1,7 @@
-"""The transport of a follower: one HTTP watch on a control process, both ways (h11 on Twisted).
+"""Transport of a follower: a bidirectional HTTP watch on a control process (h11 on Twisted).
 
-The request's body stays open and carries the follower's messages; the answer's body carries control's.
+The request body stays open and carries the follower's messages; the response body carries the messages of the
+control process.
 """
 
 from __future__ import annotations
@@ -24,13 +25,13 @@
 from granitedock.configuration.watch_request import WatchRequest
 
 CONNECT_TIMEOUT_S = 1.0
-CHECK_S = 0.25
+CHECK_INTERVAL_S = 0.25
 
 
 class WatchProtocol(Protocol):
-    """One connection to a control process, from the moment that it is up."""
+    """One established connection to a control process."""
 
-    transport: Any  # Twisted's, set while the connection is up
+    transport: Any  # Set by Twisted while the connection is established.
 
     def __init__(self, owner: FollowerTransport, connection: Connection) -> None:
         self.owner = owner
@@ -40,7 +41,7 @@
         self.aborted = False
 
     def connectionMade(self) -> None:
-        """Twisted: the connection is up; open the watch."""
+        """Open the watch on the established connection; called by Twisted."""
         self.transport.setTcpNoDelay(True)
         follower = self.owner.follower
         document = follower.document
@@ -53,11 +54,11 @@
         follower.connected(self.connection, self, self.owner.now())
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: ARG002 - Twisted passes it by position
-        """Twisted: the connection has ended."""
+        """Report the closed connection to the follower; called by Twisted."""
         self.owner.follower.disconnected(self.connection, self.owner.now())
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted: bytes of the answer."""
+        """Parse bytes of the response; called by Twisted."""
         if self.aborted:
             return
         self.owner.counts["configuration_bytes_in"] += len(data)
@@ -65,14 +66,14 @@
             self.http.receive_data(data)
             while not self.aborted and (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
                 self.handle_event(event)
-        except (h11.RemoteProtocolError, ConfigurationError) as fault:
-            self.owner.follower.reject(self.connection, str(fault), self.owner.now())
+        except (h11.RemoteProtocolError, ConfigurationError) as error:
+            self.owner.follower.reject(self.connection, str(error), self.owner.now())
 
     def handle_event(self, event: Any) -> None:
-        """One event of h11. Raises ConfigurationError."""
+        """Handle one event of h11. Raises ConfigurationError."""
         if isinstance(event, h11.Response):
             if event.status_code != HTTPStatus.OK:
-                problem = f"status {event.status_code}"
+                problem = f"expected HTTP status 200, got status {event.status_code}"
                 raise ConfigurationError(problem)
         elif isinstance(event, h11.Data):
             for line in self.buffer.lines(bytes(event.data)):
@@ -88,13 +89,13 @@
         self.transport.write(data)
 
     def abort(self) -> None:
-        """End the connection at once; nothing more is read from it."""
+        """Abort the connection; no further data is read from it."""
         self.aborted = True
         self.transport.abortConnection()
 
 
 class WatchFactory(ClientFactory):
-    """The factory of one connection that is on its way."""
+    """The factory of one connection that is being established."""
 
     noisy = False
 
@@ -103,18 +104,18 @@
         self.connection = connection
 
     def buildProtocol(self, addr: Any) -> WatchProtocol:  # noqa: ARG002 - Twisted passes it by position
-        """Twisted: the connection is about to be up."""
+        """Build the protocol of the connection; called by Twisted."""
         return WatchProtocol(self.owner, self.connection)
 
-    def clientConnectionFailed(self, connector: Any, reason: Any) -> None:  # noqa: ARG002 - as above
-        """Twisted: the connection could not be made."""
+    def clientConnectionFailed(self, connector: Any, reason: Any) -> None:  # noqa: ARG002 - Twisted passes both by position
+        """Report the failed connection to the follower; called by Twisted."""
         self.owner.follower.disconnected(self.connection, self.owner.now())
 
 
 class FollowerTransport:
-    """Carries one follower (`TransportPort`) on a reactor; `role` is `gateway` or `replica`."""
+    """The `TransportPort` of one follower on a Twisted reactor; `role` is `gateway` or `replica`."""
 
-    follower: Follower  # from its start on
+    follower: Follower  # Set by `start`.
 
     def __init__(self, reactor: Any, role: str, counts: Counter[str] | None = None) -> None:
         self.reactor = reactor
@@ -122,20 +123,20 @@
         self.counts: Counter[str] = Counter() if counts is None else counts
 
     def now(self) -> float:
-        """Monotonic ms."""
+        """Return the monotonic time in ms."""
         return self.reactor.seconds() * 1000.0
 
     def start(self, follower: Follower) -> None:
-        """Start the follower, and check its timeouts from now on."""
+        """Start the follower and its periodic timeout checks."""
         self.follower = follower
         follower.start(self.now())
         self.check_periodically()
 
     def check_periodically(self) -> None:
-        """Check the follower's timeouts, again and again while it runs."""
+        """Check the follower's timeouts, and reschedule the check while the follower runs."""
         if self.follower.running:
             self.follower.check_timeouts(self.now())
-            self.reactor.callLater(CHECK_S, self.check_periodically)
+            self.reactor.callLater(CHECK_INTERVAL_S, self.check_periodically)
 
     def stop(self) -> None:
         """Stop the follower."""
@@ -144,9 +145,9 @@
     # `TransportPort` of the follower.
 
     def connect(self, connection: Connection, address: str) -> None:
-        """Begin to connect.
+        """Start connecting.
 
-        Guards against a process with no descriptor left: as a connection that failed.
+        A process that has run out of file descriptors is handled like a failed connection.
         """
         host, _, port = address.rpartition(":")
         factory = WatchFactory(self, connection)
@@ -156,20 +157,20 @@
             self.follower.disconnected(connection, self.now())
 
     def send(self, connection: Connection, message: Message) -> None:
-        """Send a message on a connection that is up."""
+        """Send a message, if the connection is established."""
         if connection.network is not None:
             connection.network.send(message)
 
     def abort(self, connection: Connection) -> None:
-        """End a connection that is up."""
+        """Abort the connection, if it is established."""
         if connection.network is not None:
             connection.network.abort()
 
-    def call_later(self, after_ms: float, act: Callable[[], None]) -> None:
-        """Call `act` after so many ms, with the follower's clock brought up to date."""
+    def call_later(self, delay_ms: float, callback: Callable[[], None]) -> None:
+        """Call `callback` after `delay_ms`, once the follower's clock has been updated."""
 
-        def act_now() -> None:
+        def update_clock_and_call() -> None:
             self.follower.now = self.now()
-            act()
+            callback()
 
-        self.reactor.callLater(after_ms / 1000.0, act_now)
+        self.reactor.callLater(delay_ms / 1000.0, update_clock_and_call)
--- a/granitedock/configuration/follower_ports.py
+++ b/granitedock/configuration/follower_ports.py
@@ -1,4 +1,4 @@
-"""What a follower works through: its document, and the transport that carries its connections."""
+"""Ports of a follower: its document, the transport of its connections, and its event log."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 
 
 class FollowedDocument(Protocol):
-    """What the follower keeps its configuration in (`replicated_document.py`)."""
+    """The document that the follower keeps up to date (`replicated_document.py`)."""
 
     @property
     def version(self) -> int:
-        """The version in force."""
+        """Return the version in force."""
         ...
 
     @property
     def digest(self) -> int:
-        """The digest of the version in force."""
+        """Return the digest of the version in force."""
         ...
 
     def apply_change(self, change: VersionedChange) -> None:
-        """Put a change in force, whole or not at all. Raises ConfigurationError."""
+        """Put a change in force, atomically. Raises ConfigurationError."""
         ...
 
     def begin_snapshot(self) -> None:
-        """A whole document is to come; what is in force stays until its end."""
+        """Start receiving a snapshot; the version in force stays until the snapshot ends."""
         ...
 
     def add_page(self, edit: Edit) -> None:
-        """Take entries of the snapshot. Raises ConfigurationError."""
+        """Add entries to the incoming snapshot. Raises ConfigurationError."""
         ...
 
     def end_snapshot(self, version: int, digest: int) -> None:
-        """Put the snapshot in force, whole or not at all. Raises ConfigurationError."""
+        """Put the snapshot in force, atomically. Raises ConfigurationError."""
         ...
 
 
 class TransportPort(Protocol):
-    """What the follower asks of its transport (`follower_connection.py`)."""
+    """Operations that the follower requires of its transport (`follower_connection.py`)."""
 
     def connect(self, connection: Connection, address: str) -> None:
-        """Begin to connect; `connected` or `disconnected` of the follower says how it went."""
+        """Start connecting; the result is passed to the follower's `connected` or `disconnected`."""
         ...
 
     def send(self, connection: Connection, message: Message) -> None:
@@ -52,16 +52,16 @@
         ...
 
     def abort(self, connection: Connection) -> None:
-        """End a connection at once."""
+        """Abort a connection."""
         ...
 
-    def call_later(self, after_ms: float, act: Callable[[], None]) -> None:
-        """Call `act` after so many ms, with the follower's clock brought up to date."""
+    def call_later(self, delay_ms: float, callback: Callable[[], None]) -> None:
+        """Call `callback` after `delay_ms`, once the follower's clock has been updated."""
         ...
 
 
 class EventLogger(Protocol):
-    """A function that logs an event with its figures, for operators to see."""
+    """A function that logs an event and its values for operators."""
 
     def __call__(self, event: str, /, **figures: object) -> None:
         """Log one event."""
--- a/granitedock/configuration/follower_states.py
+++ b/granitedock/configuration/follower_states.py
@@ -1,4 +1,4 @@
-"""The states of a follower's connection to a control process, the events that move it, and their table."""
+"""States and events of a follower's connection to a control process, and its transition table."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class ConnectionState(Enum):
-    """Where a connection stands; the values are the words of the status."""
+    """State of a connection; the values appear in the status."""
 
     CLOSED = "closed"
     CONNECTING = "dialling"
     AWAITING_FIRST_LINE = "asked"
     FOLLOWING = "following"
-    ABANDONED = "gone"  # another connection takes its place
+    ABANDONED = "gone"  # Another connection has replaced it.
 
     __hash__ = object.__hash__
 
 
 class ConnectionEvent(Enum):
-    """What happens to a connection."""
+    """Event of a connection."""
 
     CONNECT_DUE = "connect due"
     CONNECTED = "connected"
@@ -38,28 +38,28 @@
 
 
 class WatchConnection(Protocol):
-    """The network connection under a `Connection`, once it is up."""
+    """The established network connection of a `Connection`."""
 
     def send(self, message: Message) -> None:
         """Send a message to the control process."""
         ...
 
     def abort(self) -> None:
-        """End the connection at once; nothing more is read from it."""
+        """Abort the connection; no further data is read from it."""
         ...
 
 
 @dataclass(eq=False, slots=True)
 class Connection:
-    """One connection to a control process, from its beginning on. Times in ms of the follower's clock."""
+    """One connection to a control process, opened or not yet. Times are in ms of the follower's clock."""
 
     address: str
     state: ConnectionState = ConnectionState.CLOSED
     network: WatchConnection | None = None
-    heard_at: float = 0.0
-    behind_since: float | None = None  # the control process has an older version than the follower
-    snapshot_requested: bool = False  # at most once a connection
-    snapshot: SnapshotProgress | None = None  # on its way
+    last_received_at: float = 0.0
+    behind_since: float | None = None  # Set while the control process has an older version.
+    snapshot_requested: bool = False  # At most one request per connection.
+    snapshot: SnapshotProgress | None = None  # Snapshot that is being received.
 
 
 State = ConnectionState
@@ -77,5 +77,5 @@
     (State.FOLLOWING, Event.TIMED_OUT): (State.ABANDONED, "abort_and_try_next"),
     (State.FOLLOWING, Event.BEHIND): (State.ABANDONED, "abort_and_try_next"),
     (State.FOLLOWING, Event.RETURN_DUE): (State.ABANDONED, "abort_and_try_first"),
-    (State.ABANDONED, Event.CONNECTED): (State.ABANDONED, "abort"),  # it was on its way when it was given up
+    (State.ABANDONED, Event.CONNECTED): (State.ABANDONED, "abort"),  # Established after it was abandoned.
 }
--- a/granitedock/configuration/follower_timing.py
+++ b/granitedock/configuration/follower_timing.py
@@ -1,6 +1,6 @@
-"""When and to which address a follower connects: the order of addresses, backoff, return to the first.
+"""The order in which a follower tries addresses, its reconnect backoff, and the return to the first address.
 
-No I/O. Times in ms.
+No I/O. Times are in ms.
 """
 
 from __future__ import annotations
@@ -9,67 +9,67 @@
 from hashlib import sha256
 from random import Random
 
-MOST_DOUBLINGS = 16
+MAX_BACKOFF_DOUBLINGS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class FollowerTiming:
-    """Times of a follower, ms. A heartbeat comes each second."""
+    """Timeouts and intervals of a follower, in ms; a control process sends a heartbeat every second."""
 
-    first_line_ms: float = 2000.0
-    silence_ms: float = 3000.0
-    behind_ms: float = 3000.0  # a control process that stays behind this follower is left after it
-    reconnect_ms: float = 100.0
-    reconnect_most_ms: float = 1500.0
-    return_ms: float = 60_000.0  # the first address is tried again after this to twice as long
+    first_line_timeout_ms: float = 2000.0
+    silence_timeout_ms: float = 3000.0
+    behind_timeout_ms: float = 3000.0  # A control process that stays behind for longer is left.
+    backoff_base_ms: float = 100.0
+    backoff_max_ms: float = 1500.0
+    return_after_ms: float = 60_000.0  # A return waits for this to twice as long, at random.
 
 
 def address_order(name: str, addresses: list[str]) -> list[str]:
-    """The addresses in the order of the follower `name`.
+    """Return the addresses in the order in which the follower `name` tries them.
 
-    Rendezvous hashing (Thaler and Ravishankar, 1998): followers spread over the addresses, and those of a
-    lost one over the rest.
+    Rendezvous hashing (Thaler and Ravishankar, 1998) distributes followers over the addresses, and the
+    followers of a failed address over the remaining ones.
     """
     return sorted(addresses, key=lambda address: sha256(f"{name}|{address}".encode()).digest())
 
 
 class ReconnectSchedule:
-    """The address to connect to, how long to wait before it, and when to go back to the first one."""
+    """The address to connect to next, the backoff before it, and the time to return to the first address."""
 
     def __init__(self, addresses: list[str], timing: FollowerTiming, random: Random) -> None:
         self.addresses = addresses
         self.timing = timing
         self.random = random
-        self.position = 0  # in the order of addresses; grows with each failure
-        self.failures = 0  # in a row
+        self.position = 0  # Index modulo the number of addresses; grows with each failure.
+        self.failures = 0  # Consecutive failures.
         self.return_at = float("inf")
 
     @property
     def address(self) -> str:
-        """The address whose turn it is."""
+        """Return the address to connect to."""
         return self.addresses[self.position % len(self.addresses)]
 
-    def connecting(self, address: str, now: float) -> None:
-        """A connection is begun; to another address than the first, the return is set to a random time."""
-        wait = self.timing.return_ms * (1.0 + self.random.random())
+    def connection_started(self, address: str, now: float) -> None:
+        """Schedule the return to the first address, at a random time, if `address` is another one."""
+        wait = self.timing.return_after_ms * (1.0 + self.random.random())
         self.return_at = float("inf") if address == self.addresses[0] else now + wait
 
-    def message_received(self) -> None:
-        """A control process has sent a message: the next failure is the first in a row."""
+    def reset_backoff(self) -> None:
+        """Reset the backoff after a message from a control process; the next failure counts as the first."""
         self.failures = 0
 
-    def next_address(self) -> float:
-        """Go on to the next address; the wait before it, ms.
+    def advance_address(self) -> float:
+        """Advance to the next address and return the backoff before connecting to it, in ms.
 
-        Guards control against followers that all come back at once: each failure in a row doubles the wait,
-        at a random part of it; and against an address that is lost: the next in order is tried.
+        Prevents a burst of reconnecting followers at a control process: each consecutive failure doubles the
+        wait, and jitter takes half to all of it. Trying the next address covers an address that has failed.
         """
         self.position += 1
-        longest = min(self.timing.reconnect_most_ms, self.timing.reconnect_ms * 2**self.failures)
-        wait = longest * (0.5 + 0.5 * self.random.random())
-        self.failures = min(self.failures + 1, MOST_DOUBLINGS)
+        max_wait_ms = min(self.timing.backoff_max_ms, self.timing.backoff_base_ms * 2**self.failures)
+        wait = max_wait_ms * (0.5 + 0.5 * self.random.random())
+        self.failures = min(self.failures + 1, MAX_BACKOFF_DOUBLINGS)
         return wait
 
-    def first_address(self) -> None:
-        """Go back to the first address."""
+    def return_to_first_address(self) -> None:
+        """Return to the first address of the order."""
         self.position = 0
--- a/granitedock/configuration/message_handler.py
+++ b/granitedock/configuration/message_handler.py
@@ -1,7 +1,8 @@
-"""What each message from a control process means for a follower's document. No I/O.
+"""Applies each message from a control process to a follower's document. No I/O.
 
-What is in force is never taken back to an older version. A change that does not fit asks for a whole
-snapshot, once a connection; a message that may not come at this point raises MalformedLineError.
+The version in force never decreases. A change that does not apply to the version in force causes a request
+for a snapshot, at most once per connection; a message that is not allowed at this point raises
+MalformedLineError.
 """
 
 from __future__ import annotations
@@ -24,15 +25,15 @@
 )
 from granitedock.configuration.snapshot_progress import SnapshotProgress, check_end, check_page
 
-MOST_REASON = 200  # characters of a reason in the log
-CHANGE_IN_SNAPSHOT = "a change within a snapshot"
-FOLLOWERS_MESSAGE = "a follower's message from control"
+MAX_REASON_CHARACTERS = 200  # Longer reasons are truncated in the log.
+CHANGE_DURING_SNAPSHOT = "change received before the end of a snapshot"
+MESSAGE_OF_FOLLOWERS = "control process sent a message that only followers send"
 GAP = "gap"
 DIGEST = "digest"
 
 
 class MessageHandler:
-    """Applies messages to the document; `count(name)` counts what an operator should know."""
+    """Applies messages to the document; `count(name)` counts events for operators."""
 
     def __init__(
         self,
@@ -49,43 +50,46 @@
         self.count = count
 
     def handle(self, connection: Connection, message: Message, now: float) -> None:
-        """Apply one message that came at `now` (ms). Raises ConfigurationError."""
+        """Apply one message received at `now`, in ms. Raises ConfigurationError."""
         if isinstance(message, Current):
-            self.current(connection, message, now)
+            self.handle_current(connection, message, now)
         elif isinstance(message, VersionedChange):
-            self.change(connection, message)
+            self.handle_change(connection, message)
         elif isinstance(message, SnapshotBegins):
-            self.snapshot_begins(connection, message, now)
+            self.handle_snapshot_begins(connection, message, now)
         elif isinstance(message, Page):
-            self.page(connection, message)
+            self.handle_page(connection, message)
         elif isinstance(message, SnapshotEnds):
-            self.snapshot_ends(connection, message)
+            self.handle_snapshot_ends(connection, message)
         else:
-            raise MalformedLineError(FOLLOWERS_MESSAGE)
+            raise MalformedLineError(MESSAGE_OF_FOLLOWERS)
 
     def check_cluster(self, cluster: str) -> None:
-        """Raise MalformedLineError for another cluster's configuration."""
+        """Check that a message is of this cluster. Raises MalformedLineError."""
         if cluster != self.cluster:
-            problem = f"the configuration of cluster {cluster!r}, not {self.cluster!r}"
+            problem = f"cluster: got {cluster!r}, expected {self.cluster!r}"
             raise MalformedLineError(problem)
 
-    def current(self, connection: Connection, message: Current, now: float) -> None:
-        """The control process has nothing newer: the same, or an older version, or another digest."""
+    def handle_current(self, connection: Connection, message: Current, now: float) -> None:
+        """Handle the version of a control process that has nothing newer to send.
+
+        An older version marks the control process as behind; another digest causes a snapshot request.
+        """
         self.check_cluster(message.cluster)
         if message.version < self.document.version:
             connection.behind_since = connection.behind_since or now
         elif (message.version, message.digest) != (self.document.version, self.document.digest):
             self.request_snapshot(connection, DIGEST)
 
-    def change(self, connection: Connection, change: VersionedChange) -> None:
-        """Apply a change that fits the version in force.
+    def handle_change(self, connection: Connection, change: VersionedChange) -> None:
+        """Apply a change to the version in force.
 
-        Guards against changes that come twice (ignored) and such that leave one out, or begin at none (a
-        whole snapshot is requested, once a connection).
+        Ignores a change that has already been applied. Requests a snapshot, at most once per connection, if
+        an earlier change is missing, no version is in force yet, or the change cannot be applied.
         """
         document = self.document
         if connection.snapshot is not None:
-            raise MalformedLineError(CHANGE_IN_SNAPSHOT)
+            raise MalformedLineError(CHANGE_DURING_SNAPSHOT)
         if change.version <= document.version:
             self.count("doubled")
             if change.version == document.version:
@@ -96,32 +100,38 @@
         else:
             try:
                 document.apply_change(change)
-            except ConfigurationError as fault:
+            except ConfigurationError as error:
                 self.count("differing")
-                self.request_snapshot(connection, str(fault))
+                self.request_snapshot(connection, str(error))
                 return
             connection.behind_since = None
             self.report_in_force(connection)
 
     def report_in_force(self, connection: Connection) -> None:
-        """Tell the control process which version is in force now."""
+        """Report the version in force to the control process."""
         self.count("in_force")
         self.transport.send(connection, InForce(self.document.version, self.document.digest))
 
-    def request_snapshot(self, connection: Connection, why: str) -> None:
-        """Ask for a whole snapshot; a second need on one connection ends it (MalformedLineError)."""
+    def request_snapshot(self, connection: Connection, reason: str) -> None:
+        """Request a snapshot, at most once per connection.
+
+        Raises MalformedLineError, which ends the connection, if the document still does not match after the
+        snapshot. A further gap is ignored.
+        """
         if connection.snapshot_requested:
-            if connection.snapshot is None and why != GAP:
-                problem = f"does not fit after a whole snapshot either: {why}"
+            if connection.snapshot is None and reason != GAP:
+                problem = f"document still does not match after a snapshot: {reason}"
                 raise MalformedLineError(problem)
             return
         connection.snapshot_requested = True
         self.count("resends")
-        self.log("configuration snapshot requested", control=connection.address, why=why[:MOST_REASON])
+        self.log(
+            "configuration snapshot requested", control=connection.address, why=reason[:MAX_REASON_CHARACTERS]
+        )
         self.transport.send(connection, Resend())
 
-    def snapshot_begins(self, connection: Connection, message: SnapshotBegins, now: float) -> None:
-        """Begin a snapshot; one that is older than what is in force is skipped."""
+    def handle_snapshot_begins(self, connection: Connection, message: SnapshotBegins, now: float) -> None:
+        """Start a snapshot; one that is older than the version in force is skipped."""
         self.check_cluster(message.cluster)
         skipped = message.version < self.document.version
         connection.snapshot = SnapshotProgress(message, skipped)
@@ -130,14 +140,14 @@
         else:
             self.document.begin_snapshot()
 
-    def page(self, connection: Connection, page: Page) -> None:
-        """Take a page of the snapshot on its way."""
+    def handle_page(self, connection: Connection, page: Page) -> None:
+        """Add a page to the incoming snapshot, unless it is skipped."""
         progress = check_page(connection.snapshot, page)
         if not progress.skipped:
             self.document.add_page(page.edit)
 
-    def snapshot_ends(self, connection: Connection, message: SnapshotEnds) -> None:
-        """Put the snapshot in force."""
+    def handle_snapshot_ends(self, connection: Connection, message: SnapshotEnds) -> None:
+        """Put the complete snapshot in force, unless it is skipped."""
         progress = check_end(connection.snapshot, message)
         connection.snapshot = None
         if not progress.skipped:
