--- a/granitedock/configuration/gateway_applier.py
+++ b/granitedock/configuration/gateway_applier.py
@@ -1,7 +1,7 @@
-"""The configuration in force at one gateway: plans, classes and customers' quota accounts. No I/O.
+"""Applies the configuration at one gateway: plans, request classes and customers' quota accounts. No I/O.
 
-A change acts between two inputs of the gateway, whole. Requests in flight keep the plan and class that they
-were accepted with; their customers' accounts are those of the new plan.
+A change is applied atomically between two inputs of the gateway. Requests in flight keep the plan and class
+with which they were accepted; the accounts of their customers continue under the new plan.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 Entry = Plan | RequestClass
 
 
-def same_plan(one: Plan, other: Plan) -> bool:
-    """Whether both mean the same to a customer; a window that is not stated follows from burst and rate."""
-    return plan_fields(one) == plan_fields(other) and window_of(one) == window_of(other)
+def plans_equivalent(first: Plan, second: Plan) -> bool:
+    """Return whether both plans have the same effect; an unset window is derived from burst and rate."""
+    return plan_fields(first) == plan_fields(second) and window_of(first) == window_of(second)
 
 
 class GatewayApplier:
-    """Keeps a replicated document in force at one gateway. `clock()` is Unix ms."""
+    """Applies a replicated document at one gateway; `clock()` returns Unix ms."""
 
     def __init__(self, state: GatewayState, clock: Callable[[], float]) -> None:
         self.state = state
@@ -38,23 +38,23 @@
         self.history = PlanHistory()
         state.policy.rate_limiter.open_account = self.history.open_account
 
-    # `DocumentConsumer` of the replicated document.
+    # Implements `DocumentConsumer` for the replicated document.
 
     def make_value(self, section: Section, record: Record) -> Entry:
-        """The plan or class of a record. Raises ConfigurationError."""
+        """Return the plan or request class of a record. Raises ConfigurationError."""
         try:
             if section is Section.CLASSES:
                 return platform_settings.request_class(record)
             return platform_settings.plan(record, float(record.get(WINDOW_FIELD) or 0.0))
-        except (KeyError, ValueError, TypeError) as fault:
-            problem = f"{section.value}: {record.get('Name')!r}: {type(fault).__name__}: {fault}"
+        except (KeyError, ValueError, TypeError) as error:
+            problem = f"{section.value}: {record.get('Name')!r}: {type(error).__name__}: {error}"
             raise ConfigurationError(problem) from None
 
     def snapshot_started(self) -> None:
-        """What is in force stays so until the whole document is there."""
+        """Do nothing: the configuration in force stays until the snapshot is complete."""
 
     def apply_change(self, _change: VersionedChange, prepared: PreparedEdit[Entry]) -> None:
-        """Upsert and remove some plans and classes."""
+        """Apply the upserts and removals of a change to plans and request classes."""
         plans: dict[str, Plan] = {}
         classes: dict[str, RequestClass] = {}
         for _, name, value, _ in prepared.entries:
@@ -73,16 +73,15 @@
             self.apply_classes(classes)
 
     def apply_snapshot(self, _before: Contents[Entry], after: Contents[Entry]) -> None:
-        """Put a whole document in force: what is not in it is removed, also what the platform's file had.
+        """Apply a whole document, and remove entries that it lacks, including those of the platform file.
 
-        A plan or class that means the same keeps its object, so that what was measured of its requests stays
-        known.
+        An equivalent plan or class keeps its present object, and with it the measurements of its requests.
         """
         plans = cast(dict[str, Plan], after.values[Section.PLANS])
         present_plans = self.state.requests.plans
         for name, plan in plans.items():
             present = present_plans.get(name)
-            if present is not None and present is not plan and same_plan(present, plan):
+            if present is not None and present is not plan and plans_equivalent(present, plan):
                 plans[name] = present
         self.apply_plans(plans, [name for name in present_plans if name not in plans])
         classes = cast(dict[str, RequestClass], after.values[Section.CLASSES])
@@ -92,13 +91,13 @@
                 classes[name] = present_classes[name]
         self.apply_classes(dict(classes))
 
-    # What acts at the gateway.
+    # Effects on the gateway.
 
     def apply_plans(self, plans: dict[str, Plan], removed: Iterable[str]) -> None:
-        """Put plans in force; the accounts of customers whose plans changed go on under the new ones.
+        """Apply plans, and carry the accounts of customers over to their changed plans.
 
-        A customer of a removed plan keeps its account, as requests in flight need it; new ones are rejected
-        for want of the plan.
+        A customer of a removed plan keeps its account, because requests in flight need it; its new requests
+        are rejected because the plan does not exist.
         """
         now = self.clock()
         changed: dict[str, Plan] = {}
@@ -107,17 +106,18 @@
             if before is plan:
                 continue
             if before is not None:
-                self.history.changed(before, now)
-            if before is not None or name in self.history.former:  # or removed recently, and back
+                self.history.add_former_plan(before, now)
+            # A plan in the history but not in force was removed recently and is added again.
+            if before is not None or name in self.history.former:
                 changed[name] = plan
             self.state.requests.plans[name] = plan
         for name in removed:
-            self.history.changed(self.state.requests.plans.pop(name), now)
+            self.history.add_former_plan(self.state.requests.plans.pop(name), now)
         if changed:
             self.carry_over_accounts(changed, now)
 
     def carry_over_accounts(self, changed: dict[str, Plan], now: float) -> None:
-        """Continue the accounts of the customers of changed plans under the new plans, by name."""
+        """Carry the accounts of customers over to their changed plans; `changed` maps names to new plans."""
         policy = self.state.policy
         policy.advance_clock(now)
         for customer in policy.rate_limiter.accounts:
@@ -126,9 +126,9 @@
                 customer.account = carry_over(customer.account, plan, now)
 
     def apply_classes(self, classes: dict[str, RequestClass]) -> None:
-        """Put these classes in force, in the place of all.
+        """Replace all request classes.
 
-        The process's own graceful shutdown (`limits.leave_ms`) stays by the classes that it began with.
+        The process's graceful shutdown (`limits.leave_ms`) still follows the classes present at its start.
         """
         self.state.requests.replace_request_classes(classes)
         self.state.policy.load_balancer.set_request_classes(list(classes.values()))
--- a/granitedock/configuration/gateway_attachment.py
+++ b/granitedock/configuration/gateway_attachment.py
@@ -1,4 +1,4 @@
-"""The configuration service at one running gateway: the follower, what it acts on, and its local copy."""
+"""Attaches the configuration service to a running gateway: the follower, the applier and the local copy."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class GatewayAttachment:
-    """A gateway's part in the configuration service. `clock()` is Unix ms."""
+    """The configuration follower of one gateway; `clock()` returns Unix ms."""
 
     def __init__(
         self,
@@ -51,7 +51,8 @@
         self.event_log = event_log
         self.applier = GatewayApplier(state, clock)
         self.copy: LocalCopy | None = None
-        self.snapshot_records: list[tuple[Section, Record]] = []  # of a snapshot on its way, for the copy
+        # Records of the incoming snapshot, for the copy.
+        self.snapshot_records: list[tuple[Section, Record]] = []
         self.document: ReplicatedDocument[Entry] = ReplicatedDocument(self)
         self.transport = FollowerTransport(reactor, ROLE, event_log.counts)
         self.follower = Follower(
@@ -72,14 +73,14 @@
         self.event_log.event(event, **figures)
 
     def start(self) -> None:
-        """Go on by the copy, where there is one, then follow."""
+        """Apply the local copy, if there is one, and start following."""
         if self.file.copy_file is not None:
             self.copy = LocalCopy(Path(self.file.copy_file), self.file.cluster, self.copy_write_failed)
             self.read_copy(self.copy)
         self.transport.start(self.follower)
 
     def stop(self) -> None:
-        """Stop following, and write the rest of the copy."""
+        """Stop following, and write the queued part of the copy."""
         self.transport.stop()
         if self.copy is not None:
             self.copy.stop()
@@ -87,76 +88,76 @@
     # The local copy.
 
     def read_copy(self, copy: LocalCopy) -> None:
-        """Put what the copy holds in force, and begin to write it.
+        """Apply the contents of the copy, and start the thread that writes it.
 
-        Guards against a copy that can't be used: it is named, and neither read nor written.
+        A copy that cannot be used is logged with its path, and neither read nor written.
         """
         try:
             copied = copy.read()
             if copied is not None and copied.version:
                 self.restore(copied)
                 self.log("configuration copy read", file=str(copy.path), version=copied.version)
-        except ConfigurationError as fault:
+        except ConfigurationError as error:
             self.count("copy_refused")
-            self.log("configuration copy rejected", file=str(copy.path), why=str(fault))
+            self.log("configuration copy rejected", file=str(copy.path), why=str(error))
             self.copy = None
             return
         copy.start()
 
     def restore(self, copied: CopiedDocument) -> None:
-        """Put a copied document in force. Raises ConfigurationError."""
+        """Apply a copied document. Raises ConfigurationError."""
         upserts: dict[Section, list[Record]] = {section: [] for section in Section}
         for section, record in copied.entries:
             upserts[section].append(record)
         self.document.begin_snapshot()
         self.document.add_page(Edit({section: tuple(records) for section, records in upserts.items()}))
-        self.snapshot_records = []  # the copy has them already
+        self.snapshot_records = []  # The copy already contains these records.
         self.document.end_snapshot(copied.version, copied.digest)
 
-    def copy_write_failed(self, why: str) -> None:
-        """Called from the copy's thread, which has ended."""
-        self.reactor.callFromThread(self.drop_copy, why)
+    def copy_write_failed(self, reason: str) -> None:
+        """Drop the copy on the reactor's thread; called from the copy's thread, which ends after it."""
+        self.reactor.callFromThread(self.drop_copy, reason)
 
-    def drop_copy(self, why: str) -> None:
-        """Go on without the copy.
+    def drop_copy(self, reason: str) -> None:
+        """Drop the copy; the gateway continues without it.
 
-        Guards the memory: nobody writes any more what would be queued for the copy.
+        Prevents growing memory use, because nothing drains the copy's queue any more.
         """
         self.copy = None
         self.snapshot_records = []
         self.count("copy_unwritten")
-        self.log("configuration copy write failed", why=why)
+        self.log("configuration copy write failed", why=reason)
 
-    # `DocumentConsumer` of the replicated document: what acts here, and what is copied.
+    # Implements `DocumentConsumer`: applies the replicated document at this gateway and copies it.
 
     def make_value(self, section: Section, record: Record) -> Entry:
-        """The plan or class of a record, which is kept for the copy. Raises ConfigurationError."""
+        """Return the plan or class of a record; keep the record for the copy. Raises ConfigurationError."""
         if self.copy is not None and self.document.incoming is not None:
             self.snapshot_records.append((section, record))
         return self.applier.make_value(section, record)
 
     def snapshot_started(self) -> None:
-        """Guards the copy against entries of a snapshot that was cut short and are not in the next."""
+        """Discard the records of an incomplete snapshot, which may be absent from the next one."""
         self.snapshot_records = []
 
     def apply_change(self, change: VersionedChange, prepared: PreparedEdit[Entry]) -> None:
-        """Put a change in force and copy it."""
+        """Apply a change and copy it."""
         self.applier.apply_change(change, prepared)
         if self.copy is not None:
             self.copy.put(change)
 
     def apply_snapshot(self, before: Contents[Entry], after: Contents[Entry]) -> None:
-        """Put a whole document in force and copy it."""
+        """Apply a whole document and copy it."""
         self.applier.apply_snapshot(before, after)
         records = self.snapshot_records
         self.snapshot_records = []
         if self.copy is not None and records:
             self.copy.put(CopiedDocument(records, after.version, after.digest))
 
-    # What it can be asked.
+    # Queries.
 
     def status_json(self) -> bytes:
-        """What is in force here and from whom, as JSON."""
+        """Return the configuration in force and the control process that is followed, as JSON."""
         document = self.document
         requests = self.applier.state.requests
         in_force = {
--- a/granitedock/configuration/gateway_state.py
+++ b/granitedock/configuration/gateway_state.py
@@ -1,4 +1,4 @@
-"""The parts of a running gateway that its configuration acts on; the only place that names them."""
+"""Ports of a running gateway to which its configuration is applied; defined here only."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class HostPolicy(Protocol):
-    """The part of the policy that distributes requests over hosts (`granitedock.policy.load_balancer`)."""
+    """The load balancer of the policy (`granitedock.policy.load_balancer`)."""
 
     def set_request_classes(self, request_classes: list[RequestClass]) -> None:
-        """Balance by these classes from now on."""
+        """Replace the request classes used for load balancing."""
         ...
 
 
 class QuotaPolicy(Protocol):
-    """The part of the policy that holds customers to their quotas (`granitedock.policy.rate_limiter`)."""
+    """The rate limiter of the policy, which enforces quotas (`granitedock.policy.rate_limiter`)."""
 
-    open_account: Any  # makes a customer's account; called like QuotaAccount, which it is unless replaced
+    open_account: Any  # Creates a customer's account; `QuotaAccount` by default, and called like it.
 
     @property
     def accounts(self) -> Iterable[Customer]:
-        """The customers that have an account."""
+        """Return the customers that have an account."""
         ...
 
 
@@ -32,27 +32,27 @@
 
     @property
     def rate_limiter(self) -> QuotaPolicy:
-        """The policy's part for quotas."""
+        """Return the rate limiter."""
         ...
 
     @property
     def load_balancer(self) -> HostPolicy:
-        """The policy's part for hosts."""
+        """Return the load balancer."""
         ...
 
     def advance_clock(self, now: float) -> None:
-        """Bring the policy to `now`, Unix ms."""
+        """Advance the policy's clock to `now`, in Unix ms."""
         ...
 
 
 class RequestAdmission(Protocol):
-    """The plans and classes by which a gateway admits requests (`granitedock.service.in_flight_requests`)."""
+    """Plans and request classes for admission of requests (`granitedock.service.in_flight_requests`)."""
 
     plans: dict[str, Plan]
     request_classes: dict[str, RequestClass]
 
     def replace_request_classes(self, request_classes: dict[str, RequestClass]) -> None:
-        """Admit requests by these classes from now on; those in flight keep theirs."""
+        """Replace the classes for new requests; requests in flight keep their class."""
         ...
 
 
@@ -61,10 +61,10 @@
 
     @property
     def requests(self) -> RequestAdmission:
-        """What admits requests."""
+        """Return the admission of requests."""
         ...
 
     @property
     def policy(self) -> GatewayPolicy:
-        """The gateway's policy."""
+        """Return the gateway's policy."""
         ...
--- a/granitedock/configuration/line_framing.py
+++ b/granitedock/configuration/line_framing.py
@@ -1,4 +1,4 @@
-"""Lines of a body that comes in pieces, with a bound on a line that never ends. No I/O."""
+"""Splits a streamed body into lines, with a limit on the length of an incomplete line. No I/O."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 from granitedock.configuration.errors import MalformedLineError
 
-MOST_LINE_BYTES = 4 * 1024 * 1024
+MAX_LINE_BYTES = 4 * 1024 * 1024
 
 
 class LineBuffer:
-    """The bytes that have come without a line end yet; at most `most` of them."""
+    """Buffer of received bytes without a line end; at most `max_line_bytes` of them."""
 
-    def __init__(self, most: int = MOST_LINE_BYTES) -> None:
-        self.most = most
+    def __init__(self, max_line_bytes: int = MAX_LINE_BYTES) -> None:
+        self.max_line_bytes = max_line_bytes
         self.pieces: list[bytes] = []
         self.size = 0
 
     def lines(self, data: bytes) -> Iterator[bytes]:
-        """The lines that end in these bytes, without their ends.
+        """Yield the lines that end within these bytes, without their line ends.
 
-        Raises MalformedLineError where a line is too long.
+        Raises MalformedLineError if an incomplete line exceeds the limit.
         """
         rest, *more = data.split(b"\n")
         for piece in more:
@@ -32,6 +32,6 @@
         if rest:
             self.pieces.append(rest)
             self.size += len(rest)
-        if self.size > self.most:
-            problem = f"a line of more than {self.most:,} bytes"
+        if self.size > self.max_line_bytes:
+            problem = f"a line of more than {self.max_line_bytes:,} bytes"
             raise MalformedLineError(problem)
--- a/granitedock/configuration/local_copy.py
+++ b/granitedock/configuration/local_copy.py
@@ -1,7 +1,8 @@
-"""A gateway's copy of the document that it has in force, for its next start: written in a thread of its own.
+"""A gateway's local copy of the document in force, for its next start, written in a separate thread.
 
-Guards requests against a slow disk, which would hold up the loop. The copy is a store like control's; one
-that is corrupt, another cluster's or unwritable is named in the log, and the gateway goes on without it.
+The thread prevents a slow disk from blocking the event loop and its requests. The copy is a store of the same
+format as the control process's. If it is corrupt, of another cluster or not writable, its path is logged and
+the gateway continues without it.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 from granitedock.configuration.errors import ConfigurationError
 from granitedock.configuration.messages import VersionedChange
 
-STOP_S = 0.5
+STOP_TIMEOUT_S = 0.5
 
 
 class CopiedDocument(NamedTuple):
-    """All entries of a version, and its digest."""
+    """All entries of a version, with the version and its digest."""
 
     entries: list[tuple[Section, Record]]
     version: int
@@ -31,18 +32,18 @@
 class LocalCopy:
     """The copy at `path`.
 
-    `failed(why)` is called from the writing thread, once: nothing is written after it.
+    `on_failure(reason)` is called at most once, from the writing thread; nothing is written after it.
     """
 
-    def __init__(self, path: Path, cluster: str, failed: Callable[[str], None]) -> None:
+    def __init__(self, path: Path, cluster: str, on_failure: Callable[[str], None]) -> None:
         self.path = path
         self.cluster = cluster
-        self.failed = failed
+        self.on_failure = on_failure
         self.queue: SimpleQueue[VersionedChange | CopiedDocument | None] = SimpleQueue()
         self.thread = Thread(target=self.write_queued, daemon=True)
 
     def read(self) -> CopiedDocument | None:
-        """What was kept, or None where there is nothing yet. Raises StoreError."""
+        """Return the copied document, or None if there is none yet. Raises StoreError."""
         if not self.path.exists():
             return None
         store = DocumentStore(self.path, self.cluster)
@@ -53,7 +54,7 @@
             store.close()
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the writing thread."""
         self.thread.start()
 
     def put(self, item: VersionedChange | CopiedDocument) -> None:
@@ -61,12 +62,12 @@
         self.queue.put(item)
 
     def stop(self) -> None:
-        """Write what is queued, within the time that a process has to end."""
+        """Write the queued items, within the time limit for the shutdown of the process."""
         self.queue.put(None)
-        self.thread.join(STOP_S)
+        self.thread.join(STOP_TIMEOUT_S)
 
     def write_queued(self) -> None:
-        """The thread: write each item until None."""
+        """Write each queued item until None; the body of the writing thread."""
         try:
             store = DocumentStore(self.path, self.cluster)
             while (item := self.queue.get()) is not None:
@@ -75,5 +76,5 @@
                 else:
                     store.replace(*item)
             store.close()
-        except ConfigurationError as fault:
-            self.failed(str(fault))
+        except ConfigurationError as error:
+            self.on_failure(str(error))
--- a/granitedock/configuration/message_codec.py
+++ b/granitedock/configuration/message_codec.py
@@ -1,6 +1,7 @@
-"""The messages of `messages.py` as lines: one JSON object a line, its kind under `type`. No I/O.
+"""Encodes and decodes the messages of `messages.py` as lines. No I/O.
 
-An empty line is a heartbeat. Digests are hex digits; an edit stands in the line in the form of a change.
+Each line is a JSON object that states the kind of message in `type`; an empty line is a heartbeat. Digests
+are written in hex digits, and an edit has the format of a change.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """The line of a message, with its line end."""
+    """Encode a message as a line, with its line end."""
     record: Record = {"type": NAMES[type(message)]}
     for name in message.__slots__:
         value = getattr(message, name)
@@ -51,18 +52,18 @@
     return orjson.dumps(record) + b"\n"
 
 
-def field_error(name: str, wanted: str, value: Any) -> MalformedLineError:
-    """The error for a field that is not what is wanted."""
-    return MalformedLineError(f"{name}: {wanted} wanted, not {value!r:.60}")
+def field_error(name: str, expected: str, value: Any) -> MalformedLineError:
+    """Return the error for a field with an invalid value."""
+    return MalformedLineError(f"{name}: {expected} wanted, not {value!r:.60}")
 
 
-def form_error(place: str, wanted: str) -> MalformedLineError:
-    """The error for a part of a line that does not have the form that is wanted."""
-    return MalformedLineError(f"{place}: {wanted} wanted")
+def form_error(place: str, expected: str) -> MalformedLineError:
+    """Return the error for a part of a line that does not have the expected form."""
+    return MalformedLineError(f"{place}: {expected} wanted")
 
 
 def decode_whole_number(record: Record, name: str) -> int:
-    """An integer from 0. Raises MalformedLineError."""
+    """Decode a non-negative integer. Raises MalformedLineError."""
     value = record.get(name)
     if type(value) is not int or value < 0:
         raise field_error(name, "a whole number from 0 is", value)
@@ -70,7 +71,7 @@
 
 
 def decode_digest(record: Record) -> int:
-    """The digest of a line. Raises MalformedLineError."""
+    """Decode the digest of a line. Raises MalformedLineError."""
     value = record.get("digest")
     try:
         if type(value) is str and len(value) == DIGEST_DIGITS:
@@ -81,7 +82,7 @@
 
 
 def decode_text(record: Record, name: str) -> str:
-    """A text. Raises MalformedLineError."""
+    """Decode a string. Raises MalformedLineError."""
     value = record.get(name)
     if type(value) is not str:
         raise field_error(name, "a text is", value)
@@ -89,10 +90,10 @@
 
 
 def decode_edit(record: Record) -> Edit:
-    """The edit of a line. Raises MalformedLineError.
+    """Decode the edit of a line. Raises MalformedLineError.
 
-    The writer has checked its records, and the digest says whether they are the same; here they only have to
-    have a form that can be read.
+    Checks only that its form can be read: the writer has validated the records, and the digest shows whether
+    they arrived unchanged.
     """
     for section in Section:
         place = section.value
@@ -103,7 +104,7 @@
         names = part.get("remove", [])
         if type(records) is not list or type(names) is not list:
             raise form_error(place, "lists are")
-        if not all(type(one) is dict and type(one.get("Name")) is str for one in records):
+        if not all(type(entry) is dict and type(entry.get("Name")) is str for entry in records):
             raise form_error(f"{place}.upsert", "objects with a Name are")
         if not all(type(name) is str for name in names):
             raise form_error(f"{place}.remove", "names are")
@@ -111,7 +112,7 @@
 
 
 def decode_change(record: Record) -> VersionedChange:
-    """The change of a line. Raises MalformedLineError."""
+    """Decode the change of a line. Raises MalformedLineError."""
     version = decode_whole_number(record, "version")
     digest = decode_digest(record)
     at_ms = record.get("at_ms")
@@ -121,7 +122,7 @@
 
 
 def decode_versioned(kind: type[Message], record: Record) -> Message:
-    """A message that has a version and a digest and no edit. Raises MalformedLineError."""
+    """Decode a message that has a version and a digest but no edit. Raises MalformedLineError."""
     version = decode_whole_number(record, "version")
     digest = decode_digest(record)
     if kind is Current:
@@ -135,11 +136,11 @@
 
 
 def decode(line: bytes) -> Message:
-    """The message of a line. Raises MalformedLineError."""
+    """Decode the message of a line. Raises MalformedLineError."""
     try:
         record = orjson.loads(line)
-    except orjson.JSONDecodeError as fault:
-        problem = f"not JSON: {fault}"
+    except orjson.JSONDecodeError as error:
+        problem = f"not JSON: {error}"
         raise MalformedLineError(problem) from None
     name = record.get("type") if type(record) is dict else None
     kind = KINDS.get(name) if type(name) is str else None
--- a/granitedock/configuration/messages.py
+++ b/granitedock/configuration/messages.py
@@ -1,7 +1,7 @@
 """The messages between control processes and their followers.
 
 A control process sends `Current`, `SnapshotBegins`, its `Page`s, `SnapshotEnds` and `VersionedChange`; a
-follower sends `InForce` and `Resend`. How they are worded on a line: `message_codec.py`.
+follower sends `InForce` and `Resend`. `message_codec.py` encodes them as lines.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Current:
-    """The version of a control process, for a follower that needs nothing of it: it has the same, or more."""
+    """The version of a control process, sent to a follower whose version is the same or newer."""
 
     cluster: str
     version: int
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotBegins:
-    """A whole document follows, in `pages` pages."""
+    """Start of a snapshot, which follows in `pages` pages."""
 
     cluster: str
     version: int
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Some of the entries of a snapshot; pages are numbered from 0."""
+    """Some entries of a snapshot; pages are numbered from 0."""
 
     number: int
     edit: Edit
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotEnds:
-    """All pages of a snapshot have been sent."""
+    """End of a snapshot, sent after all of its pages."""
 
     version: int
     digest: int
@@ -48,9 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionedChange:
-    """The change that makes `version` of the one before it.
+    """The change that turns the preceding version into `version`.
 
-    `digest` is the document's after the change; `at_ms` is when the writer accepted it, Unix ms.
+    `digest` is the digest of the document after the change; `at_ms` is the time at which the writer accepted
+    it, in Unix ms.
     """
 
     version: int
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InForce:
-    """The version that a follower has in force."""
+    """Report of the version that a follower has in force."""
 
     version: int
     digest: int
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resend:
-    """A follower asks for a whole snapshot: what it received does not fit what it has."""
+    """Request for a snapshot, because a received message does not match the follower's document."""
 
 
 FromControl = Current | SnapshotBegins | Page | SnapshotEnds | VersionedChange
--- a/granitedock/configuration/plan_transition.py
+++ b/granitedock/configuration/plan_transition.py
@@ -1,11 +1,11 @@
-"""A customer's quota account over a change of its plan. No I/O.
-
-What is in force for a customer at a gateway is its account (`granitedock.policy`): the two-window count, the
-burst usage, the local token buckets. A changed plan brings a new account that takes over what was used, so
-that no change gives a fresh burst: with the same window the count goes on under the same names; with another
-window the burst usage goes on, and a customer whose use this gateway does not know is taken to have used the
-whole burst when the plan changed. A hard ceiling that is lowered holds from that moment, one that is raised
-grows from that moment by the new rate. Times are Unix ms.
+"""Carries a customer's quota account over to a changed plan. No I/O.
+
+A gateway enforces a customer's quota through its account (`granitedock.policy`): the sliding window counter,
+the burst usage and the local token buckets. A changed plan gets a new account that inherits the usage, so
+that no change grants a fresh burst. If the window length is unchanged, the count continues under the same
+counter names. If it changes, the burst usage continues, and a customer whose usage is unknown at this gateway
+is assumed to have used the whole burst when the plan changed. A lowered hard ceiling applies immediately; a
+raised one refills at the new rate from the change on. Times are in Unix ms.
 """
 
 from __future__ import annotations
@@ -28,25 +28,26 @@
     "unchanged_totals",
 )
 GOSSIP_ATTRIBUTES = ("uncounted", "uncounted_before")
-REMEMBERED_MS = MAX_NAME_TTL_MS  # so long a plan as it was before a change matters to accounts made since
+# A former plan affects accounts that are opened up to this long after the change.
+FORMER_PLAN_TTL_MS = MAX_NAME_TTL_MS
 
 
 class FormerPlan(NamedTuple):
-    """A plan as it was, and when it ceased to be in force."""
+    """A former plan, and the time until which it was in force."""
 
     plan: Plan
     until: float
 
 
 class PlanEnd(NamedTuple):
-    """When the plan of this name changed."""
+    """The time at which the plan of this name changed."""
 
     at: float
     name: str
 
 
 def carry_over(account: QuotaAccount, plan: Plan, now: float) -> QuotaAccount:
-    """The account that continues `account` under another plan."""
+    """Return a new account under another plan that inherits the usage and state of `account`."""
     new = QuotaAccount(plan, account.subset_size, now, account.quota.subset_start, now)
     new.in_flight = account.in_flight
     new.last_used_at = account.last_used_at
@@ -66,11 +67,11 @@
 
 
 def carry_over_unseen(account: QuotaAccount, plan: Plan, at: float) -> QuotaAccount:
-    """The account that continues one of a customer that this gateway had none of.
+    """Return the account under another plan of a customer that had no account at this gateway.
 
-    Guards against a fresh burst under the new names, of which this gateway can't know what was used under the
-    old ones. Hurts a customer first seen here within the filling of the burst after such a change: it has its
-    rate, and no burst yet.
+    Prevents a fresh burst under new counter names when this gateway cannot know the usage under the old ones.
+    The cost: a customer that is first seen here before the burst has refilled after such a change gets its
+    rate but no burst yet.
     """
     new = carry_over(account, plan, at)
     if new.window_ms != account.window_ms:
@@ -79,17 +80,17 @@
 
 
 class PlanHistory:
-    """Plans as they were recently, for the accounts of customers first seen after a change."""
+    """Recent former plans, for the accounts of customers that are first seen after a change."""
 
     def __init__(self) -> None:
         self.former: dict[str, deque[FormerPlan]] = {}
-        self.ends: deque[PlanEnd] = deque()  # oldest first
+        self.ends: deque[PlanEnd] = deque()  # Oldest first.
 
-    def changed(self, plan: Plan, now: float) -> None:
-        """Remember that this plan has ceased to be in force."""
+    def add_former_plan(self, plan: Plan, now: float) -> None:
+        """Add a plan that is no longer in force, and evict former plans that have expired."""
         self.former.setdefault(plan.name, deque()).append(FormerPlan(plan, now))
         self.ends.append(PlanEnd(now, plan.name))
-        while self.ends and now - self.ends[0].at > REMEMBERED_MS:
+        while self.ends and now - self.ends[0].at > FORMER_PLAN_TTL_MS:
             name = self.ends.popleft().name
             former_plans = self.former[name]
             former_plans.popleft()
@@ -97,18 +98,20 @@
                 del self.former[name]
 
     def open_account(
-        self, plan: Plan, subset_size: int, now: float, subset_start: int, began: float
+        self, plan: Plan, subset_size: int, now: float, subset_start: int, process_started_at: float
     ) -> QuotaAccount:
-        """The account of a customer that this gateway has none of.
+        """Open the account of a customer that has none at this gateway, and return it.
 
-        Takes the place of `QuotaAccount` in the policy.
+        The policy calls it in place of `QuotaAccount`.
         """
-        former_plans = [one for one in self.former.get(plan.name, ()) if now - one.until <= REMEMBERED_MS]
+        former_plans = [
+            former for former in self.former.get(plan.name, ()) if now - former.until <= FORMER_PLAN_TTL_MS
+        ]
         if not former_plans:
-            return QuotaAccount(plan, subset_size, now, subset_start, began)
+            return QuotaAccount(plan, subset_size, now, subset_start, process_started_at)
         oldest = former_plans[0]
-        account = QuotaAccount(oldest.plan, subset_size, oldest.until, subset_start, began)
-        successors = [one.plan for one in former_plans[1:]] + [plan]
+        account = QuotaAccount(oldest.plan, subset_size, oldest.until, subset_start, process_started_at)
+        successors = [former.plan for former in former_plans[1:]] + [plan]
         for former, successor in zip(former_plans, successors, strict=True):
             account = carry_over_unseen(account, successor, former.until)
         account.last_used_at = now
--- a/granitedock/configuration/replicated_document.py
+++ b/granitedock/configuration/replicated_document.py
@@ -1,4 +1,4 @@
-"""A follower's document: changes and whole snapshots applied, each whole or not at all. No I/O."""
+"""A follower's document, to which changes and snapshots are applied atomically. No I/O."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 
 class DocumentConsumer(Protocol[Value]):
-    """What a replicated document takes effect on: a gateway, or a replica's store and followers."""
+    """Consumer of a replicated document: a gateway, or a replica's store and followers."""
 
     def make_value(self, section: Section, record: Record, /) -> Value:
-        """What is kept of a record. Raises ConfigurationError."""
+        """Return the value kept for a record. Raises ConfigurationError."""
         ...
 
     def snapshot_started(self) -> None:
-        """A whole document is to come; one that was on its way will not be completed."""
+        """Handle the start of a snapshot; an earlier incomplete one is discarded."""
         ...
 
     def apply_change(self, change: VersionedChange, prepared: PreparedEdit[Value], /) -> None:
-        """The change is about to be in force; an exception keeps it out."""
+        """Apply a change before it is committed; an exception prevents the commit."""
         ...
 
     def apply_snapshot(self, before: Contents[Value], after: Contents[Value], /) -> None:
-        """A whole document is about to replace the one before; an exception keeps it out."""
+        """Apply a whole document before it replaces `before`; an exception prevents the replacement."""
         ...
 
 
 class ReplicatedDocument(Generic[Value]):
-    """The contents that a follower has in force, and those of a snapshot on its way (`incoming`)."""
+    """The contents that a follower has in force, and those of a snapshot being received (`incoming`)."""
 
     def __init__(self, consumer: DocumentConsumer[Value]) -> None:
         self.consumer = consumer
@@ -41,19 +41,19 @@
 
     @property
     def version(self) -> int:
-        """The version in force; 0 where there is none yet."""
+        """Return the version in force, or 0 if there is none yet."""
         return self.contents.version
 
     @property
     def digest(self) -> int:
-        """The digest of the version in force."""
+        """Return the digest of the version in force."""
         return self.contents.digest
 
     def apply_change(self, change: VersionedChange) -> None:
-        """Put a change of the version in force.
+        """Apply a change to the version in force.
 
-        Raises DigestMismatchError where it does not lead to the digest that it states, ConfigurationError
-        where it cannot be applied; then nothing has changed.
+        Raises DigestMismatchError if the result does not have the digest that the change states, and
+        ConfigurationError if the change cannot be applied. Either leaves the document unchanged.
         """
         prepared = self.contents.prepare(change.edit)
         check_digest(change.version, change.digest, prepared.digest)
@@ -61,41 +61,42 @@
         self.contents.commit(prepared, change.version)
 
     def begin_snapshot(self) -> None:
-        """A whole document is to come; what is in force stays until its end."""
+        """Start receiving a snapshot; the version in force stays until the snapshot ends."""
         self.incoming = Contents(self.consumer.make_value)
         self.consumer.snapshot_started()
 
     def add_page(self, edit: Edit) -> None:
-        """Take some entries of the snapshot on its way. Raises ConfigurationError."""
-        incoming = self.snapshot_on_its_way()
+        """Add some entries to the incoming snapshot. Raises ConfigurationError."""
+        incoming = self.incoming_snapshot()
         incoming.commit(incoming.prepare(edit), 0)
 
     def end_snapshot(self, version: int, digest: int) -> None:
-        """Put the snapshot in force. Raises DigestMismatchError; then nothing has changed.
+        """Put the snapshot in force.
 
-        An entry that did not change keeps its value, so that its state goes on.
+        An unchanged entry keeps its present value, and with it the state of that value. Raises
+        DigestMismatchError, which leaves the version in force unchanged.
         """
-        incoming = self.snapshot_on_its_way()
+        incoming = self.incoming_snapshot()
         self.incoming = None
         check_digest(version, digest, incoming.digest)
         for section in Section:
             present_values = self.contents.values[section]
             present_digests = self.contents.digests[section]
-            for name, own_digest in incoming.digests[section].items():
-                if present_digests.get(name) == own_digest:
+            for name, record_digest in incoming.digests[section].items():
+                if present_digests.get(name) == record_digest:
                     incoming.values[section][name] = present_values[name]
         incoming.version = version
         self.consumer.apply_snapshot(self.contents, incoming)
         self.contents = incoming
 
-    def snapshot_on_its_way(self) -> Contents[Value]:
-        """The contents of the snapshot that has begun; the follower sees to it that one has."""
+    def incoming_snapshot(self) -> Contents[Value]:
+        """Return the contents of the incoming snapshot; the follower ensures that one has started."""
         assert self.incoming is not None
         return self.incoming
 
 
 def check_digest(version: int, stated: int, computed: int) -> None:
-    """Raise DigestMismatchError unless both digests are the same."""
+    """Check that both digests are equal. Raises DigestMismatchError."""
     if stated != computed:
-        problem = f"version {version}: digest {digest_text(computed)}, and {digest_text(stated)} is stated"
+        problem = f"version {version}: got digest {digest_text(computed)}, expected {digest_text(stated)}"
         raise DigestMismatchError(problem)
--- a/granitedock/configuration/settings.py
+++ b/granitedock/configuration/settings.py
@@ -1,7 +1,7 @@
-"""The operators' files of the configuration service, TOML checked by pydantic.
+"""Settings files of the configuration service: TOML, validated by pydantic.
 
-`GatewayFile`: how a gateway follows (`granitedock serve --configuration FILE`). `ControlFile`: one control
-process (`granitedock control --config FILE`). For operators: docs/configuration-service.md.
+`GatewayFile` configures a gateway as a follower (`granitedock serve --configuration FILE`), `ControlFile` a
+control process (`granitedock control --config FILE`). Operators' reference: docs/configuration-service.md.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 from granitedock.toml_file import FieldErrors, StrictModel, read_text
 from granitedock.toml_file import parse as parse_toml
 
-LAST_PORT = 65535
+MAX_PORT = 65535
 
 
 def check_listen_address(text: str) -> str:
-    """HOST:PORT; port 0 is any free one. Raises ValueError."""
+    """Check a HOST:PORT address to listen at; port 0 selects any free port. Raises ValueError."""
     host, _, port = text.rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or int(port) > LAST_PORT:
+    if not host or not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
         problem = f"not an address, HOST:PORT: {text!r}"
         raise ValueError(problem)
     return text
 
 
 def check_address(text: str) -> str:
-    """HOST:PORT that can be connected to. Raises ValueError."""
+    """Check a HOST:PORT address to connect to. Raises ValueError."""
     if check_listen_address(text).endswith(":0"):
-        problem = f"nobody can be reached at port 0: {text!r}"
+        problem = f"port 0 cannot be connected to: {text!r}"
         raise ValueError(problem)
     return text
 
@@ -40,7 +40,7 @@
 
 
 class GatewayFile(StrictModel):
-    """Where a gateway finds control, and where it keeps a copy of what it has in force over its restarts."""
+    """The control processes that a gateway follows, and the file that keeps its configuration on restart."""
 
     enabled: bool
     cluster: Cluster = "granitedock"
@@ -49,8 +49,10 @@
 
 
 class ControlFile(StrictModel):
-    """One control process. `follow` names the writer, or other replicas, for a replica; the writer has
-    none."""
+    """One control process.
+
+    `follow` lists the writer or other replicas for a replica to follow, and is empty for the writer.
+    """
 
     cluster: Cluster = "granitedock"
     name: Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
@@ -60,17 +62,17 @@
 
 
 def check_follow(file: ControlFile) -> FieldErrors:
-    """The errors of a control process that would follow itself."""
+    """Return the errors of a control process that would follow itself."""
     if file.listen in file.follow:
         return [(("follow",), f"this process's own address, {file.listen}")]
     return []
 
 
 def load_gateway(path: str | Path) -> GatewayFile:
-    """Read and check a gateway's file. Raises toml_file.TomlFileError."""
+    """Read and validate a gateway's file. Raises toml_file.TomlFileError."""
     return parse_toml(read_text(path), str(path), GatewayFile)
 
 
 def load_control(path: str | Path) -> ControlFile:
-    """Read and check a control process's file. Raises toml_file.TomlFileError."""
+    """Read and validate a control process's file. Raises toml_file.TomlFileError."""
     return parse_toml(read_text(path), str(path), ControlFile, check_follow)
--- a/granitedock/configuration/snapshot_progress.py
+++ b/granitedock/configuration/snapshot_progress.py
@@ -1,4 +1,4 @@
-"""The order of a snapshot's messages: its pages one after another, then its end. No I/O."""
+"""Checks the order of a snapshot's messages: its pages in sequence, then its end. No I/O."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 @dataclass(slots=True)
 class SnapshotProgress:
-    """A snapshot on its way; `skipped`: it is older than what is in force, and is read without effect."""
+    """A snapshot being received; `skipped`: it is older than the version in force and has no effect."""
 
-    begins: SnapshotBegins
+    header: SnapshotBegins
     skipped: bool
     next_page: int = 0
 
 
 def check_page(progress: SnapshotProgress | None, page: Page) -> SnapshotProgress:
-    """The snapshot that the page belongs to, as its next. Raises MalformedLineError."""
+    """Check that the page is the next of its snapshot, and return the snapshot. Raises MalformedLineError."""
     if progress is None or page.number != progress.next_page:
-        problem = f"page {page.number} out of turn"
+        problem = f"snapshot page {page.number} received out of order"
         raise MalformedLineError(problem)
     progress.next_page += 1
     return progress
 
 
 def check_end(progress: SnapshotProgress | None, end: SnapshotEnds) -> SnapshotProgress:
-    """The snapshot that ends here, all of its pages read. Raises MalformedLineError."""
+    """Check that all pages precede the end, and return the snapshot. Raises MalformedLineError."""
     if (
         progress is None
-        or progress.next_page != progress.begins.pages
-        or end.version != progress.begins.version
+        or progress.next_page != progress.header.pages
+        or end.version != progress.header.version
     ):
-        problem = "a snapshot's end out of turn"
+        problem = "snapshot end received before its last page, or for another version"
         raise MalformedLineError(problem)
     return progress
--- a/tests/configuration/test_configuration_processes.py
+++ b/tests/configuration/test_configuration_processes.py
@@ -183,7 +183,7 @@
     tmp_path, monkeypatch, answer, why
 ):
     monkeypatch.setattr(follower, "address_order", lambda name, addresses: addresses)
-    monkeypatch.setattr(line_framing, "MOST_LINE_BYTES", 1 << 20)
+    monkeypatch.setattr(line_framing, "MAX_LINE_BYTES", 1 << 20)
     monkeypatch.setattr(line_framing.LineBuffer.__init__, "__defaults__", (1 << 20,))
     strange = Server()
     with control_processes(2, 1) as (writer,), gateway(tmp_path, [strange.address, writer.address]) as live:
--- a/tests/configuration/test_plan_changes.py
+++ b/tests/configuration/test_plan_changes.py
@@ -121,7 +121,7 @@
 def test_a_customer_first_seen_after_a_raise_has_a_ceiling_grown_by_the_old_rate_until_then():
     history = PlanHistory()
     before, after = plan(20, 40, ceiling=(2.0, 40.0, 8.0)), plan(20, 40, ceiling=(200.0, 4000.0, 8.0))
-    history.changed(before, 120_000.0)
+    history.add_former_plan(before, 120_000.0)
     account = history.open_account(after, 2, 120_000.0, 0, 110_000.0)
     assert (
         account.ceiling.available(120_000.0) == 2.0 + 10.0
@@ -132,7 +132,7 @@
 
 def test_a_customer_first_seen_after_a_change_of_window_has_its_rate_and_no_burst():
     history = PlanHistory()
-    history.changed(plan(10, 20), 100_000.0)
+    history.add_former_plan(plan(10, 20), 100_000.0)
     account = history.open_account(plan(40, 240), 2, 100_250.0, 0, 0.0)
     assert (
         account.burst_usage_now(100_250.0) == 20.0 - 10.0
@@ -143,7 +143,7 @@
 def test_what_was_in_force_is_forgotten_in_time():
     history = PlanHistory()
     for n in range(100):
-        history.changed(plan(10, 20), 1000.0 * n)
+        history.add_former_plan(plan(10, 20), 1000.0 * n)
     assert len(history.former["p"]) <= 61
 
 
