--- a/granitedock/configuration/follower.py
+++ b/granitedock/configuration/follower.py
@@ -144,7 +144,7 @@
             self.reject(connection, str(error), now)
 
     def check_timeouts(self, now: float) -> None:
-        """Abandon a connection that is silent, behind, or due to return to the first address.
+        """Abandon the connection if it is silent or behind, or to return to the first address.
 
         Called periodically.
         """
--- a/granitedock/configuration/follower_timing.py
+++ b/granitedock/configuration/follower_timing.py
@@ -18,10 +18,10 @@
 
     first_line_timeout_ms: float = 2000.0
     silence_timeout_ms: float = 3000.0
-    behind_timeout_ms: float = 3000.0  # A control process that stays behind for longer is left.
+    behind_timeout_ms: float = 3000.0  # Limit for a control process that stays behind the follower.
     backoff_base_ms: float = 100.0
     backoff_max_ms: float = 1500.0
-    return_after_ms: float = 60_000.0  # A return waits for this to twice as long, at random.
+    return_after_ms: float = 60_000.0  # Minimum of the random delay; the maximum is twice as long.
 
 
 def address_order(name: str, addresses: list[str]) -> list[str]:
--- a/granitedock/configuration/snapshot_progress.py
+++ b/granitedock/configuration/snapshot_progress.py
@@ -33,6 +33,6 @@
         or progress.next_page != progress.header.pages
         or end.version != progress.header.version
     ):
-        problem = "snapshot end received before its last page, or for another version"
+        problem = "snapshot end received out of order or for another version"
         raise MalformedLineError(problem)
     return progress
--- a/tests/configuration/conftest.py
+++ b/tests/configuration/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the configuration service."""
+"""Fixtures for tests of the configuration service."""
 
 import pytest
 from configuration_helpers import control_node
--- a/tests/configuration/test_follower.py
+++ b/tests/configuration/test_follower.py
@@ -1,4 +1,4 @@
-"""A follower against control processes' cores: snapshots, changes, faults, timeouts. Times in ms."""
+"""A follower and control nodes in one process: snapshots, changes, faults, timeouts. Times are in ms."""
 
 import pytest
 from configuration_helpers import PLAN, Clock, LoopbackTransport, change, control_node
@@ -11,7 +11,7 @@
 from granitedock.lab.scale.platform import platform_settings
 
 
-def test_a_follower_takes_the_whole_document_and_then_each_change(writer):
+def test_a_follower_applies_the_snapshot_and_then_each_change(writer):
     transport = LoopbackTransport({"a": writer})
     transport.start()
     transport.hears_all()
@@ -24,8 +24,8 @@
     assert writer.publisher.status(0.0)[0].lag_ms == 0.0
 
 
-def test_a_follower_without_a_version_gets_the_whole_document_also_where_a_first_change_comes(tmp_path):
-    """It may have plans of the platform's file, which a change would leave in force."""
+def test_a_follower_without_a_version_requests_a_snapshot_instead_of_applying_the_first_change(tmp_path):
+    """Prevents plans of the platform file from staying in force, which a change alone would not remove."""
     empty = ControlNode(DocumentStore(tmp_path / "w.db", "lab"), True, Clock(), lambda followers: None)
     transport = LoopbackTransport({"a": empty})
     transport.start()
@@ -38,7 +38,7 @@
     assert transport.same(empty) and transport.follower.counts["gaps"] == 1
 
 
-def test_a_doubled_change_is_left_alone_and_a_gap_asks_for_a_whole_snapshot_once(writer):
+def test_a_duplicate_change_is_ignored_and_a_gap_causes_one_snapshot_request(writer):
     transport = LoopbackTransport({"a": writer})
     transport.start()
     transport.hears_all()
@@ -57,11 +57,11 @@
     assert transport.same(writer) and writer.publisher.counts["resends"] == 1
 
 
-def test_a_snapshot_cut_short_changes_nothing(writer):
+def test_an_incomplete_snapshot_changes_nothing(writer):
     transport = LoopbackTransport({"a": writer})
     transport.start()
-    *most, _ = transport.lines()
-    for line in most:
+    *all_but_last, _ = transport.lines()
+    for line in all_but_last:
         transport.hears(line)
     assert transport.document.version == 0 and transport.document.contents.count() == 0
     transport.cut()
@@ -70,7 +70,7 @@
     assert transport.same(writer)
 
 
-def test_a_digest_that_differs_asks_for_a_whole_snapshot_once_and_then_gives_the_address_up(writer):
+def test_a_digest_mismatch_causes_one_snapshot_request_and_a_second_one_abandons_the_address(writer):
     transport = LoopbackTransport({"a": writer})
     transport.start()
     transport.hears_all()
@@ -89,7 +89,7 @@
     assert transport.same(writer)
 
 
-def test_a_follower_never_goes_back_to_an_older_version_and_leaves_control_that_stays_behind(
+def test_a_follower_never_reverts_to_an_older_version_and_abandons_a_control_process_that_stays_behind(
     writer, tmp_path
 ):
     old = control_node(tmp_path / "old.db", plans=5)
@@ -112,8 +112,8 @@
     assert transport.core is writer and transport.document.version == 2
 
 
-def test_an_older_snapshot_is_read_past(writer, tmp_path):
-    """As control sends it that has lost its log and does not know that the follower is ahead."""
+def test_an_older_snapshot_is_skipped(writer, tmp_path):
+    """A control process that has lost its log sends one, as it does not know that the follower is ahead."""
     transport = LoopbackTransport({"a": writer})
     transport.start()
     older = list(transport.lines())
@@ -140,7 +140,7 @@
         b'{"type":"page","number":0,"plans":{"upsert":7}}',
     ],
 )
-def test_what_is_no_watch_on_this_clusters_configuration_ends_its_connection_only(writer, line):
+def test_an_invalid_line_or_another_clusters_message_ends_only_its_connection(writer, line):
     transport = LoopbackTransport({"a": writer, "b": writer})
     first = transport.start()
     transport.hears(line)
@@ -151,7 +151,7 @@
     assert transport.same(writer)
 
 
-def test_silence_ends_a_connection_and_heartbeats_keep_it(writer):
+def test_heartbeats_keep_a_connection_open_and_silence_ends_it(writer):
     transport = LoopbackTransport({"a": writer, "b": writer})
     transport.start()
     transport.hears_all()
--- a/tests/configuration/test_follower_states.py
+++ b/tests/configuration/test_follower_states.py
@@ -1,4 +1,4 @@
-"""The table of a follower's connection: every pair of a state and an event does what is written here."""
+"""Transition table of a follower's connection: the expected row for each pair of state and event."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 )
 from granitedock.state_table import advance
 
-ENDS = {
+ABANDONING_ROWS = {
     ("dialling", "DISCONNECTED"): "try_next_address",
     ("asked", "DISCONNECTED"): "try_next_address",
     ("asked", "REJECTED"): "abort_and_try_next",
@@ -22,7 +22,7 @@
     ("following", "BEHIND"): "abort_and_try_next",
     ("following", "RETURN_DUE"): "abort_and_try_first",
 }
-ROWS = {pair: ("gone", effect) for pair, effect in ENDS.items()} | {
+ROWS = {pair: ("gone", effect) for pair, effect in ABANDONING_ROWS.items()} | {
     ("closed", "CONNECT_DUE"): ("dialling", "connect"),
     ("dialling", "CONNECTED"): ("asked", None),
     ("asked", "LINE_RECEIVED"): ("following", None),
@@ -31,7 +31,7 @@
 
 
 class Effects:
-    """Notes the effects that the table asks for."""
+    """Records the effects that the table calls."""
 
     def __init__(self):
         self.called = []
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("event", ConnectionEvent)
 @pytest.mark.parametrize("state", ConnectionState)
-def test_each_state_takes_each_event_as_written(state, event):
+def test_each_state_handles_each_event_as_in_the_table(state, event):
     connection, effects = Connection("a:1", state), Effects()
     advance(TRANSITIONS, connection, event, effects)
     after, effect = ROWS.get((state.value, event.name), (state.value, None))
--- a/tests/configuration/test_gateway_attachment.py
+++ b/tests/configuration/test_gateway_attachment.py
@@ -1,4 +1,4 @@
-"""A gateway's part in the configuration service, and its local copy."""
+"""The attachment of a gateway to the configuration service, and its local copy."""
 
 import subprocess
 import sys
@@ -15,14 +15,14 @@
 from granitedock.lab.scale.platform import platform_file
 
 
-def test_nothing_of_it_is_imported_where_it_is_off():
+def test_a_gateway_without_configuration_service_imports_none_of_its_modules():
     code = "import sys, granitedock.gateway_process\nprint([m for m in sys.modules if 'configuration' in m])"
     output = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
     assert output.strip() == "[]"
 
 
 class GatewayStub:
-    """Reactor and log of a gateway's part; what a thread asks of the loop is done at once."""
+    """Reactor and event log of an attachment; `callFromThread` calls the function immediately."""
 
     def __init__(self):
         self.counts, self.events = Counter(), []
@@ -35,7 +35,7 @@
 
 
 def attached_gateway(tmp_path, copy):
-    """A gateway's part that keeps a copy, with no connection to control."""
+    """An attachment with a local copy and without a connection to a control process."""
     settings = platform_file()
     gateway = GatewayStub()
     file = GatewayFile(enabled=True, cluster="lab", control=["127.0.0.1:1"], copy_file=str(copy))
@@ -45,7 +45,7 @@
 
 
 def apply_lines(attachment, lines):
-    """A snapshot's lines, as far as they are given."""
+    """Apply the lines of a snapshot, which may be incomplete."""
     for line in lines:
         message = decode(line)
         if isinstance(message, SnapshotBegins):
@@ -56,21 +56,21 @@
             attachment.document.end_snapshot(message.version, message.digest)
 
 
-def test_a_snapshot_cut_short_leaves_nothing_in_the_copy_of_the_next(writer, tmp_path):
+def test_an_incomplete_snapshot_adds_no_records_to_the_copy_of_the_next(writer, tmp_path):
     attachment, gateway = attached_gateway(tmp_path, tmp_path / "g.copy")
     attachment.copy.start()
     apply_lines(attachment, writer.snapshot_lines()[:-1])
     writer.apply(change(1, [PLAN], ["tenant-00001"]), "test")
     apply_lines(attachment, writer.snapshot_lines())
     attachment.copy.stop()
-    again, gateway = attached_gateway(tmp_path, tmp_path / "g.copy")
-    again.read_copy(again.copy)
+    restarted, gateway = attached_gateway(tmp_path, tmp_path / "g.copy")
+    restarted.read_copy(restarted.copy)
     assert gateway.events == ["configuration copy read"]
-    assert again.document.version == 2
-    again.copy.stop()
+    assert restarted.document.version == 2
+    restarted.copy.stop()
 
 
-def test_a_copy_that_cannot_be_written_is_named_and_nothing_waits_for_it(writer, tmp_path):
+def test_a_failed_copy_write_is_logged_and_no_records_are_queued_for_it(writer, tmp_path):
     attachment, gateway = attached_gateway(tmp_path, tmp_path / "none" / "g.copy")
     thread = attachment.copy.thread
     attachment.copy.start()
--- a/tests/configuration/test_message_codec.py
+++ b/tests/configuration/test_message_codec.py
@@ -1,4 +1,4 @@
-"""Messages as lines, and back."""
+"""Encoding of messages as lines, and decoding."""
 
 import pytest
 from configuration_helpers import PLAN, change
@@ -8,7 +8,7 @@
 from granitedock.configuration.messages import Current, InForce, Resend, VersionedChange
 
 
-def test_messages_come_back_as_they_were():
+def test_decoding_an_encoded_message_returns_an_equal_one_and_malformed_lines_are_rejected():
     edit = change(0, [PLAN], ["old"]).edit
     for message in (
         Current("lab", 3, 2**127),
--- a/tests/helpers/configuration_helpers.py
+++ b/tests/helpers/configuration_helpers.py
@@ -1,4 +1,4 @@
-"""Control processes' cores and followers without sockets, for tests. Times in ms."""
+"""Control nodes and followers without sockets, for tests. Times are in ms."""
 
 from random import Random
 
@@ -26,7 +26,7 @@
 
 
 def control_node(path, plans=3, writes=True, cluster="lab"):
-    """A control process's core over its store; the writer's is filled where it is empty."""
+    """Return a control node over its store; a writer imports the platform settings into an empty store."""
     made = ControlNode(DocumentStore(path, cluster), writes, Clock(), lambda followers: None)
     if writes and not made.contents.version:
         made.import_settings(platform_settings(plans), "platform.json")
@@ -34,7 +34,7 @@
 
 
 class RecordKeeper:
-    """Keeps records as they are."""
+    """A document consumer that keeps records unchanged."""
 
     def make_value(self, section, record):
         return record
@@ -50,7 +50,7 @@
 
 
 class LoopbackTransport:
-    """A follower's transport to control processes' cores in this process, line by line, as the test says."""
+    """A follower's transport to control nodes in this process; the test delivers each line."""
 
     def __init__(self, controls):
         self.controls = controls
@@ -84,7 +84,7 @@
         return self.up()
 
     def up(self):
-        """The connection on its way succeeds: the control core's publisher has a new follower."""
+        """Establish the pending connection: the control node's publisher gets a new follower."""
         while not self.connecting:
             self.timers.pop(0)()
         connection, address = self.connecting.pop()
@@ -108,7 +108,7 @@
         self.follower.line_received(self.connection, line.rstrip(b"\n"), self.now)
 
     def hears_all(self):
-        """Everything that is due, also what the follower asks for meanwhile."""
+        """Deliver all pending lines, including those that the follower requests meanwhile."""
         while True:
             for line in self.lines():
                 self.hears(line)
