--- a/granitedock/model_checking/command.py
+++ b/granitedock/model_checking/command.py
@@ -7,7 +7,7 @@
 from granitedock.model_checking import explore
 from granitedock.model_checking.errors import TraceError
 from granitedock.model_checking.gateway_world import GatewayWorld
-from granitedock.model_checking.gateway_world_shape import START
+from granitedock.model_checking.gateway_world_shape import START_MS
 from granitedock.model_checking.membership_world import MembershipWorld
 from granitedock.model_checking.trace import Trace, WorldDescription, make_world, read_trace, write_trace
 
@@ -75,4 +75,4 @@
         sent = " ".join(f"h{attempt.host}:{attempt.ending}" for attempt in request.attempts.values())
         answers = " ".join(answer.kind for answer in request.answers)
         requests.append(f"{name} ({request.request_class}) [{sent}] {answers}".rstrip())
-    return f"{world.now - START:6.1f} ms  {'  '.join(requests)}"
+    return f"{world.now - START_MS:6.1f} ms  {'  '.join(requests)}"
--- a/granitedock/model_checking/gateway_events.py
+++ b/granitedock/model_checking/gateway_events.py
@@ -1,11 +1,11 @@
-"""What the outside does to a world of gateways: events by their kinds, and faults by their moves."""
+"""The environment's actions on a world of gateways: events by their kinds, and faults by their moves."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from granitedock.model_checking import gateway_moves as words
+from granitedock.model_checking import gateway_moves as move_names
 from granitedock.model_checking.gateway_world_shape import CUSTOMERS, DEADLINE_MS
 from granitedock.model_checking.modelled_connections import (
     ModelledClientConnection,
@@ -26,18 +26,18 @@
     from granitedock.service.counter_connection import CounterConnection
     from granitedock.service.host_connection import HostConnection
 
-HOST_VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"  # a host's reply, which its client reads as it is
+HOST_VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"  # A host's response, forwarded unchanged to the client.
 HOST_OUTCOMES = {
-    words.VALUE: Outcome.DONE,
-    words.ERROR: Outcome.ERROR,
-    words.OVERLOADED: Outcome.OVERLOADED,
+    move_names.VALUE: Outcome.DONE,
+    move_names.ERROR: Outcome.ERROR,
+    move_names.OVERLOADED: Outcome.OVERLOADED,
 }
 
-# Events. The arguments: the world, the outcome, what the event is about, and the rest of its key.
+# Events. The arguments are the world, the outcome, the event's subject, and the rest of its key.
 
 
 def request_arrives(world: GatewayWorld, _outcome: str, _subject: None, number: int, name: str) -> None:
-    """A client connects and sends its request; it meets nobody where the gateway has ended."""
+    """Connect a client and send its request; the request is orphaned if the gateway does not run."""
     gateway = world.gateways[number]
     request = world.requests[name]
     if not gateway.running:
@@ -54,7 +54,7 @@
 
 
 def request_command(request: ModelledRequest, name: str, gateways: int) -> list[bytes]:
-    """The words of the command that a client sends."""
+    """Return the words of the command that a client sends."""
     options = f"c={request.request_class},t={request.plan},d={DEADLINE_MS},units=1,spread={gateways},first=0"
     if request.idempotency is Idempotency.KEYED:
         options += ",k=1"
@@ -66,22 +66,22 @@
     ]
 
 
-def host_connects(  # noqa: PLR0913 - the event's key
+def host_connects(  # noqa: PLR0913 - A parameter for each part of the event's key.
     world: GatewayWorld, outcome: str, connection: HostConnection, number: int, _name: str, _attempt: int
 ) -> None:
-    """A connection to a host comes up, or not, or ends before the request is written whole."""
+    """Establish or refuse a connection to a host, or close it before the request is written in full."""
     gateway = world.gateways[number]
-    if outcome == words.REFUSED:
+    if outcome == move_names.REFUSED:
         gateway.handle(Input.HOST_DISCONNECTED, connection)
         return
-    modelled = ModelledHostConnection(gateway, connection, closes_early=outcome == words.CLOSED_EARLY)
+    modelled = ModelledHostConnection(gateway, connection, closes_early=outcome == move_names.CLOSED_EARLY)
     gateway.handle(Input.HOST_CONNECTED, connection, modelled)
     if modelled.closes_early and modelled.open:
         modelled.open = False
         gateway.handle(Input.HOST_DISCONNECTED, connection)
 
 
-def host_responds(  # noqa: PLR0913 - the event's key
+def host_responds(  # noqa: PLR0913 - A parameter for each part of the event's key.
     world: GatewayWorld,
     outcome: str,
     connection: ModelledHostConnection,
@@ -89,9 +89,9 @@
     name: str,
     attempt: int,
 ) -> None:
-    """A host answers an attempt, or its connection ends."""
+    """Answer an attempt on behalf of its host, or reset its connection."""
     gateway = world.gateways[number]
-    if outcome == words.RESET:
+    if outcome == move_names.RESET:
         connection.open = False
         connection.end_attempt(outcome)
         gateway.handle(Input.HOST_DISCONNECTED, connection.record)
@@ -104,9 +104,9 @@
 def counter_connects(
     world: GatewayWorld, outcome: str, connection: CounterConnection, number: int, _connection: int
 ) -> None:
-    """A connection to the counter comes up or not."""
+    """Establish or refuse a connection to the counter."""
     gateway = world.gateways[number]
-    if outcome == words.REFUSED:
+    if outcome == move_names.REFUSED:
         gateway.handle(Input.COUNTER_DISCONNECTED, connection)
     else:
         modelled = ModelledCounterConnection(gateway, connection)
@@ -114,24 +114,24 @@
 
 
 def counter_replies(world: GatewayWorld, outcome: str, sent: SentCall, number: int, _call: int) -> None:
-    """The counter adds and answers, or rejects a call, or adds and the connection ends."""
+    """Add a call's units at the counter and reply, reject the call, or add and close the connection."""
     gateway = world.gateways[number]
     connection = sent.connection
     call = sent.call
-    if outcome == words.OVERLOADED:
+    if outcome == move_names.OVERLOADED:
         gateway.handle(Input.COUNTER_REPLY, connection, Outcome.OVERLOADED, 0.0)
         return
     world.totals[call.name] = world.totals.get(call.name, 0.0) + call.amount
-    if outcome == words.TOTAL:
+    if outcome == move_names.TOTAL:
         gateway.handle(Input.COUNTER_REPLY, connection, Outcome.DONE, world.totals[call.name])
         return
-    connection.link.open = False  # type: ignore[union-attr]  # a modelled one, as calls were sent
+    connection.link.open = False  # type: ignore[union-attr]  # A modelled connection, as it sent calls.
     world.pending.discard_calls(connection)
     gateway.handle(Input.COUNTER_DISCONNECTED, connection)
 
 
 def endpoints_change(world: GatewayWorld, _outcome: str, _subject: None, number: int, host: int) -> None:
-    """A gateway hears from discovery that a host drains."""
+    """Send a running gateway the endpoint list in which a host drains."""
     gateway = world.gateways[number]
     if gateway.running:
         world.draining[number][host] = world.now
@@ -143,9 +143,9 @@
 
 
 def kill(world: GatewayWorld, number: int) -> None:
-    """End a gateway at once: its connections end, and what it held is no longer owed.
+    """Kill a gateway: its connections close, and its open requests need no answer any more.
 
-    Clients of what may run again come to another gateway with it, as a new request.
+    Clients of requests that may be repeated send them to another gateway as new requests.
     """
     world.gateways[number].kill()
     for name, request in list(world.requests.items()):
@@ -153,7 +153,7 @@
             continue
         request.orphaned = True
         for attempt in request.attempts.values():
-            attempt.end(world.now, words.RESET)
+            attempt.end(world.now, move_names.RESET)
         if request.idempotency is not Idempotency.NON_IDEMPOTENT and world.shape.gateways > 1:
             another = (number + 1) % world.shape.gateways
             world.add_request(f"{name}r", request.request_class, another, request.plan)
@@ -161,28 +161,28 @@
 
 
 def stop(world: GatewayWorld, number: int) -> None:
-    """SIGTERM: a gateway answers what it has, and takes what still comes for a while."""
+    """Send a gateway SIGTERM: it answers its open requests, and still accepts new ones for a while."""
     world.gateways[number].handle(Input.LIFECYCLE, LifecycleEvent.TERMINATE)
 
 
 def drain(world: GatewayWorld, host: int) -> None:
-    """Discovery lists a host as draining; each gateway hears of it in its own time."""
+    """List a host as draining in discovery; each gateway is notified by an event of its own."""
     world.draining = {gateway.number: {} for gateway in world.gateways}
     for gateway in world.gateways:
         if gateway.running:
-            world.pending.add((words.ENDPOINT_UPDATE, gateway.number, host))
+            world.pending.add((move_names.ENDPOINT_UPDATE, gateway.number, host))
 
 
 EVENTS: dict[str, Callable[..., None]] = {
-    words.REQUEST: request_arrives,
-    words.HOST_CONNECT: host_connects,
-    words.RESPONSE: host_responds,
-    words.COUNTER_CONNECT: counter_connects,
-    words.COUNTER_REPLY: counter_replies,
-    words.ENDPOINT_UPDATE: endpoints_change,
+    move_names.REQUEST: request_arrives,
+    move_names.HOST_CONNECT: host_connects,
+    move_names.RESPONSE: host_responds,
+    move_names.COUNTER_CONNECT: counter_connects,
+    move_names.COUNTER_REPLY: counter_replies,
+    move_names.ENDPOINT_UPDATE: endpoints_change,
 }
 FAULTS: dict[str, Callable[[GatewayWorld, int], None]] = {
-    words.KILL: kill,
-    words.STOP: stop,
-    words.DRAIN: drain,
+    move_names.KILL: kill,
+    move_names.STOP: stop,
+    move_names.DRAIN: drain,
 }
--- a/granitedock/model_checking/gateway_moves.py
+++ b/granitedock/model_checking/gateway_moves.py
@@ -1,8 +1,8 @@
-"""The words of the moves in a world of gateways, as trace files hold them.
+"""The names of the moves in a world of gateways, as trace files contain them.
 
 A move is (DUE, an event's key..., its outcome), (DELAY, an event's key...), (PASS_TIME,), (KILL, gateway),
-(STOP, gateway) or (DRAIN, host). An event's key is its kind, the number of the gateway that it comes to, and
-what tells it from others there, which is the same by every way to a state.
+(STOP, gateway) or (DRAIN, host). An event's key is its kind, the number of its gateway, and what
+distinguishes it from that gateway's other events. The key is the same on every path to a state.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 STOP = "stop"
 DRAIN = "drain"
 
-# Kinds of events, with the rest of their keys.
-REQUEST = "ask"  # a client's request comes: the request's name
-HOST_CONNECT = "dial"  # a connection to a host comes up or not: the request's name, the attempt's number
-RESPONSE = "answer"  # a host answers: the request's name, the attempt's number
-COUNTER_CONNECT = "wire"  # a connection to the counter comes up or not: its number
-COUNTER_REPLY = "total"  # the counter answers: the call's number at its gateway
-ENDPOINT_UPDATE = "list"  # discovery says that a host drains: the host's number
+# Kinds of events, each with the rest of its key.
+REQUEST = "ask"  # A client sends a request: the request's name.
+HOST_CONNECT = "dial"  # A connection to a host opens or fails: the request's name, the attempt's number.
+RESPONSE = "answer"  # A host responds: the request's name, the attempt's number.
+COUNTER_CONNECT = "wire"  # A connection to the counter opens or fails: its number.
+COUNTER_REPLY = "total"  # The counter replies: the call's number at its gateway.
+ENDPOINT_UPDATE = "list"  # Discovery lists a host as draining: the host's number.
 
 # Outcomes of events.
 RECEIVED = "asked"
 CONNECTED = "up"
 REFUSED = "refused"
-CLOSED_EARLY = "half"  # it comes up, and ends before the request's last byte is written
+CLOSED_EARLY = "half"  # The connection is established, and closes before the request is written in full.
 VALUE = "value"
 ERROR = "error"
 OVERLOADED = "busy"
 RESET = "reset"
 TOTAL = "total"
-REPLY_LOST = "lost"  # added, and the connection ends with no total
+REPLY_LOST = "lost"  # The counter adds the units, and the connection closes without a total.
 NOTIFIED = "told"
 
-# By kind of event: the ordinary outcome first, then those that cost a fault.
+# The outcomes of each kind of event: the usual outcome first, then those that cost a fault.
 OUTCOMES: dict[str, tuple[str, ...]] = {
     REQUEST: (RECEIVED,),
     HOST_CONNECT: (CONNECTED, REFUSED, CLOSED_EARLY),
@@ -48,21 +48,21 @@
     ENDPOINT_UPDATE: (NOTIFIED,),
 }
 
-# How an attempt stands that has no outcome of its host; replays print these.
+# States of an attempt without an outcome from its host; replays print them.
 IN_FLIGHT = "out"
 CANCELLED = "withdrawn"
 
-# What a client was answered; replays print these.
+# Kinds of answers to a client; replays print them.
 DONE = "done"
 REJECTED = "deferred"
 FAILED = "errored"
 
 
 def usual_outcome(event: EventKey) -> str:
-    """The outcome that costs no fault."""
+    """Return the outcome that costs no fault."""
     return outcomes_of(event)[0]
 
 
 def outcomes_of(event: EventKey) -> tuple[str, ...]:
-    """All that may come of an event, the usual outcome first."""
+    """Return all possible outcomes of an event, the usual outcome first."""
     return OUTCOMES[str(event[0])]
--- a/granitedock/model_checking/gateway_world_shape.py
+++ b/granitedock/model_checking/gateway_world_shape.py
@@ -1,4 +1,4 @@
-"""The size of a small world of gateways, and the settings that its gateways are made of."""
+"""The size of a small world of gateways, and the settings of its gateways."""
 
 from __future__ import annotations
 
@@ -8,23 +8,26 @@
 from granitedock.policy.types import Idempotency
 from granitedock.service.limits import Limits
 
-START = 1_000_000.0  # Unix ms, where a window of the plan begins
-HORIZON_MS = 2600.0  # time stands still after this: past every deadline, and a drain's grace
-DEADLINE_MS = 1000  # that clients give
+START_MS = 1_000_000.0  # Unix time at which a window of the plan begins.
+HORIZON_MS = 2600.0  # Time does not pass after this: it is past every deadline and past a drain's grace.
+DEADLINE_MS = 1000  # Deadline in the clients' requests.
 LATENCY_OBJECTIVE_MS = 400
 IDEMPOTENCY_WINDOW_MS = 300
-REFRESH_MS = 500.0  # as far apart as shows all that periodic maintenance does
-CEILING_MARK = "!"  # behind the class of a request whose customer is under a ceiling
+SWEEP_INTERVAL_MS = 500.0  # The longest interval that still shows every effect of periodic maintenance.
+CEILING_MARK = "!"  # Suffix of the class of a request whose customer is under a ceiling.
 
 PLAIN_PLAN = "p"
 CEILING_PLAN = "c"
 FREE_PLAN = "free"
-CUSTOMERS = {PLAIN_PLAN: 161, CEILING_PLAN: 162, FREE_PLAN: 163}  # one of each plan
+CUSTOMERS = {PLAIN_PLAN: 161, CEILING_PLAN: 162, FREE_PLAN: 163}  # The number of one customer of each plan.
 
 
 @dataclass(frozen=True, slots=True)
 class Ceiling:
-    """The bound on one customer over all gateways: units a second, units at once, and units beyond both."""
+    """The limit of one customer over all gateways.
+
+    `rate` is in units per second, `burst` in units at once, and `slack` in units beyond both.
+    """
 
     rate: float
     burst: float
@@ -33,7 +36,7 @@
 
 CEILING = Ceiling(rate=2.0, burst=1.0, slack=1.0)
 
-# The request classes, and the platform file's words for what a repeat does.
+# The request classes, and the platform file's values for the idempotency of each.
 REQUEST_CLASSES = {
     "read": Idempotency.IDEMPOTENT,
     "mark": Idempotency.KEYED,
@@ -48,11 +51,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayWorldShape:
-    """How small the world is.
+    """The size of the world.
 
-    `requests`: a request class for each, `read`, `mark` or `once`, with a ! for a customer under a ceiling;
-    they come to the gateways in turn. `warm_up_requests`: so many were served at once by each gateway before,
-    so that it keeps connections, knows hosts as fast and cancels attempts that hang.
+    `requests` has a request class for each request, `read`, `mark` or `once`, with a ! for a customer under a
+    ceiling; clients send them to the gateways in turn. Each gateway serves `warm_up_requests` at once before
+    the first move, so that it keeps connections, has measured its hosts as fast and cancels attempts that
+    hang.
     """
 
     gateways: int = 2
@@ -62,7 +66,7 @@
     warm_up_requests: int = 0
 
     def settings(self, gateway: int) -> dict[str, Any]:
-        """The platform file's field `settings` for a gateway."""
+        """Return the platform file's field `settings` for a gateway."""
         return {
             "Me": gateway,
             "Balancers": self.gateways,
@@ -85,13 +89,13 @@
         }
 
     def limits(self, gateway: int) -> Limits:
-        """The program's own, but for the time between refreshes, and one connection to the counter."""
+        """Return the program's defaults, apart from the maintenance interval and one counter connection."""
         limits = Limits.from_platform_file({"settings": self.settings(gateway)})
-        return replace(limits, sweep_ms=REFRESH_MS, counter_links=1)
+        return replace(limits, sweep_ms=SWEEP_INTERVAL_MS, counter_links=1)
 
 
 def class_settings(name: str, idempotency: Idempotency) -> dict[str, Any]:
-    """A request class as the platform file holds it."""
+    """Return a request class in the form of the platform file."""
     return {
         "Name": name,
         "Repeat": REPEAT_SETTINGS[idempotency],
--- a/granitedock/model_checking/modelled_connections.py
+++ b/granitedock/model_checking/modelled_connections.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, ClassVar
 
-from granitedock.model_checking import gateway_moves as words
+from granitedock.model_checking import gateway_moves as move_names
 from granitedock.service.inputs import Input
 
 if TYPE_CHECKING:
@@ -87,7 +87,7 @@
 
     def drop_pending(self) -> None:
         """The attempt on it is cancelled."""
-        self.end_attempt(words.CANCELLED)
+        self.end_attempt(move_names.CANCELLED)
 
     def end_attempt(self, ending: str) -> None:
         """Note how the attempt on it ended, if there is one."""
--- a/granitedock/model_checking/modelled_gateway.py
+++ b/granitedock/model_checking/modelled_gateway.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Any
 
-from granitedock.model_checking import gateway_moves as words
+from granitedock.model_checking import gateway_moves as move_names
 from granitedock.model_checking.modelled_connections import ModelledWatchConnection
 from granitedock.model_checking.shared_objects import register
 from granitedock.service.discovery_protocol import EndpointListUpdate
@@ -133,11 +133,11 @@
     def connect_host(self, connection: HostConnection, address: str) -> None:  # noqa: ARG002 - GatewayIO's
         """A connection that comes up or not."""
         name, number = self.world.attempt_key(connection.attempt)  # type: ignore[arg-type]  # it has one
-        self.world.pending.add((words.HOST_CONNECT, self.number, name, number), connection)
+        self.world.pending.add((move_names.HOST_CONNECT, self.number, name, number), connection)
 
     def connect_counter(self, connection: CounterConnection) -> None:
         """A connection that comes up or not."""
-        self.world.pending.add((words.COUNTER_CONNECT, self.number, connection.number), connection)
+        self.world.pending.add((move_names.COUNTER_CONNECT, self.number, connection.number), connection)
 
     def connect_watch(self, watch: Watch) -> None:
         """Nothing: the first comes up at the start, and the horizon lies before any other."""
--- a/granitedock/model_checking/modelled_request.py
+++ b/granitedock/model_checking/modelled_request.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, NamedTuple
 
-from granitedock.model_checking import gateway_moves as words
+from granitedock.model_checking import gateway_moves as move_names
 from granitedock.model_checking.gateway_world_shape import PLAIN_PLAN, REQUEST_CLASSES
 from granitedock.policy.types import Idempotency
 
@@ -29,7 +29,7 @@
     host: int
     sent_at: float
     ended_at: float | None = None
-    ending: str = words.IN_FLIGHT
+    ending: str = move_names.IN_FLIGHT
 
     def end(self, now: float, ending: str) -> None:
         """Note how it ended; only the first end counts."""
@@ -39,7 +39,7 @@
 
     def may_have_run(self) -> bool:
         """Whether the host has, or may have, begun to work on it."""
-        return self.ending != words.OVERLOADED
+        return self.ending != move_names.OVERLOADED
 
 
 @dataclass(slots=True)
--- a/granitedock/model_checking/rule_checks.py
+++ b/granitedock/model_checking/rule_checks.py
@@ -1,17 +1,17 @@
-"""The rules that a world of gateways is held to, checked by what clients read and hosts received."""
+"""The rules of a world of gateways, checked against what clients read and what hosts received."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 
 from granitedock.lab.load.rule_checks import CEILING_SLACK_S, GRACE_S, SLACK_S
-from granitedock.model_checking import gateway_moves as words
+from granitedock.model_checking import gateway_moves as move_names
 from granitedock.model_checking.gateway_world_shape import (
     CEILING,
     CEILING_PLAN,
     DEADLINE_MS,
     IDEMPOTENCY_WINDOW_MS,
-    START,
+    START_MS,
 )
 from granitedock.model_checking.modelled_request import ModelledRequest
 from granitedock.policy.types import Idempotency
@@ -28,7 +28,10 @@
     def before_attempt(
         self, now: float, name: str, request: ModelledRequest, host: int, draining_since: float | None
     ) -> None:
-        """Rules 1, 2 and 3, before an attempt counts as sent to a host."""
+        """Check rules 1, 2 and 3 before an attempt is recorded as sent to a host.
+
+        `draining_since` is the time at which the gateway was notified that the host drains, if it was.
+        """
         if request.answers:
             self.violations.append(f"rule 1: {name} was sent to h{host} after its answer")
         self._check_repeat(now, name, request)
@@ -36,7 +39,7 @@
             self.violations.append(f"rule 3: {name} was sent to h{host}, which drains")
 
     def _check_repeat(self, now: float, name: str, request: ModelledRequest) -> None:
-        """Rule 2, before another attempt of the request."""
+        """Check rule 2 before another attempt of the request."""
         for attempt in request.attempts.values():
             if attempt.ended_at is None:
                 self.violations.append(f"rule 2: {name} is out at h{attempt.host} already")
@@ -51,38 +54,39 @@
                 )
 
     def after_attempt(self, requests: Iterable[ModelledRequest]) -> None:
-        """Rule 5: the first attempts of the customer under a ceiling, over all gateways."""
-        full = CEILING.burst + CEILING.slack + CEILING.rate * CEILING_SLACK_S
-        level = full
-        before = START
-        under = [request for request in requests if request.plan == CEILING_PLAN and request.attempts]
+        """Check rule 5 for the first attempts of the customer under a ceiling, over all gateways."""
+        capacity = CEILING.burst + CEILING.slack + CEILING.rate * CEILING_SLACK_S
+        level = capacity
+        last_sent_at = START_MS
+        limited = [request for request in requests if request.plan == CEILING_PLAN and request.attempts]
         first_sent = sorted(
-            min(attempt.sent_at for attempt in request.attempts.values()) for request in under
+            min(attempt.sent_at for attempt in request.attempts.values()) for request in limited
         )
-        for at in first_sent:
-            level = min(full, level + CEILING.rate * (at - before) / 1000.0) - 1.0
-            before = at
+        for sent_at in first_sent:
+            level = min(capacity, level + CEILING.rate * (sent_at - last_sent_at) / 1000.0) - 1.0
+            last_sent_at = sent_at
             if level < 0:
                 self.violations.append(f"rule 5: over the ceiling by {-level:.2f} units")
 
     def after_answer(self, now: float, name: str, request: ModelledRequest, kind: str) -> None:
-        """Rules 1 and 2, once a client has read an answer."""
+        """Check rules 1 and 2 after a client has read an answer."""
         if len(request.answers) > 1:
             self.violations.append(f"rule 1: {name} was answered {len(request.answers)} times")
         if now > request.sent_at + DEADLINE_MS + MS_PER_S * SLACK_S:
             self.violations.append(f"rule 1: {name} was answered late")
-        ran = [attempt for attempt in request.attempts.values() if attempt.may_have_run()]
-        if kind != words.REJECTED or not ran:
+        possible_runs = [attempt for attempt in request.attempts.values() if attempt.may_have_run()]
+        if kind != move_names.REJECTED or not possible_runs:
             return
-        since = now - ran[0].sent_at
+        elapsed_ms = now - possible_runs[0].sent_at
         if request.idempotency is Idempotency.NON_IDEMPOTENT or (
-            request.idempotency is Idempotency.KEYED and since > IDEMPOTENCY_WINDOW_MS + MS_PER_S * SLACK_S
+            request.idempotency is Idempotency.KEYED
+            and elapsed_ms > IDEMPOTENCY_WINDOW_MS + MS_PER_S * SLACK_S
         ):
             self.violations.append(f"rule 2: {name} ({request.request_class}) may have run and was deferred")
 
 
-def unanswered(requests: Mapping[str, ModelledRequest]) -> list[str]:
-    """Rule 1, at an end: requests that came to a gateway that lives, and have no answer."""
+def unanswered_requests(requests: Mapping[str, ModelledRequest]) -> list[str]:
+    """Return rule 1's violations in an end state: unanswered requests at gateways that were not killed."""
     return [
         f"rule 1: {name} was never answered"
         for name, request in requests.items()
