--- a/granitedock/model_checking/explore.py
+++ b/granitedock/model_checking/explore.py
@@ -1,8 +1,9 @@
-"""Breadth-first search of all states of a small world, by the moves that are possible in each.
+"""Breadth-first search of all states of a small world, through the moves that are possible in each.
 
-A world lists its moves, plays one, reports what it violates and has a digest; states of one digest are
-visited once. States wait as pickles, worker processes play the frontier, and each state keeps its parent and
-its move, so that a violation comes with the shortest trace to it, which can be replayed.
+A world lists its moves, plays one of them, reports the properties that it violates and has a digest; states
+with the same digest are visited once. The frontier consists of pickled states, whose moves worker processes
+play. The search records the parent and the move of each state, so that it reports a violation with the
+shortest trace to it, which can be replayed.
 """
 
 from __future__ import annotations
@@ -16,37 +17,37 @@
 
 from granitedock.model_checking.errors import ImpossibleMoveError
 
-Move = tuple[str | int, ...]  # the move's name and its arguments; a trace file holds it as a JSON list
+Move = tuple[str | int, ...]  # The move's name and its arguments; a JSON list in a trace file.
 Digest = bytes
 PickledWorld = bytes
 
-MAX_CHUNK = 64  # states that a worker is handed at once
+MAX_CHUNK_STATES = 64
 CHUNKS_PER_WORKER = 4
 
 
 class World(Protocol):
-    """A state of a small system that can go on in several ways."""
+    """A state of a small system with several possible continuations."""
 
     def moves(self) -> list[Move]:
-        """All that may happen next; none at an end."""
+        """Return all moves that are possible next; an end state has none."""
         ...
 
     def play(self, move: Move) -> None:
-        """Make one of the moves happen."""
+        """Carry out one of the possible moves."""
         ...
 
     def violations(self) -> list[str]:
-        """The properties that do not hold here, a line each."""
+        """Return the properties that do not hold in this state, a line each."""
         ...
 
     def digest(self) -> Digest:
-        """Equal for states that go on in the same ways."""
+        """Return the state's digest, which is equal for states with the same possible continuations."""
         ...
 
 
 @dataclass(slots=True)
 class Exploration:
-    """The result of a search. `complete`: every state was visited, none left out for its number."""
+    """The result of a search. `complete`: every state was visited, without reaching the limit of states."""
 
     states: int = 0
     moves: int = 0
@@ -59,7 +60,7 @@
 
 
 class Transition(NamedTuple):
-    """What a move leads to. All but `move` and `digest` is empty for a state reported before."""
+    """The result of a move. All fields but `move` and `digest` are empty for a state reported before."""
 
     digest: Digest
     move: Move
@@ -68,16 +69,16 @@
     is_end: bool
 
 
-_reported: set[Digest] = set()  # states that this process has sent to the frontier
+_reported: set[Digest] = set()  # States that this process has already returned in full.
 
 
 def successors(states: list[PickledWorld]) -> list[list[Transition]]:
-    """For each state, what each of its moves leads to.
+    """Return the transitions of each state, one for each of its moves.
 
-    A state that this process has reported before comes by its digest alone: results are read in the order
-    of the calls.
+    A state that this process has reported before is returned as its digest alone. This is safe because
+    results are read in the order of the calls.
     """
-    found = []
+    transitions_by_state = []
     for state in states:
         world = pickle.loads(state)
         transitions: list[Transition] = []
@@ -86,12 +87,12 @@
                 world = pickle.loads(state)
             world.play(move)
             transitions.append(transition_to(world, move))
-        found.append(transitions)
-    return found
+        transitions_by_state.append(transitions)
+    return transitions_by_state
 
 
 def transition_to(world: World, move: Move) -> Transition:
-    """The transition by a move that was played just now."""
+    """Return the transition for a move that has just been played."""
     digest = world.digest()
     if digest in _reported:
         return Transition(digest, move, b"", [], False)
@@ -104,39 +105,41 @@
 class Search:
     """The states visited so far, the frontier, and the result."""
 
-    def __init__(self, first: World, max_states: int) -> None:
+    def __init__(self, initial_state: World, max_states: int) -> None:
         self.max_states = max_states
-        self.start = first.digest()
-        self.result = Exploration(states=1, violations=first.violations())
-        self.seen = {self.start}
+        self.initial_digest = initial_state.digest()
+        self.result = Exploration(states=1, violations=initial_state.violations())
+        self.visited = {self.initial_digest}
         self.parents: dict[Digest, tuple[Digest, Move]] = {}
-        self.frontier = [(self.start, pickle.dumps(first, -1))]
+        self.frontier = [(self.initial_digest, pickle.dumps(initial_state, -1))]
 
     def is_over(self) -> bool:
-        """Whether all was visited, a property is violated, or the limit of states was reached."""
+        """Return whether all states were visited, a property is violated, or the limit was reached."""
         return not self.frontier or bool(self.result.violations) or not self.result.complete
 
     def advance(self, pool: ProcessPoolExecutor | None, workers: int) -> None:
-        """Visit the states one move beyond the frontier; ends early where the search is over."""
-        ahead: list[tuple[Digest, PickledWorld]] = []
+        """Visit the states one move beyond the frontier; return early when the search is over."""
+        next_frontier: list[tuple[Digest, PickledWorld]] = []
         for (parent, _), transitions in zip(self.frontier, expand(self.frontier, pool, workers)):
             for transition in transitions:
-                self.visit(parent, transition, ahead)
+                self.visit(parent, transition, next_frontier)
                 if self.result.violations:
                     return
             if self.result.states >= self.max_states:
                 self.result.complete = False
                 return
         self.result.depth += 1
-        self.frontier = ahead
+        self.frontier = next_frontier
 
-    def visit(self, parent: Digest, transition: Transition, ahead: list[tuple[Digest, PickledWorld]]) -> None:
-        """Count a transition, and the state it leads to if that is new; `ahead` gets one that goes on."""
+    def visit(
+        self, parent: Digest, transition: Transition, next_frontier: list[tuple[Digest, PickledWorld]]
+    ) -> None:
+        """Count a transition, and its state if that is new; append a state with moves to `next_frontier`."""
         result = self.result
         result.moves += 1
-        if transition.digest in self.seen:
+        if transition.digest in self.visited:
             return
-        self.seen.add(transition.digest)
+        self.visited.add(transition.digest)
         self.parents[transition.digest] = (parent, transition.move)
         result.states += 1
         result.ends += transition.is_end
@@ -144,27 +147,30 @@
             result.violations = transition.violations
             result.trace = self.trace_to(transition.digest)
         elif not transition.is_end:
-            ahead.append((transition.digest, transition.state))
+            next_frontier.append((transition.digest, transition.state))
 
     def trace_to(self, digest: Digest) -> list[Move]:
-        """The moves from the start to a visited state."""
+        """Return the moves from the initial state to a visited state."""
         moves = []
-        while digest != self.start:
+        while digest != self.initial_digest:
             digest, move = self.parents[digest]
             moves.append(move)
         return moves[::-1]
 
 
 def explore(
-    first: World,
+    initial_state: World,
     max_states: int = 10_000_000,
     workers: int = 1,
     echo: Callable[[str], None] = lambda _: None,
 ) -> Exploration:
-    """Visit every state that can be reached from `first`, or `max_states`; stops at the first violation."""
-    started = time.monotonic()
+    """Visit every state that is reachable from `initial_state`, up to `max_states` or the first violation.
+
+    `echo` receives a line of progress for each depth.
+    """
+    started_at_s = time.monotonic()
     _reported.clear()
-    search = Search(first, max_states)
+    search = Search(initial_state, max_states)
     result = search.result
     pool = ProcessPoolExecutor(workers) if workers > 1 else None
     try:
@@ -175,7 +181,7 @@
                 echo(f"depth {result.depth}: {result.states} states, {len(search.frontier)} to go on from")
         return result
     finally:
-        result.seconds = time.monotonic() - started
+        result.seconds = time.monotonic() - started_at_s
         if pool is not None:
             pool.shutdown(wait=False, cancel_futures=True)
 
@@ -183,20 +189,26 @@
 def expand(
     frontier: list[tuple[Digest, PickledWorld]], pool: ProcessPoolExecutor | None, workers: int
 ) -> Iterator[list[Transition]]:
-    """The transitions of each state of the frontier, in its order; a small frontier is played here."""
+    """Yield the transitions of each state of the frontier, in its order.
+
+    Worker processes play a large frontier; this process plays a small one.
+    """
     states = [state for _, state in frontier]
     if pool is None or len(states) < CHUNKS_PER_WORKER * workers:
         for state in states:
             yield from successors([state])
         return
-    size = max(1, min(MAX_CHUNK, len(states) // (CHUNKS_PER_WORKER * workers)))
-    chunks = [states[at : at + size] for at in range(0, len(states), size)]
+    chunk_size = max(1, min(MAX_CHUNK_STATES, len(states) // (CHUNKS_PER_WORKER * workers)))
+    chunks = [states[start : start + chunk_size] for start in range(0, len(states), chunk_size)]
     for chunk in pool.map(successors, chunks):
         yield from chunk
 
 
 def replay(world: World, trace: list[Move]) -> Iterator[tuple[Move, list[str]]]:
-    """Play each move of a trace; gives it with what is violated after it. Raises ImpossibleMoveError."""
+    """Play each move of a trace, and yield it with the violations after it.
+
+    Raises ImpossibleMoveError if a move is not possible in the state that the trace has reached.
+    """
     for move in trace:
         moves = world.moves()
         if move not in moves:
--- a/granitedock/model_checking/state_digest.py
+++ b/granitedock/model_checking/state_digest.py
@@ -1,7 +1,8 @@
-"""One digest for all ways to the same state: an object graph in a canonical form, then hashed.
+"""Digest of a state that does not depend on the path to it: the hash of an object graph in canonical form.
 
-Objects are numbered in the order in which they are met, so that two graphs of the same shape and values have
-the same digest, whatever their identities. Fields that only count or lead outside are left out by name.
+Objects are numbered in the order in which they are visited, so that two graphs of the same shape and values
+have the same digest, whatever their identities. EXCLUDED_FIELDS names the fields that are left out because
+they only count or refer to objects outside the state.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from granitedock.rolling_window import RollingWindow
 
 DIGEST_BYTES = 12
-MARSHAL_VERSION = 2  # has no references to objects: equal values give equal bytes
+MARSHAL_VERSION = 2  # This version has no references to objects, so that equal values give equal bytes.
 SCALARS = frozenset({int, float, str, bytes, bool, type(None)})
 EXCLUDED_FIELDS = frozenset(
     {
@@ -44,15 +45,15 @@
     }
 )
 
-Values = list[Any]  # the canonical form: scalars, marks and tuples of scalars
-Numbers = dict[int, int]  # the number of each object met, by its id
+Values = list[Any]  # The canonical form: scalars, structure marks and tuples of scalars.
+Numbers = dict[int, int]  # The number of each visited object, by its id.
 Writer = Callable[[Any, Values, Numbers], None]
 
 _slot_names: dict[type, tuple[str, ...]] = {}
 
 
 def state_digest(*roots: Any) -> bytes:
-    """The digest of these objects, in this order, and of all that they refer to."""
+    """Return the digest of the objects `roots`, in this order, and of all objects that they refer to."""
     values: Values = []
     numbers: Numbers = {}
     for root in roots:
@@ -73,7 +74,7 @@
 
 
 def writer_of(value_type: type) -> Writer:
-    """The writer for a type that has none of its own."""
+    """Return the writer for a type that is not listed in `_writers`."""
     if issubclass(value_type, Enum):
         return write_name
     if issubclass(value_type, tuple):
@@ -82,7 +83,7 @@
 
 
 def write_sequence(items: Any, values: Values, numbers: Numbers) -> None:
-    """A list, tuple or deque: its items in order."""
+    """Write a list, tuple or deque as its items in order."""
     values.append("[")
     for item in items:
         write(item, values, numbers)
@@ -90,12 +91,12 @@
 
 
 def write_named_tuple(items: Any, values: Values, numbers: Numbers) -> None:
-    """A subclass of tuple, as the plain tuple of its items."""
+    """Write an instance of a subclass of tuple as the plain tuple of its items."""
     write_sequence(tuple(items), values, numbers)
 
 
 def write_mapping(mapping: dict[Any, Any], values: Values, numbers: Numbers) -> None:
-    """Keys and values in the order of their insertion, which is a part of the state."""
+    """Write keys and values in the order of their insertion, which is a part of the state."""
     values.append("{")
     for key, value in mapping.items():
         write(key, values, numbers)
@@ -104,33 +105,33 @@
 
 
 def write_name(value: Any, values: Values, _numbers: Numbers) -> None:
-    """What its name identifies: a member of an enum, a plan, a request class."""
+    """Write the name of a value that its name identifies: a member of an enum, a plan, a request class."""
     values.append(value.name)
 
 
 def write_rolling_window(window: RollingWindow, values: Values, _numbers: Numbers) -> None:
-    """The window's cells; an empty one leaves nothing."""
+    """Write the window's buckets; an empty window writes nothing."""
     if window.newest >= 0:
         values.append((window.newest, tuple(window.bucket_numbers), tuple(window.bucket_sums)))
 
 
 def write_set(items: Any, values: Values, _numbers: Numbers) -> None:
-    """The items in sorted order."""
+    """Write the items in sorted order."""
     values.append(sorted(items))
 
 
 def write_function(function: Any, values: Values, _numbers: Numbers) -> None:
-    """The qualified name; the object that a method is bound to is left out."""
+    """Write the qualified name; the object that a method is bound to is left out."""
     values.append(function.__qualname__)
 
 
 def write_random(random: Random, values: Values, _numbers: Numbers) -> None:
-    """The hash of the generator's state."""
+    """Write the hash of the generator's state."""
     values.append(hash(random.getstate()))
 
 
 def write_object(value: Any, values: Values, numbers: Numbers) -> None:
-    """Type and fields, slots before the object's own dictionary; a second time only the object's number."""
+    """Write an object's type and fields, slots before its dictionary; if visited before, only its number."""
     number = numbers.get(id(value))
     if number is not None:
         values.append("@")
@@ -150,17 +151,17 @@
 
 
 def slot_names(value_type: type) -> tuple[str, ...]:
-    """The names of a type's slots, those of its bases first, without the excluded ones."""
-    found = _slot_names.get(value_type)
-    if found is None:
+    """Return the names of a type's slots, those of its bases first, without the excluded ones."""
+    cached = _slot_names.get(value_type)
+    if cached is None:
         names: list[str] = []
         for base in reversed(value_type.__mro__):
             slots = base.__dict__.get("__slots__", ())
             names += [slots] if isinstance(slots, str) else slots
-        found = _slot_names[value_type] = tuple(
+        cached = _slot_names[value_type] = tuple(
             name for name in names if name not in EXCLUDED_FIELDS and not name.startswith("__")
         )
-    return found
+    return cached
 
 
 _writers: dict[type, Writer] = {
