--- a/granitedock/model_checking/__init__.py
+++ b/granitedock/model_checking/__init__.py
@@ -1,1 +1,1 @@
-"""Small worlds explored exhaustively through the program's own state machines (docs/model-checking.md)."""
+"""Exhaustive exploration of small worlds with the program's own state machines (docs/model-checking.md)."""
--- a/granitedock/model_checking/command.py
+++ b/granitedock/model_checking/command.py
@@ -1,4 +1,4 @@
-"""What `granitedock check-model` does: explore a world and report, or replay a trace step by step."""
+"""The command `granitedock check-model`: explores a world and reports, or replays a trace move by move."""
 
 from __future__ import annotations
 
@@ -20,37 +20,41 @@
 
 
 def check(description: WorldDescription, max_states: int, workers: int, trace_path: str, echo: Echo) -> int:
-    """Explore a world and report to `echo`; the exit code.
+    """Explore a world, report to `echo` and return the exit code.
 
-    0 if every state was visited and no property is violated, 1 if one is (its trace is written to
-    `trace_path`), 2 if the limit of states was reached. Raises TraceError for a world that can't be made.
+    The exit code is 0 if every state was visited and no property is violated, 1 if a property is violated
+    (its trace is written to `trace_path`), and 2 if the limit of states was reached. Raises TraceError for
+    an invalid description.
     """
-    found = explore.explore(make_world(description), max_states, workers, echo)
-    rate = found.states / found.seconds if found.seconds else 0.0
+    result = explore.explore(make_world(description), max_states, workers, echo)
+    rate = result.states / result.seconds if result.seconds else 0.0
     echo(
-        f"{found.states} states, {found.moves} moves, {found.ends} ends, {found.depth} deep, in "
-        f"{found.seconds:.1f} s ({rate:.0f} states a second)"
+        f"{result.states} states, {result.moves} moves, {result.ends} ends, {result.depth} deep, in "
+        f"{result.seconds:.1f} s ({rate:.0f} states a second)"
     )
-    if found.violations:
-        write_trace(trace_path, Trace(description, found.trace), found.violations)
-        echo_violations(found.violations, echo)
+    if result.violations:
+        write_trace(trace_path, Trace(description, result.trace), result.violations)
+        echo_violations(result.violations, echo)
         echo(
-            f"the shortest way there, of {len(found.trace)} moves, is kept in {trace_path}: "
-            f"--replay {trace_path}"
+            f"the shortest trace to the violation, of {len(result.trace)} moves, is stored in {trace_path}: "
+            f"replay it with --replay {trace_path}"
         )
         return VIOLATED
-    echo("no violation" if found.complete else f"no violation so far: ended at {max_states} states")
-    return HOLDS if found.complete else INCOMPLETE
+    echo("no violation" if result.complete else f"no violation so far: ended at {max_states} states")
+    return HOLDS if result.complete else INCOMPLETE
 
 
 def replay(path: str, echo: Echo) -> int:
-    """Replay a trace; the exit code: 1 if a property is violated at its end, else 0. Raises TraceError."""
+    """Replay a trace and return the exit code: 1 if a property is violated at its end, else 0.
+
+    Raises TraceError for a file without a valid trace, and for a move that is not possible.
+    """
     trace = read_trace(path)
     world = make_world(trace.world)
     violations: list[str] = []
     try:
-        for move, found in explore.replay(world, trace.moves):
-            violations = found
+        for move, current_violations in explore.replay(world, trace.moves):
+            violations = current_violations
             echo(f"{' '.join(map(str, move)):<40} {summary(world)}")
     except ValueError as error:
         message = f"{path}: {error}"
@@ -60,16 +64,16 @@
 
 
 def echo_violations(violations: list[str], echo: Echo) -> None:
-    """A line for each violated property."""
+    """Write a line for each violated property."""
     for violation in violations:
         echo(f"BROKEN {violation}")
 
 
 def summary(world: GatewayWorld | MembershipWorld) -> str:
-    """The state in a line, as seen from the outside."""
+    """Return the state in one line, as clients, hosts or members observe it."""
     if isinstance(world, MembershipWorld):
-        held = (f"g{node.number}: {len(world.live_members(node))} live" for node in world.running_nodes())
-        return f"{world.now:8.1f} ms  {'  '.join(held)}"
+        views = (f"g{node.number}: {len(world.live_members(node))} live" for node in world.running_nodes())
+        return f"{world.now:8.1f} ms  {'  '.join(views)}"
     requests = []
     for name, request in sorted(world.requests.items()):
         sent = " ".join(f"h{attempt.host}:{attempt.ending}" for attempt in request.attempts.values())
--- a/granitedock/model_checking/errors.py
+++ b/granitedock/model_checking/errors.py
@@ -4,8 +4,8 @@
 
 
 class TraceError(GranitedockError, ValueError):
-    """A file that holds no trace, or one that does not fit the program as it is now."""
+    """A file that contains no valid trace, or a trace that does not match the current program."""
 
 
 class ImpossibleMoveError(GranitedockError, ValueError):
-    """A move that a world does not allow in its present state."""
+    """A move that is not possible in a world's current state."""
--- a/granitedock/model_checking/modelled_connections.py
+++ b/granitedock/model_checking/modelled_connections.py
@@ -1,6 +1,6 @@
-"""Connections of a modelled gateway, as its state machine sees them (`granitedock.service.ports`).
+"""Connections of a modelled gateway, with the interfaces of `granitedock.service.ports`.
 
-What is written goes to the world; nothing comes in parts, and no received byte lies unread.
+Written data goes to the world. Messages arrive in full, and all received bytes are read at once.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(eq=False, slots=True)
 class ModelledConnection:
-    """An open connection. `record` is the state machine's own record of it."""
+    """An open connection. `record` is the state machine's record of it."""
 
     modelled_gateway: ModelledGateway
     record: Any = None
@@ -27,17 +27,17 @@
     disconnected: ClassVar[Input]
 
     def abort(self) -> None:
-        """Close at once; the end comes back as an input, once, as from a socket."""
+        """Close the connection at once, and queue the input `disconnected` once, as a socket does."""
         if self.open:
             self.open = False
             self.drop_pending()
             self.modelled_gateway.queue_input(self.disconnected, self.record)
 
     def drop_pending(self) -> None:
-        """Forget what was to come on it, as this side has closed it."""
+        """Discard the pending events of this connection, which the gateway has closed."""
 
     def has_partial_message(self) -> bool:
-        """Never: nothing comes in parts."""
+        """Return False: messages arrive in full."""
         return False
 
 
@@ -48,29 +48,29 @@
     disconnected: ClassVar[Input] = Input.CLIENT_DISCONNECTED
 
     def send(self, data: bytes) -> None:
-        """The client reads at once."""
+        """Pass the data to the client, which reads it at once."""
         self.modelled_gateway.world.client_received(self.record, data)
 
     def close(self) -> None:
-        """As `abort`: all is written at once."""
+        """Close the connection as `abort` does: all output is already written."""
         self.abort()
 
     def close_both_sides(self) -> None:
-        """As `abort`: all is written at once."""
+        """Close the connection as `abort` does: all output is already written."""
         self.abort()
 
     def check_unread(self, then: Input) -> None:
-        """Bring `then`: no command ever lies unread."""
+        """Queue the input `then`: no command is ever unread."""
         if self.open:
             self.modelled_gateway.queue_input(then, self.record)
 
     def drain_input(self) -> None:
-        """All is read already."""
+        """Do nothing: all input is already read."""
 
 
 @dataclass(eq=False, slots=True)
 class ModelledHostConnection(ModelledConnection):
-    """A connection to a host. `closes_early`: nothing written to it arrives whole.
+    """A connection to a host. `closes_early`: no request written to it arrives in full.
 
     `attempt`: the name of the request and the number of the attempt that is in flight on it.
     """
@@ -81,16 +81,16 @@
     disconnected: ClassVar[Input] = Input.HOST_DISCONNECTED
 
     def send(self, _data: bytes, _at_once: bool) -> None:
-        """A request leaves for the host."""
+        """Pass an attempt's request to the host."""
         if not self.closes_early:
             self.modelled_gateway.world.attempt_sent(self.modelled_gateway, self)
 
     def drop_pending(self) -> None:
-        """The attempt on it is cancelled."""
+        """Cancel the attempt on this connection."""
         self.end_attempt(move_names.CANCELLED)
 
     def end_attempt(self, ending: str) -> None:
-        """Note how the attempt on it ended, if there is one."""
+        """Record the ending of the attempt on this connection, if there is one."""
         if self.attempt is not None:
             self.modelled_gateway.world.attempt_ended(self.modelled_gateway.number, *self.attempt, ending)
 
@@ -102,11 +102,11 @@
     disconnected: ClassVar[Input] = Input.COUNTER_DISCONNECTED
 
     def send(self, _data: bytes) -> None:
-        """Calls leave for the counter."""
+        """Pass the written calls to the counter."""
         self.modelled_gateway.world.counter_calls_sent(self.modelled_gateway, self.record)
 
     def drop_pending(self) -> None:
-        """Calls that wait on it are never answered."""
+        """Discard the calls of this connection that have no reply: they are never answered."""
         self.modelled_gateway.world.pending.discard_calls(self.record)
 
 
@@ -117,5 +117,5 @@
     disconnected: ClassVar[Input] = Input.WATCH_DISCONNECTED
 
     def has_unread_bytes(self) -> bool:
-        """Never: all is read at once."""
+        """Return False: all input is read at once."""
         return False
--- a/granitedock/model_checking/modelled_gateway.py
+++ b/granitedock/model_checking/modelled_gateway.py
@@ -1,4 +1,4 @@
-"""One gateway process of a modelled world: the program's state machine, its timers and its I/O."""
+"""A gateway process of a modelled world: the program's state machine, its timers and its I/O."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
     from granitedock.service.host_connection import HostConnection
     from granitedock.service.timers import Timer
 
-WORLD_KIND = "gateways"  # of shared objects, and in trace files
-FIRST_SEED = 7  # of the first gateway; each has its own
+WORLD_KIND = "gateways"  # The kind of this world in the names of shared objects and in trace files.
+FIRST_SEED = 7  # The seed of the first gateway; each gateway has a different one.
 
 
-class SilentEventLog:
-    """The state machine's event log: its counters, and no lines."""
+class NullEventLog:
+    """An event log for the state machine that has its counters and writes no lines."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
 
     def event(self, event: str, /, **figures: Any) -> None:
-        """Drop a line."""
+        """Discard the event."""
 
 
 class ModelledGateway:
-    """A gateway process, and what its state machine asks of the event loop (`GatewayIO`)."""
+    """A gateway process, and the event loop's interface to its state machine (`GatewayIO`)."""
 
     def __init__(self, world: GatewayWorld, number: int) -> None:
         self.world = world
         self.number = number
         self.running = True
-        self.timers: list[tuple[float, int, Timer]] = []  # a heap: when due, in which order started
+        self.timers: list[tuple[float, int, Timer]] = []  # A heap by due time, then by order of start.
         self.timers_started = 0
-        self.counter_calls = 0  # numbers them
-        self.inputs: list[tuple[Any, ...]] = []  # an input and its arguments each, to come at once
+        self.counter_calls = 0  # The number of the newest call to the counter.
+        self.inputs: list[tuple[Any, ...]] = []  # Queued inputs, each with its arguments.
         shape = world.shape
         endpoints = EndpointListUpdate(1, True, world.endpoint_entries())
         self.state_machine = GatewayStateMachine(
@@ -55,10 +55,10 @@
                 seed=FIRST_SEED + number,
                 initial_endpoints=endpoints,
                 io=self,
-                event_log=SilentEventLog(),
+                event_log=NullEventLog(),
             )
         )
-        # Customers are kept by weak references, which no copy of a state keeps.
+        # The service keeps customers in a mapping of weak references, which do not survive pickling.
         self.state_machine.requests.customers = {}
         self._register_shared_objects()
         self.handle(Input.START)
@@ -67,7 +67,7 @@
         self.handle(Input.ENDPOINTS_RECEIVED, watch, endpoints)
 
     def _register_shared_objects(self) -> None:
-        """Name what never changes after the start, so that states are pickled without it."""
+        """Register the objects that never change after the start, so that states are pickled without them."""
         machine = self.state_machine
         policy = machine.policy
         parts: list[tuple[str, Any]] = [
@@ -80,21 +80,21 @@
         register(WORLD_KIND, self.world.shape, self.number, parts)
 
     def handle(self, input_kind: Input, *arguments: Any) -> None:
-        """One input, its effects, and the inputs that they bring about at once."""
+        """Handle one input, its effects, and the inputs that the effects queue."""
         self.queue_input(input_kind, *arguments)
         while self.inputs:
-            next_input, *its_arguments = self.inputs.pop(0)
+            next_input, *input_arguments = self.inputs.pop(0)
             for effect, *effect_arguments in self.state_machine.handle(
-                self.world.now, next_input, *its_arguments
+                self.world.now, next_input, *input_arguments
             ):
                 effect(*effect_arguments)
 
     def queue_input(self, input_kind: Input, *arguments: Any) -> None:
-        """Bring an input after those that wait already."""
+        """Append an input to the queue."""
         self.inputs.append((input_kind, *arguments))
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process: its timers and queued inputs are dropped."""
         self.running = False
         self.timers = []
         self.inputs = []
@@ -102,20 +102,23 @@
     # Timers.
 
     def next_timer_at(self) -> float:
-        """When the next timer is due in Unix ms; infinity if there is none."""
+        """Return the due time of the next timer in Unix ms, or infinity if there is none."""
         while self.timers and self.timers[0][2].input is None:
             heapq.heappop(self.timers)
         return self.timers[0][0] if self.timers else float("inf")
 
     def run_due_timers(self) -> None:
-        """Fire all timers that are due now."""
+        """Fire all due timers, in order."""
         while self.running and self.next_timer_at() <= self.world.now:
             timer = heapq.heappop(self.timers)[2]
-            if timer.input is not None:  # `next_timer_at` has dropped those that were cancelled
+            if timer.input is not None:  # Always true: `next_timer_at` removes cancelled timers.
                 self.handle(timer.input, *timer.arguments)
 
     def live_timers(self) -> list[tuple[float, Input, tuple[Any, ...]]]:
-        """Timers that will fire, in their order; the order in which they were started tells nothing."""
+        """Return the timers that will fire, in order, without the order of their starts.
+
+        That order has no effect beyond the order of timers that are due at the same time.
+        """
         if not self.running:
             return []
         in_order = sorted(self.timers, key=lambda item: item[:2])
@@ -123,31 +126,31 @@
             (timer.due, timer.input, timer.arguments) for _, _, timer in in_order if timer.input is not None
         ]
 
-    # What the state machine asks for (`GatewayIO`).
+    # The interface to the state machine (`GatewayIO`).
 
     def start_timer(self, timer: Timer) -> None:
-        """Keep a timer."""
+        """Schedule a timer."""
         self.timers_started += 1
         heapq.heappush(self.timers, (timer.due, self.timers_started, timer))
 
-    def connect_host(self, connection: HostConnection, address: str) -> None:  # noqa: ARG002 - GatewayIO's
-        """A connection that comes up or not."""
-        name, number = self.world.attempt_key(connection.attempt)  # type: ignore[arg-type]  # it has one
+    def connect_host(self, connection: HostConnection, address: str) -> None:  # noqa: ARG002 - Of GatewayIO.
+        """Schedule the event in which a connection to a host is established or refused."""
+        name, number = self.world.attempt_key(connection.attempt)  # type: ignore[arg-type]  # Never None here.
         self.world.pending.add((move_names.HOST_CONNECT, self.number, name, number), connection)
 
     def connect_counter(self, connection: CounterConnection) -> None:
-        """A connection that comes up or not."""
+        """Schedule the event in which a connection to the counter is established or refused."""
         self.world.pending.add((move_names.COUNTER_CONNECT, self.number, connection.number), connection)
 
     def connect_watch(self, watch: Watch) -> None:
-        """Nothing: the first comes up at the start, and the horizon lies before any other."""
+        """Do nothing: the first watch is established at the start, and the horizon is before any other."""
 
     def accept_connections(self, on: bool) -> None:
-        """Nothing: there is capacity for every client."""
+        """Do nothing: there is capacity for every client."""
 
     def stop_listening(self) -> None:
-        """Nothing: no client comes after a stop."""
+        """Do nothing: no client connects after a stop."""
 
     def stop_process(self) -> None:
-        """The process ends."""
+        """Exit the process."""
         self.running = False
--- a/granitedock/model_checking/modelled_request.py
+++ b/granitedock/model_checking/modelled_request.py
@@ -1,4 +1,4 @@
-"""A request as its client and the hosts know it. Times are Unix ms."""
+"""A request, its attempts and its answers, as observed by its client and the hosts. Times are Unix ms."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 class ModelledAnswer(NamedTuple):
-    """What a client read: DONE, REJECTED or FAILED of `gateway_moves`."""
+    """An answer that a client read; `kind` is DONE, REJECTED or FAILED of `gateway_moves`."""
 
-    at: float
+    answered_at: float
     kind: str
 
 
 @dataclass(slots=True)
 class ModelledAttempt:
-    """An attempt as its host knows it. `ending`: the host's outcome, IN_FLIGHT or CANCELLED."""
+    """An attempt as observed by its host. `ending` is the host's outcome, IN_FLIGHT or CANCELLED."""
 
     host: int
     sent_at: float
@@ -32,19 +32,22 @@
     ending: str = move_names.IN_FLIGHT
 
     def end(self, now: float, ending: str) -> None:
-        """Note how it ended; only the first end counts."""
+        """Record the ending; only the first one counts."""
         if self.ended_at is None:
             self.ended_at = now
             self.ending = ending
 
     def may_have_run(self) -> bool:
-        """Whether the host has, or may have, begun to work on it."""
+        """Return whether the host has, or may have, started to process the attempt."""
         return self.ending != move_names.OVERLOADED
 
 
 @dataclass(slots=True)
 class ModelledRequest:
-    """A request, its answers and its attempts by number. `orphaned`: its gateway ended, nothing is owed."""
+    """A request, its answers, and its attempts by number.
+
+    `orphaned`: its gateway does not run any more, and the request needs no answer.
+    """
 
     request_class: str
     gateway: int
@@ -57,9 +60,9 @@
 
     @property
     def idempotency(self) -> Idempotency:
-        """What a repeat of it does."""
+        """Return the idempotency of the request's class."""
         return REQUEST_CLASSES[self.request_class]
 
     def awaits_answer(self) -> bool:
-        """Whether its client waits, or is to come."""
+        """Return whether the request has no answer yet and needs one; it may still be unsent."""
         return not self.answers and not self.orphaned
--- a/granitedock/model_checking/shared_objects.py
+++ b/granitedock/model_checking/shared_objects.py
@@ -1,8 +1,8 @@
-"""Immutable objects of a world, kept once in each process and pickled by name.
+"""Immutable objects of a world, stored once in each process and pickled by name.
 
-Limits, request classes and plans are set at a gateway's start and never change. A pickle of a state names
-them in place of their contents; a process that meets a name for the first time makes the world it belongs
-to, which registers them.
+Limits, request classes and plans are set at a gateway's start and never change. A pickle of a state contains
+their names instead of their contents. A process that unpickles a name for the first time creates the world to
+which it belongs, which registers them.
 """
 
 from __future__ import annotations
@@ -13,29 +13,27 @@
 
 
 class ObjectName(NamedTuple):
-    """What tells a shared object from all others, in every process."""
+    """The unique name of a shared object, the same in every process."""
 
-    kind: str  # of the world
-    shape: Any  # of the world; hashable
-    number: int  # of the gateway
-    part: str  # of the gateway
+    kind: str  # The world's kind.
+    shape: Any  # The world's shape; hashable.
+    number: int  # The gateway's number.
+    part: str  # The object's name within the gateway.
 
 
 _objects: dict[ObjectName, Any] = {}
-_names: dict[int, ObjectName] = {}  # by the id of an object
-_references: list[
-    Any
-] = []  # keeps registered objects alive: an id is unique only as long as its object lives
+_names: dict[int, ObjectName] = {}  # By the id of an object.
+_references: list[Any] = []  # Keeps registered objects alive: an id is unique only while its object exists.
 _factories: dict[str, Callable[[Any], object]] = {}
 
 
 def register_factory(kind: str, factory: Callable[[Any], object]) -> None:
-    """For worlds of this kind, `factory(shape)` registers all objects that belong to a shape."""
+    """Register a factory for a kind of world: `factory(shape)` registers all objects of a shape."""
     _factories[kind] = factory
 
 
 def register(kind: str, shape: Any, number: int, parts: Iterable[tuple[str, Any]]) -> None:
-    """Give objects, with the name of each part, their names; the first of a name stands for all."""
+    """Register pairs of a part's name and its object; the first object of a name represents all others."""
     for part, shared in parts:
         name = ObjectName(kind, shape, number, part)
         _objects.setdefault(name, shared)
@@ -44,7 +42,7 @@
 
 
 def resolve(kind: str, shape: Any, number: int, part: str) -> Any:
-    """The object of this name, made now if this process has not met it."""
+    """Return the object of this name; it is created if this process does not have it yet."""
     name = ObjectName(kind, shape, number, part)
     if name not in _objects:
         _factories[kind](shape)
@@ -52,7 +50,7 @@
 
 
 def pickle_by_name(*types: type) -> None:
-    """Pickle instances of these types by name, where they have one."""
+    """Pickle registered instances of these types by name, and others by value."""
     for shared_type in types:
         copyreg.pickle(shared_type, _reduce)
 
--- a/granitedock/model_checking/trace.py
+++ b/granitedock/model_checking/trace.py
@@ -1,4 +1,4 @@
-"""Trace files: a world, the moves to a violation, and what is violated, as JSON.
+"""Trace files: a world, the moves to a violation, and the violated properties, as JSON.
 
 {"world": "gateways" or "views", "shape": {...}, "moves": [["kill", 0], ...], "broken": ["rule 1: ..."]}
 """
@@ -17,19 +17,19 @@
 from granitedock.model_checking.gateway_world_shape import CEILING_MARK, REQUEST_CLASSES, GatewayWorldShape
 from granitedock.model_checking.membership_world import MembershipWorld, MembershipWorldShape
 
-WorldDescription = dict[str, Any]  # the file's "world" and "shape"
+WorldDescription = dict[str, Any]  # The file's "world" and "shape".
 
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """The way from the first state of a world to another."""
+    """The moves from the initial state of a world to another state."""
 
     world: WorldDescription
     moves: list[Move]
 
 
 def read_trace(path: str) -> Trace:
-    """The trace in a file. Raises TraceError."""
+    """Return the trace in a file. Raises TraceError if the file is unreadable or contains no trace."""
     try:
         document = orjson.loads(Path(path).read_bytes())
         moves = [tuple(move) for move in document["moves"]]
@@ -46,7 +46,7 @@
 
 
 def describe_gateways(shape: GatewayWorldShape) -> WorldDescription:
-    """The description of a world of gateways with requests."""
+    """Return the description of a world of gateways with requests."""
     return {
         "world": "gateways",
         "shape": {
@@ -60,37 +60,40 @@
 
 
 def describe_membership(shape: MembershipWorldShape) -> WorldDescription:
-    """The description of a world of gateways' memberships."""
+    """Return the description of a world of gateways' memberships."""
     return {"world": "views", "shape": asdict(shape)}
 
 
 def make_world(description: WorldDescription) -> GatewayWorld | MembershipWorld:
-    """The first state of the world that is described. Raises TraceError."""
+    """Return the initial state of the described world. Raises TraceError for an invalid description."""
     try:
         if description["world"] == "views":
             return MembershipWorld(MembershipWorldShape(**description["shape"]))
         shape = read_gateway_shape(description["shape"])
     except (KeyError, TypeError) as error:
-        message = f"no world: {type(error).__name__}: {error}"
+        message = f"invalid description of a world: {type(error).__name__}: {error}"
         raise TraceError(message) from None
     check_shape(shape)
     return GatewayWorld(shape)
 
 
 def read_gateway_shape(fields: dict[str, Any]) -> GatewayWorldShape:
-    """The shape of a world of gateways from its fields in a file. Raises KeyError or TypeError."""
-    names = {"tasks": "requests", "warm": "warm_up_requests"}  # the file's, and here
-    renamed = {names.get(name, name): value for name, value in fields.items()}
+    """Return the shape of a world of gateways from its fields in a file. Raises KeyError or TypeError."""
+    field_names = {
+        "tasks": "requests",
+        "warm": "warm_up_requests",
+    }  # From the file's names to this program's.
+    renamed = {field_names.get(name, name): value for name, value in fields.items()}
     return GatewayWorldShape(**(renamed | {"requests": tuple(fields["tasks"])}))
 
 
 def check_shape(shape: GatewayWorldShape) -> None:
-    """Raise TraceError for a world of gateways that can't be made."""
+    """Raise TraceError for an invalid shape of a world of gateways."""
     classes = [request.rstrip(CEILING_MARK) for request in shape.requests]
     if not classes or any(request_class not in REQUEST_CLASSES for request_class in classes):
-        known = ", ".join(REQUEST_CLASSES)
-        message = f"no tasks: {shape.requests}; they are of {known}, with a ! under a ceiling"
+        class_names = ", ".join(REQUEST_CLASSES)
+        message = f"no tasks: {shape.requests}; they are of {class_names}, with a ! under a ceiling"
         raise TraceError(message)
     if min(shape.gateways, shape.hosts) < 1 or min(shape.faults, shape.warm_up_requests) < 0:
-        message = "a world has a gateway, a host, and no fewer faults than none"
+        message = "a world needs at least 1 gateway and 1 host; faults and warm-up requests are at least 0"
         raise TraceError(message)
