--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -150,14 +150,14 @@
 
 def planted_faults():
     """Return the function that plants each fault, by the name of the fault's trace."""
-    from planted_faults import PLANTED, take_silence_for_proof
+    from planted_faults import PLANTED, treat_dead_as_ended
 
     return {
         "one_shot_again": PLANTED["one-shot again"][0],
         "two_copies": PLANTED["two copies"][0],
         "answers_twice": PLANTED["answers twice"][0],
         "ceiling": PLANTED["ceiling"][0],
-        "views_silence": take_silence_for_proof,
+        "views_silence": treat_dead_as_ended,
     }
 
 
--- a/tests/helpers/planted_faults.py
+++ b/tests/helpers/planted_faults.py
@@ -1,4 +1,7 @@
-"""Faults that tests plant in the program: one for each rule, and two for membership. Each is found."""
+"""Faults that tests plant in the program: at least one for each checked rule, and two for membership.
+
+A search has to report each of them (tests/model_checking).
+"""
 
 from functools import wraps
 
@@ -18,64 +21,64 @@
 
 
 def answer_twice(monkeypatch):
-    """Each answer is written twice."""
+    """Write each answer twice."""
     fill = ReplyQueues.fill
 
-    def filled(self, client, waiting, answer):
+    def fill_twice(self, client, waiting, answer):
         fill(self, client, waiting, answer)
         self.context.emit(client.link.send, answer)
 
-    monkeypatch.setattr(ReplyQueues, "fill", filled)
+    monkeypatch.setattr(ReplyQueues, "fill", fill_twice)
 
 
 def repeat_non_idempotent(monkeypatch):
-    """A non-idempotent request is sent again after an attempt that may have run."""
+    """Repeat a non-idempotent request after an attempt that may have run."""
     monkeypatch.setitem(
         REPEAT_RULES, Idempotency.NON_IDEMPOTENT, RepeatRules(RepeatCondition.ALWAYS, RepeatCondition.NEVER)
     )
 
 
 def reject_after_run(monkeypatch):
-    """A non-idempotent request is rejected after an attempt that may have run."""
+    """Reject a non-idempotent request after an attempt that may have run."""
     monkeypatch.setitem(
         REPEAT_RULES, Idempotency.NON_IDEMPOTENT, RepeatRules(RepeatCondition.NEVER, RepeatCondition.ALWAYS)
     )
 
 
 def never_answer(monkeypatch):
-    """Neither an attempt's deadline nor the request's watchdog does anything."""
+    """Disable the deadline of an attempt and the watchdog of a request."""
     monkeypatch.setitem(HANDLERS, Input.ATTEMPT_DEADLINE, lambda gateway, connection, attempt: None)
     monkeypatch.setitem(HANDLERS, Input.REQUEST_WATCHDOG, lambda gateway, request: None)
 
 
 def send_to_draining_hosts(monkeypatch):
-    """Endpoint updates never say that a host drains."""
+    """Change every status in endpoint updates to READY, so that no host is listed as draining."""
     update_endpoints = LoadBalancer.update_endpoints
 
-    @wraps(update_endpoints)  # a bound method is pickled by its name
-    def updated(self, updates, complete):
+    @wraps(update_endpoints)  # A bound method is pickled by its name.
+    def update_as_ready(self, updates, complete):
         for update in updates:
             object.__setattr__(update, "status", EndpointStatus.READY)
         update_endpoints(self, updates, complete)
 
-    monkeypatch.setattr(LoadBalancer, "update_endpoints", updated)
+    monkeypatch.setattr(LoadBalancer, "update_endpoints", update_as_ready)
 
 
 def ignore_ceiling(monkeypatch):
-    """Token buckets admit everything."""
+    """Let token buckets admit every request."""
     monkeypatch.setattr(TokenBucket, "take", lambda self, units, now: True)
 
 
 def keep_cancelled_attempts(monkeypatch):
-    """An attempt that is cancelled is made again while its connection stays open."""
+    """Repeat a cancelled attempt while its connection stays open."""
     cancel_waiting = HostConnections.cancel_waiting
 
-    def kept(self, connection):
+    def cancel_without_effects(self, connection):
         before = len(self.context.effects)
         cancel_waiting(self, connection)
         del self.context.effects[before:]
 
-    monkeypatch.setattr(HostConnections, "cancel_waiting", kept)
+    monkeypatch.setattr(HostConnections, "cancel_waiting", cancel_without_effects)
 
 
 PLANTED = {
@@ -105,8 +108,8 @@
 }
 
 
-def take_silence_for_proof(monkeypatch):
-    """A member that is only DEAD counts as ended, and its slot is vacant at once."""
+def treat_dead_as_ended(monkeypatch):
+    """Count a member that is only DEAD as ended, so that its slot is vacant at once."""
     monkeypatch.setattr(
         "granitedock.membership.member_slots.ENDED_STATES", frozenset({MemberState.DEAD, *ENDED_STATES})
     )
@@ -114,9 +117,9 @@
 
 
 def never_search_for_ended_members(monkeypatch):
-    """Members that are not live are never looked for again."""
-    ways = {"revive": Timer.REVIVE, "sync": Timer.SYNC, "join": Timer.JOIN}
-    for way, timer in ways.items():
+    """Disable anti-entropy, so that members that are not live are never contacted again."""
+    timers = {"revive": Timer.REVIVE, "sync": Timer.SYNC, "join": Timer.JOIN}
+    for method, timer in timers.items():
         monkeypatch.setattr(
-            AntiEntropy, way, lambda self, timer=timer: self.state.timers.update({timer: NEVER})
+            AntiEntropy, method, lambda self, timer=timer: self.state.timers.update({timer: NEVER})
         )
--- a/tests/model_checking/test_state_digest.py
+++ b/tests/model_checking/test_state_digest.py
@@ -1,7 +1,11 @@
-"""Example of the digest of a state."""
+"""Digests of equal and of different values.
 
+Guards against a digest that depends on the identity of objects, with which a search never ends, and against
+one that ignores a value, with which a search skips states.
+"""
 
-def test_model_canon_digest():
+
+def test_equal_values_have_equal_digests_and_different_values_do_not():
     from granitedock.model_checking.state_digest import state_digest
 
     a, b = [1, "x", {2: 3.0}], [1, "x", {2: 3.0}]
