--- a/granitedock/lab/cluster/__init__.py
+++ b/granitedock/lab/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""A test cluster: real gateway processes on loopback, with the emulators and faulty links round them."""
+"""A test cluster: real gateway processes on loopback, with emulators and proxies that impair their links."""
--- a/granitedock/lab/cluster/cluster.py
+++ b/granitedock/lab/cluster/cluster.py
@@ -1,10 +1,11 @@
-"""A test cluster: real gateway processes on this machine's loopback, and the faults that are put on it.
-
-The cluster starts `granitedock serve` as processes of their own, with emulated hosts, counter and discovery,
-and proxies on all links between them. A test or a scenario's timeline kills (SIGKILL), pauses (SIGSTOP),
-resumes (SIGCONT), stops (SIGTERM) and restarts gateways, and cuts or disturbs links. It ends only processes
-it started, by their ids, also when a test fails. The emulators run on one Twisted reactor in a thread of this
-process; everything public here may be called from any other thread.
+"""A test cluster of real gateway processes on loopback, and the faults that are injected into it.
+
+The cluster starts each gateway as a separate `granitedock serve` process, with emulated hosts, counter and
+discovery, and proxies on all links between them. A test or a scenario's timeline kills (SIGKILL), pauses
+(SIGSTOP), resumes (SIGCONT), stops (SIGTERM) and restarts gateways, and cuts or impairs links. The cluster
+ends only the processes that it started, by their ids, also when a test fails. The emulators run on one
+Twisted reactor in a thread of this process. Everything public in this module may be called from any thread
+except the reactor's.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from granitedock.lab.cluster.gateway_process import GatewayProcess, gateway_name
 from granitedock.lab.cluster.links import link_fault, links_between
 from granitedock.lab.cluster.network import MEMBERSHIP_PORT, LoopbackNetwork
-from granitedock.lab.cluster.queries import ANSWER_WITHIN_S, GatewayQueries
+from granitedock.lab.cluster.queries import REPLY_TIMEOUT_S, GatewayQueries
 from granitedock.lab.cluster.surroundings import Surroundings
 from granitedock.lab.emulators.counter import CounterEmulator, ExpiringCounts
 from granitedock.lab.emulators.discovery import DiscoveryEmulator
@@ -31,20 +32,23 @@
 from granitedock.lab.reactor import on_reactor
 from granitedock.lab.scenario import Fault, Scenario
 
-READY_WITHIN_S = 20.0
-POLL_S = 0.05
-LOG_END = 2000  # characters of a gateway's log that an error shows
+READY_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.05
+LOG_TAIL_CHARACTERS = 2000  # characters from the end of a gateway's log that an error includes
 
 
 class GatewayCluster:
-    """A scenario's gateways with what surrounds them; a context manager that starts and ends all of it.
+    """The gateways, emulators and proxies of a scenario, as a context manager that starts and ends them.
 
-    Gateways are named by their numbers.
+    Methods identify a gateway by its number.
     """
 
     def __init__(self, scenario: Scenario, directory: Path, membership: dict[str, Any] | None = None) -> None:
-        """`membership` are lines of the operators' membership file beyond those that the cluster fills in
-        (addresses and seeds), used where the scenario turns membership on. Raises NoNetworkError."""
+        """Claim a loopback network. Raises NoNetworkError.
+
+        `membership` holds keys of the operators' membership file in addition to the addresses and seeds that
+        the cluster fills in. It applies only if the scenario enables membership.
+        """
         self.scenario = scenario
         self.directory = Path(directory)
         self.count = scenario.fleet.gateways
@@ -52,10 +56,10 @@
         self.surroundings = Surroundings(scenario, self.network)
         self.queries = GatewayQueries(self.network)
         self.gateways: list[GatewayProcess] = []
-        self.membership_lines = membership or {}
+        self.membership_overrides = membership or {}
         self.began_s = time.monotonic()
 
-    # Beginning and end.
+    # Start and end.
 
     def __enter__(self) -> GatewayCluster:
         try:
@@ -77,7 +81,7 @@
         self.network.release()
 
     def build(self) -> None:
-        """Start the surroundings and write the gateways' files; in the reactor's thread."""
+        """Start the surroundings and write the membership files; call this in the reactor's thread."""
         surroundings = self.surroundings
         surroundings.start()
         for gateway in range(self.count):
@@ -89,7 +93,7 @@
                 path = self.directory / f"g{gateway}.fleet.toml"
                 path.write_text(
                     membership_file(
-                        self.scenario, self.network, gateway, self.directory, self.membership_lines
+                        self.scenario, self.network, gateway, self.directory, self.membership_overrides
                     )
                 )
                 options = ["--fleet", str(path)]
@@ -101,17 +105,17 @@
             )
 
     def restart_timeline(self) -> None:
-        """The timeline of the emulators begins now."""
+        """Restart the timeline of the emulators at the current time."""
         on_reactor(self.surroundings.restart_timeline)
 
-    # Parts.
+    # Components.
 
     def gateway_host(self, gateway: int) -> str:
-        """The address at which a gateway listens."""
+        """Return the address at which a gateway listens."""
         return self.network.gateway_host(gateway)
 
     def proxy_host(self, gateway: int) -> str:
-        """The address at which the others know a gateway."""
+        """Return the address of the proxy through which the other gateways reach a gateway."""
         return self.network.proxy_host(gateway)
 
     @property
@@ -121,41 +125,41 @@
 
     @property
     def counter(self) -> CounterEmulator:
-        """The emulated counter that the gateways' files name."""
+        """The emulated counter that the gateways' platform files name."""
         return self.surroundings.counter
 
     @property
     def discoveries(self) -> list[DiscoveryEmulator]:
-        """The emulated discovery of each gateway."""
+        """The emulated discoveries, one for each gateway in the order of their numbers."""
         return self.surroundings.discoveries
 
     @property
     def tcp_proxies(self) -> list[TcpProxy]:
-        """The links from gateways to their parties."""
+        """The proxies of the TCP links from gateways to the counter, discovery and hosts."""
         return self.surroundings.tcp_proxies
 
     def host(self, name: str) -> HostEmulator:
-        """An emulated host by its name ("zone/n")."""
+        """Return the emulated host of this name ("zone/n")."""
         return self.surroundings.host(name)
 
-    # Faults of the surroundings.
+    # Faults of hosts and the counter.
 
     def add_host_fault(
         self, name: str, kind: str, for_s: float = 0.0, rate: float = 1.0, factor: float = 1.0
     ) -> None:
-        """A fault of one host from now on; `kind` is a word of the scenario file. Raises ValueError."""
+        """Begin a fault of one host now; `kind` is a word of the scenario file. Raises ValueError."""
         on_reactor(self.surroundings.add_host_fault, name, FaultKind(kind), for_s, rate, factor)
 
     def clear_host_faults(self, name: str) -> None:
-        """No more faults of this host."""
+        """Remove all faults of a host."""
         on_reactor(self.surroundings.clear_host_faults, name)
 
     def restart_counter(self, counts: ExpiringCounts) -> None:
-        """The counter's process is gone and back at once, with these counts."""
+        """Emulate a crash and immediate restart of the counter, which then has these counts."""
         on_reactor(self.counter.restart, counts)
 
     def move_counter(self) -> None:
-        """A fresh counter takes over at another address: the gateways' files name it, and they get SIGHUP."""
+        """Start a new counter at another address, write it to the platform files and send SIGHUP."""
         addresses = on_reactor(self.surroundings.move_counter)
         for gateway, address in zip(self.gateways, addresses, strict=True):
             gateway.platform["counter"] = address
@@ -165,42 +169,42 @@
     # Faults of gateways.
 
     def start(self, *gateways: int) -> None:
-        """Start gateways that do not run."""
+        """Start gateways that are not running."""
         for gateway in gateways:
             on_reactor(self.surroundings.datagram_proxy.open, gateway_name(gateway))
             self.gateways[gateway].start()
 
     def end(self, gateways: Iterable[int], signal_number: int) -> list[int | None]:
-        """End gateways by a signal, all at once; the exit codes."""
+        """End gateways by a signal that is sent to all before waiting for any; returns the exit codes."""
         gateways = list(gateways)
         for gateway in gateways:
             self.gateways[gateway].signal(signal_number)
-        codes = []
+        exit_codes = []
         for gateway in gateways:
-            codes.append(self.gateways[gateway].end(signal_number))
+            exit_codes.append(self.gateways[gateway].end(signal_number))
             on_reactor(self.surroundings.datagram_proxy.close, gateway_name(gateway))
-        return codes
+        return exit_codes
 
     def kill(self, *gateways: int) -> None:
         """End gateways by SIGKILL."""
         self.end(gateways, signal.SIGKILL)
 
     def stop(self, *gateways: int) -> list[int | None]:
-        """End gateways by SIGTERM, as a planned stop; the exit codes."""
+        """End gateways by SIGTERM, as a planned stop does; returns the exit codes."""
         return self.end(gateways, signal.SIGTERM)
 
     def restart(self, *gateways: int) -> None:
-        """Kill gateways and start them at once."""
+        """Kill gateways and start them again immediately."""
         self.kill(*gateways)
         self.start(*gateways)
 
     def pause(self, *gateways: int) -> None:
-        """Stop gateways by SIGSTOP."""
+        """Pause gateways by SIGSTOP."""
         for gateway in gateways:
             self.gateways[gateway].pause()
 
     def resume(self, *gateways: int) -> None:
-        """Let paused gateways go on."""
+        """Resume paused gateways by SIGCONT."""
         for gateway in gateways:
             self.gateways[gateway].resume()
 
@@ -213,25 +217,28 @@
         other_side: Iterable[int] | str,
         direction: str = Direction.BOTH,
     ) -> None:
-        """The fault, from now on, of the links between `gateways` and the other side: gateways, or a party's
-        name. `direction` is as seen from `gateways`, a word of the scenario file."""
+        """Set the fault of the links between `gateways` and `other_side`.
+
+        `other_side` is the numbers of gateways, or the name of a party. `direction` is as seen from
+        `gateways`, and a word of the scenario file.
+        """
         links = links_between(gateways, other_side, Direction(direction))
         on_reactor(self.surroundings.link_faults.set, fault, links)
 
     def cut(
         self, gateways: Iterable[int], other_side: Iterable[int] | str, direction: str = Direction.BOTH
     ) -> None:
-        """Let nothing through on these links from now on; as for `set_link_fault`."""
+        """Cut these links; the arguments are those of `set_link_fault`."""
         self.set_link_fault(CUT, gateways, other_side, direction)
 
     def heal(self) -> None:
-        """No link has a fault any more."""
+        """Remove the faults of all links."""
         on_reactor(self.surroundings.link_faults.heal)
 
     # Faults of a timeline.
 
     def begin_fault(self, fault: Fault) -> None:
-        """Begin a fault of the timeline that is put on gateways; `end_fault` ends it."""
+        """Begin a fault of the timeline whose target is gateways; `end_fault` ends it."""
         gateways = gateway_numbers(fault.target, self.count)
         if fault.kind == FaultKind.KILL:
             self.kill(*gateways)
@@ -245,7 +252,7 @@
             self.set_link_fault(link_fault(fault), gateways, self.other_side(fault), fault.direction)
 
     def end_fault(self, fault: Fault) -> None:
-        """End a fault of the timeline that is put on gateways."""
+        """End a fault of the timeline whose target is gateways."""
         gateways = gateway_numbers(fault.target, self.count)
         if fault.kind in (FaultKind.KILL, FaultKind.STOP):
             self.start(*gateways)
@@ -255,33 +262,37 @@
             self.set_link_fault(NO_FAULT, gateways, self.other_side(fault), fault.direction)
 
     def other_side(self, fault: Fault) -> list[int] | str:
-        """The other side of a link fault: gateways, or a party's name."""
+        """Return the other side of a link fault: the numbers of gateways, or the name of a party."""
         if not fault.other_side:
             return list(range(self.count))
         return gateway_numbers(fault.other_side, self.count) or fault.other_side
 
-    # Questions.
+    # Queries.
 
-    def ask(self, gateway: int, *words: bytes, within_s: float = ANSWER_WITHIN_S) -> bytes:
-        """One command; returns the first line or the bulk string of the answer. Raises
-        GatewayUnreachableError."""
+    def ask(self, gateway: int, *words: bytes, within_s: float = REPLY_TIMEOUT_S) -> bytes:
+        """Send one command and return the first line, or the bulk string, of the reply.
+
+        Raises GatewayUnreachableError.
+        """
         return self.queries.ask(gateway, *words, within_s=within_s)
 
     def view(self, gateway: int) -> dict[str, Any]:
-        """What a gateway holds of the others (`granitedock fleet --json`)."""
+        """Return a gateway's view of the membership (`granitedock fleet --json`)."""
         return self.queries.view(gateway)
 
     def host_verdicts(self, gateway: int) -> dict[str, Any]:
-        """What a gateway knows of the hosts (`granitedock hosts --json`)."""
+        """Return a gateway's verdicts on the hosts (`granitedock hosts --json`)."""
         return self.queries.host_verdicts(gateway)
 
     def member_states(self, gateway: int) -> dict[int, str]:
-        """The state of each other gateway in the view of this one, by number."""
+        """Return the state of each other gateway in the view of this one, by number."""
         return self.queries.member_states(gateway)
 
     def wait_for_agreement(self, gateways: Iterable[int], within_s: float) -> float:
-        """Wait until each of these gateways holds exactly these live; the seconds it took. Raises
-        DisagreementError."""
+        """Wait until each of these gateways sees exactly this set of gateways as live.
+
+        Returns the seconds until the views agree. Raises DisagreementError after `within_s`.
+        """
         live = set(gateways)
         began = time.monotonic()
         while True:
@@ -290,30 +301,33 @@
                 return time.monotonic() - began
             if time.monotonic() - began > within_s:
                 raise DisagreementError(within_s, live, views)
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
 
     def live_members_or_error(self, gateway: int) -> set[int] | str:
-        """The gateways that this one holds live, or why it cannot be asked."""
+        """Return the gateways that this one sees as live, or the error text if the query fails."""
         try:
             return self.queries.live_members(gateway)
         except ClusterError as error:
             return str(error)
 
-    def wait_until_ready(self, *gateways: int, within_s: float = READY_WITHIN_S) -> None:
-        """Wait until these gateways (all, if none is named) answer PING. Raises GatewayUnreachableError."""
-        ends = time.monotonic() + within_s
+    def wait_until_ready(self, *gateways: int, within_s: float = READY_TIMEOUT_S) -> None:
+        """Wait until these gateways, or all if none is given, answer PING. Raises GatewayUnreachableError."""
+        deadline_s = time.monotonic() + within_s
         for gateway in gateways or range(self.count):
-            while not self.answers_ping(gateway, ends):
-                time.sleep(POLL_S)
+            while not self.answers_ping(gateway, deadline_s):
+                time.sleep(POLL_INTERVAL_S)
+
+    def answers_ping(self, gateway: int, deadline_s: float) -> bool:
+        """Return whether a gateway answers PING.
 
-    def answers_ping(self, gateway: int, until: float) -> bool:
-        """Whether a gateway answers PING. Raises GatewayUnreachableError where it does not and has ended, or
-        the steady clock is past `until`."""
+        Raises GatewayUnreachableError if it does not answer and either its process has ended or the monotonic
+        clock is past `deadline_s`.
+        """
         process = self.gateways[gateway]
         try:
             return self.ask(gateway, b"PING") == b"+PONG"
         except GatewayUnreachableError as error:
-            if time.monotonic() > until or not process.is_running():
-                log = process.log().read_text()[-LOG_END:]
+            if time.monotonic() > deadline_s or not process.is_running():
+                log = process.log().read_text()[-LOG_TAIL_CHARACTERS:]
                 raise GatewayUnreachableError(error.gateway, error.cause, log) from None
             return False
--- a/granitedock/lab/cluster/errors.py
+++ b/granitedock/lab/cluster/errors.py
@@ -8,18 +8,18 @@
 
 
 class ClusterError(GranitedockError, RuntimeError):
-    """The cluster cannot be made, or is not as was waited for."""
+    """The cluster cannot be created, or does not reach the awaited state in time."""
 
 
 class NoNetworkError(ClusterError):
-    """Every loopback network is claimed by another cluster."""
+    """Every loopback network is claimed by another test cluster."""
 
     def __init__(self) -> None:
-        super().__init__("no loopback net is free for a cluster")
+        super().__init__("no loopback network is free for a test cluster")
 
 
 class GatewayUnreachableError(ClusterError):
-    """A gateway does not answer; `log` is the end of its log, where it was waited for."""
+    """A gateway does not answer; `log` is the end of its log if the caller waits for its start."""
 
     def __init__(self, gateway: str, cause: object, log: str | None = None) -> None:
         text = f"{gateway} does not answer: {cause}"
@@ -29,7 +29,7 @@
 
 
 class DisagreementError(ClusterError):
-    """The gateways' views of each other differ from what they should be."""
+    """The gateways' views of the membership differ from the expected one after the time limit."""
 
     def __init__(self, within_s: float, live: Iterable[int], views: object) -> None:
-        super().__init__(f"after {within_s} s, {sorted(live)} should be held live, and the views are {views}")
+        super().__init__(f"after {within_s} s: expected {sorted(live)} live in every view, got {views}")
--- a/granitedock/lab/cluster/gateway_files.py
+++ b/granitedock/lab/cluster/gateway_files.py
@@ -1,4 +1,4 @@
-"""The files that a gateway of a test cluster starts with: the platform's, and the membership file."""
+"""The files that a gateway of a test cluster starts with: the platform file and the membership file."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def platform_record(
     scenario: Scenario, network: LoopbackNetwork, gateway: int, discovery_address: str, counter_address: str
 ) -> dict[str, Any]:
-    """The platform's file of a gateway, without its seed."""
+    """Return the platform file of a gateway, without its seed."""
     return {
         "name": f"g{gateway}",
         "listen": f"{network.gateway_host(gateway)}:{CLIENTS_PORT}",
@@ -26,17 +26,20 @@
 
 
 def membership_file(
-    scenario: Scenario, network: LoopbackNetwork, gateway: int, directory: Path, more: dict[str, Any]
+    scenario: Scenario, network: LoopbackNetwork, gateway: int, directory: Path, overrides: dict[str, Any]
 ) -> str:
-    """The operators' membership file of a gateway, as TOML: it is known by its proxy, and so are the seeds.
-    `more` goes before what is filled in; the quota snapshot lies in `directory`."""
+    """Return the operators' membership file of a gateway, as TOML.
+
+    The advertised address and the seeds are addresses of proxies. `overrides` replace values that are filled
+    in here. The quota snapshot is stored in `directory`.
+    """
     values = {
         "enabled": True,
         "cluster": "lab",
         "listen": f"{network.gateway_host(gateway)}:{MEMBERSHIP_PORT}",
         "advertise": f"{network.proxy_host(gateway)}:{MEMBERSHIP_PORT}",
         "seeds": [f"{network.proxy_host(0)}:{MEMBERSHIP_PORT}"],
-    } | more
+    } | overrides
     lines = [f"{key} = {orjson.dumps(value).decode()}\n" for key, value in values.items()]
     if scenario.fleet.quota_sharing:
         snapshot = orjson.dumps(str(directory / f"g{gateway}.snapshot")).decode()
--- a/granitedock/lab/cluster/gateway_process.py
+++ b/granitedock/lab/cluster/gateway_process.py
@@ -1,4 +1,4 @@
-"""One real gateway process of a test cluster, with its platform file and its logs."""
+"""A real gateway process of a test cluster, with its platform file and its logs."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 from granitedock.lab.load.generator import Pause
 
-STOP_WITHIN_S = 10.0
+STOP_TIMEOUT_S = 10.0
 
 
 def gateway_name(number: int) -> str:
-    """A gateway's name in scenarios and on links."""
+    """Return a gateway's name in scenarios and link faults."""
     return f"gateway/{number}"
 
 
 class GatewayProcess:
-    """A gateway: its platform file, and the process that runs by it now."""
+    """A gateway: its platform file, and the process that was last started with it."""
 
     def __init__(self, number: int, directory: Path, platform: dict[str, Any], options: list[str]) -> None:
-        """`platform` is the platform's file without its seed; `options` are further ones of `serve`."""
+        """`platform` is the platform file without its seed; `options` are additional options of `serve`."""
         self.name = gateway_name(number)
         self.number = number
         self.directory = directory
@@ -38,24 +38,24 @@
         self.pauses: list[Pause] = []
 
     def is_running(self) -> bool:
-        """Whether its process has begun and not ended; a paused one runs."""
+        """Return whether the process has started and not ended; a paused process counts as running."""
         return self.process is not None and self.process.poll() is None
 
     def log(self, start: int | None = None) -> Path:
-        """The log of a start (from 1 on), by default of the last."""
+        """Return the path of the log of a start, numbered from 1; the default is the last start."""
         return self.directory / f"g{self.number}.{self.starts if start is None else start}.log"
 
     def platform_path(self) -> Path:
-        """Its platform file."""
+        """Return the path of the platform file."""
         return self.directory / f"g{self.number}.json"
 
     def write_platform_file(self) -> None:
-        """Write the platform file, with a seed of its own for each start."""
+        """Write the platform file, with a different seed for each start."""
         seed = {"seed": f"{self.number:08x}{self.starts:08x}"}
         self.platform_path().write_bytes(orjson.dumps(self.platform | seed))
 
     def start(self) -> None:
-        """Start the process, which must not run."""
+        """Start the process, which must not be running."""
         assert not self.is_running()
         self.starts += 1
         self.write_platform_file()
@@ -67,24 +67,27 @@
         self.paused = False
 
     def signal(self, number: int) -> None:
-        """Send a signal, if it runs."""
+        """Send a signal, if the process is running."""
         if self.process is not None and self.is_running():
             self.process.send_signal(number)
 
     def pause(self) -> None:
-        """Stop it by SIGSTOP."""
+        """Pause the process by SIGSTOP."""
         self.paused = True
         self.pauses.append(Pause(time.monotonic(), inf))
         self.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on after a pause."""
+        """Resume the paused process by SIGCONT."""
         self.signal(signal.SIGCONT)
         self.paused = False
         self.pauses[-1].ended_s = time.monotonic()
 
-    def end(self, number: int, within_s: float = STOP_WITHIN_S) -> int | None:
-        """Send the signal and wait until it has ended; its exit code. One that does not end is killed."""
+    def end(self, number: int, within_s: float = STOP_TIMEOUT_S) -> int | None:
+        """Send the signal, wait until the process has ended and return its exit code.
+
+        A process that does not end within `within_s` is killed.
+        """
         if self.process is None:
             return None
         if self.paused and number != signal.SIGKILL:
@@ -97,13 +100,15 @@
             return self.process.wait()
 
     def events(self) -> list[dict[str, Any]]:
-        """The events of its logs over all starts, each with its `start`; a line that is still being written
-        is left out."""
-        found = []
+        """Return the events of the logs of all starts, each with the number of its `start`.
+
+        A line that is still being written is left out.
+        """
+        events = []
         for start in range(1, self.starts + 1):
             for line in self.log(start).read_bytes().splitlines():
                 try:
-                    found.append(orjson.loads(line) | {"start": start})
+                    events.append(orjson.loads(line) | {"start": start})
                 except orjson.JSONDecodeError:
                     continue
-        return found
+        return events
--- a/granitedock/lab/cluster/links.py
+++ b/granitedock/lab/cluster/links.py
@@ -1,4 +1,4 @@
-"""The links that a fault of a test cluster is put on, and what it does to them."""
+"""The links that a fault of a test cluster affects, and its effect on them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def links_between(
     gateways: Iterable[int], other_side: Iterable[int] | str, direction: Direction
 ) -> list[Link]:
-    """The directed links between gateways and the other side; `direction` as seen from `gateways`."""
+    """Return the links between gateways and the other side; `direction` is as seen from `gateways`."""
     numbers = list(gateways)
     if isinstance(other_side, str):
         others = [other_side]
@@ -30,7 +30,7 @@
 
 
 def link_fault(fault: Fault) -> LinkFault:
-    """What a `cut` or `wire` fault of the timeline does to a link."""
+    """Return the link fault of a `cut` or `wire` fault of the timeline."""
     if fault.kind != FaultKind.IMPAIR:
         return CUT
     return LinkFault(
--- a/granitedock/lab/cluster/surroundings.py
+++ b/granitedock/lab/cluster/surroundings.py
@@ -1,6 +1,6 @@
-"""What surrounds the gateways of a test cluster: emulators, and proxies with their faults on every link.
+"""The environment of the gateways of a test cluster: the emulators, and a proxy with faults on every link.
 
-All of it runs on the process's reactor; methods are called in the reactor's thread.
+Emulators and proxies run on the process's reactor; call their methods in the reactor's thread.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
         self.link_faults = LinkFaults(scenario.seed)
         self.datagram_proxy = DatagramProxy(REACTOR, self.link_faults)
         self.tcp_proxies: list[TcpProxy] = []
-        self.counters: list[CounterEmulator] = []  # the last is in use, the others were before it
+        self.counters: list[CounterEmulator] = []  # the last is current, the others are its predecessors
         self.counter_address = ""
         self.discoveries: list[DiscoveryEmulator] = []  # one for each gateway
         self.hosts: list[HostEmulator] = []
@@ -40,7 +40,7 @@
 
     @property
     def counter(self) -> CounterEmulator:
-        """The counter that the gateways' files name."""
+        """The counter that the gateways' platform files name."""
         return self.counters[-1]
 
     def start(self) -> None:
@@ -49,7 +49,7 @@
         self.host_addresses, self.hosts = start_hosts(self.scenario, REACTOR)
 
     def start_counter(self) -> str:
-        """Start a counter that takes over; returns its address."""
+        """Start a counter that becomes the current one; returns its address."""
         counter = CounterEmulator(self.scenario, REACTOR)
         self.counters.append(counter)
         address = counter.listen()
@@ -57,7 +57,7 @@
         return address
 
     def connect_gateway(self, gateway: int) -> tuple[str, str]:
-        """Make the links of a gateway to all parties; returns the addresses of its discovery and counter."""
+        """Create a gateway's links to all parties; returns the addresses of its discovery and counter."""
         endpoints = {
             name: self.add_tcp_proxy(gateway, Party.HOSTS, address).address
             for name, address in self.host_addresses.items()
@@ -70,7 +70,7 @@
         return link.address, counter.address
 
     def add_tcp_proxy(self, gateway: int, party: Party, address: str) -> TcpProxy:
-        """A link from a gateway to a party at this address."""
+        """Create the proxy of a link from a gateway to a party at this address."""
         listen_address = f"{self.network.proxy_host(gateway)}:0"
         name = gateway_name(gateway)
         proxy = TcpProxy(REACTOR, self.link_faults, name, party.value, listen_address, address)
@@ -78,14 +78,16 @@
         return proxy
 
     def move_counter(self) -> list[str]:
-        """A fresh counter takes over at another address; the old one goes on for those that call it. Returns
-        the new counter's address for each gateway."""
+        """Start a new counter at another address; the old one still answers the gateways that call it.
+
+        Returns the new counter's address for each gateway.
+        """
         address = self.start_counter()
         gateways = range(self.scenario.fleet.gateways)
         return [self.add_tcp_proxy(gateway, Party.COUNTER, address).address for gateway in gateways]
 
     def restart_timeline(self) -> None:
-        """The faults of the emulators count from now on."""
+        """Restart the timeline of the emulators' faults at the current time."""
         began = time.monotonic()
         self.counter.started_at = began
         for discovery in self.discoveries:
@@ -94,11 +96,14 @@
             host.restart_timeline(lambda: (time.monotonic() - began) * 1000.0)
 
     def host(self, name: str) -> HostEmulator:
-        """An emulated host by its name ("zone/n")."""
+        """Return the emulated host of this name ("zone/n")."""
         return next(host for host in self.hosts if host.name == name)
 
     def add_host_fault(self, name: str, kind: FaultKind, for_s: float, rate: float, factor: float) -> None:
-        """A fault of one host from now on, as the timeline would begin it; discovery knows of drains."""
+        """Begin a fault of one host now, as the timeline does.
+
+        Discovery receives the fault too, as a drain or a kill changes the host's lifecycle in the list.
+        """
         host = self.host(name)
         began = time.monotonic()
         host.faults.append(
@@ -109,16 +114,16 @@
             discovery.timeline.append(Fault(at_s=at_s, what=kind, target=name, for_s=for_s, rate=rate))
 
     def clear_host_faults(self, name: str) -> None:
-        """No more faults of this host."""
+        """Remove all faults of a host."""
         self.host(name).faults.clear()
         for discovery in self.discoveries:
             discovery.timeline[:] = [fault for fault in discovery.timeline if fault.target != name]
 
     def stop(self) -> Deferred[Any]:
-        """End all of it; what it returns fires when every listener is closed."""
-        waits = self.datagram_proxy.stop()
-        waits += [proxy.stop() for proxy in self.tcp_proxies]
-        waits += [counter.stop() for counter in self.counters]
-        waits += [discovery.stop() for discovery in self.discoveries]
-        waits += [host.stop() for host in self.hosts]
-        return DeferredList([wait for wait in waits if wait is not None])
+        """End all emulators and proxies; returns a Deferred that fires when every listener is closed."""
+        pending = self.datagram_proxy.stop()
+        pending += [proxy.stop() for proxy in self.tcp_proxies]
+        pending += [counter.stop() for counter in self.counters]
+        pending += [discovery.stop() for discovery in self.discoveries]
+        pending += [host.stop() for host in self.hosts]
+        return DeferredList([deferred for deferred in pending if deferred is not None])
