--- a/granitedock/lab/faults/__init__.py
+++ b/granitedock/lab/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults that a scenario puts on hosts, and proxies that put them on the links between processes."""
+"""Faults that a scenario injects into hosts, and proxies that inject faults into links."""
--- a/granitedock/lab/faults/datagram_proxy.py
+++ b/granitedock/lab/faults/datagram_proxy.py
@@ -1,7 +1,7 @@
-"""A proxy for the datagrams between gateways: each goes through the socket that stands for its receiver.
+"""A proxy for the datagrams between gateways, with one socket for each gateway.
 
-A gateway that sends to the proxy's address of another is seen by it as coming from the proxy's own address of
-the sender, as if the two had spoken directly.
+A datagram is sent to the receiver's socket at the proxy, and the proxy forwards it from the sender's socket.
+The receiver therefore sees the sender's proxy address as the source, as if the two communicated directly.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ProxySocket(DatagramProtocol):
-    """The socket that stands for one gateway towards the others."""
+    """The socket that represents one gateway to the others."""
 
     transport: Port
 
@@ -31,7 +31,10 @@
         self.gateway_address = gateway_address
 
     def datagramReceived(self, data: bytes, address: Any) -> None:
-        """Forward a datagram under the link's fault; a stranger's (a test that sends garbage) as it came."""
+        """Forward a datagram under the link's fault.
+
+        A datagram from an unknown source, such as a test that sends garbage, is forwarded without a fault.
+        """
         source = self.proxy.names.get(address[0])
         if source is None:
             self.transport.write(data, self.gateway_address)
@@ -41,7 +44,7 @@
 
 @dataclass(slots=True)
 class ProxiedGateway:
-    """A gateway's place in the proxy: its socket's address and protocol, and its port while it is open."""
+    """The socket of one gateway at the proxy: its address, its protocol, and its port while it is open."""
 
     proxy_address: Address
     socket: ProxySocket
@@ -49,62 +52,65 @@
 
 
 class DatagramProxy:
-    """The datagrams between gateways, under the faults of their links."""
+    """Forwards the datagrams between gateways under the faults of their links."""
 
     def __init__(self, reactor: PosixReactorBase, faults: LinkFaults) -> None:
         self.reactor = reactor
         self.faults = faults
-        self.names: dict[str, str] = {}  # by the host addresses that the gateways send from
+        self.names: dict[str, str] = {}  # gateway names by the host addresses from which they send
         self.gateways: dict[str, ProxiedGateway] = {}
-        self.sent: dict[Link, int] = {}  # datagrams sent
+        self.sent: dict[Link, int] = {}  # datagrams sent on each link
 
     def add(self, name: str, gateway_address: Address, proxy_address: Address) -> None:
-        """Gateway `name` listens at `gateway_address`; the others know it by `proxy_address`."""
+        """Add gateway `name`, which listens at `gateway_address`, and open its socket at `proxy_address`."""
         self.names[gateway_address[0]] = name
         socket = ProxySocket(self, name, gateway_address)
         self.gateways[name] = ProxiedGateway(proxy_address, socket)
         self.open(name)
 
     def forward(self, data: bytes, source: str, target: ProxySocket) -> None:
-        """Deliver what `source` sent to `target`, as the link's fault has it."""
+        """Deliver a datagram from `source` to `target` as the link's fault determines."""
         link = (source, target.name)
         self.sent[link] = self.sent.get(link, 0) + 1
         fault = self.faults.on(*link)
-        for after_ms, arriving in deliveries(fault, data, self.faults.random):
-            if after_ms:
+        for delay_ms, delivered in deliveries(fault, data, self.faults.random):
+            if delay_ms:
                 self.reactor.callLater(
-                    after_ms / 1000.0, self.deliver, source, target.gateway_address, arriving
+                    delay_ms / 1000.0, self.deliver, source, target.gateway_address, delivered
                 )
             else:
-                self.deliver(source, target.gateway_address, arriving)
+                self.deliver(source, target.gateway_address, delivered)
 
     def deliver(self, source: str, gateway_address: Address, data: bytes) -> None:
-        """Write to a gateway from the socket that stands for `source`, if it is still open."""
+        """Write to a gateway from the socket of `source`, if that socket is still open."""
         port = self.gateways[source].port
         if port is not None:
             port.write(data, gateway_address)
 
     def open(self, name: str) -> None:
-        """Take datagrams for a gateway."""
+        """Open a gateway's socket at the proxy, if it is closed."""
         gateway = self.gateways[name]
         if gateway.port is None:
             host, port = gateway.proxy_address
             gateway.port = self.reactor.listenUDP(port, gateway.socket, interface=host)
 
     def close(self, name: str) -> Any:
-        """Note that the process behind is gone: the kernel now refuses what is sent here, as it does for a
-        port that nobody listens at. While a cut holds towards it, the socket stays open and silent instead.
-        Returns None, or a Deferred that fires when the socket is closed."""
+        """Close a gateway's socket after its process has ended.
+
+        The kernel then refuses datagrams to this address, as it does for any port without a listener. If a
+        link to this gateway is cut, the socket stays open and silent instead. Returns None, or a Deferred
+        that fires when the socket is closed.
+        """
         gateway = self.gateways[name]
-        cut = any(self.faults.on(other, name).cut for other in self.gateways)
-        if gateway.port is None or cut:
+        is_cut = any(self.faults.on(other, name).cut for other in self.gateways)
+        if gateway.port is None or is_cut:
             return None
         port = gateway.port
         gateway.port = None
         return port.stopListening()
 
     def stop(self) -> list[Any]:
-        """Close all sockets; returns a Deferred (or None) for each."""
+        """Close all sockets; returns a Deferred, or None, for each."""
         ports = [gateway.port for gateway in self.gateways.values() if gateway.port is not None]
         for gateway in self.gateways.values():
             gateway.port = None
--- a/granitedock/lab/faults/host_faults.py
+++ b/granitedock/lab/faults/host_faults.py
@@ -1,8 +1,9 @@
-"""The condition of an emulated host under its faults, and what it does with one request.
+"""The condition of an emulated host under its faults, and its reply to one request.
 
-No sockets and no clock: the emulator asks `host_condition` with the time since the run began, and
-`draw_reply` with a source of chance, and carries the answer out. Faults of a zone reach all its hosts at the
-same moment, as a zone slows as a whole. Source: docs/lab-design.md ("How a host's life is scripted").
+This module uses no sockets and no clock: the emulator calls `host_condition` with the time since the run
+started and `draw_reply` with a random generator, and carries out the result. A fault of a zone affects all
+hosts of the zone at the same moment, because a zone slows down as a whole. Source: docs/lab-design.md ("How a
+host's life is scripted").
 """
 
 from __future__ import annotations
@@ -15,23 +16,23 @@
 from granitedock.lab.fault_targets import FaultKind
 from granitedock.lab.scenario import Fault, Scenario, Service, Zone
 
-COLD_SLOWDOWN = 4.0  # a host that has just started: its caches and pools are still empty
-FLAP_MS = 1000.0  # a flapping host is out and in, so long each
+COLD_SLOWDOWN = 4.0  # the caches and pools of a host that has just started are still empty
+FLAP_MS = 1000.0  # a flapping host is alternately down and up for this time
 
 
 class ReplyKind(StrEnum):
-    """What a host does with a request."""
+    """How a host replies to a request."""
 
-    VALUE = "value"  # answers
-    ERROR = "error"  # answers an error line
-    BUSY = "busy"  # answers -BUSY, having done nothing
-    SILENT = "silent"  # takes it and never answers
-    HALF = "half"  # writes part of the answer and stalls
-    RESET = "reset"  # ends the connection
+    VALUE = "value"  # replies with a value
+    ERROR = "error"  # replies with an error line
+    BUSY = "busy"  # replies -BUSY without processing the request
+    SILENT = "silent"  # accepts the request and never replies
+    HALF = "half"  # writes part of the reply and stalls
+    RESET = "reset"  # resets the connection
 
 
-# What a host does under a fault; of several that hit a request, the first in this order wins, as a host that
-# is silent neither errs nor drains. A draining host still answers what it has taken.
+# The reply of a host under each fault. If several faults hit a request, the first in this order applies, as a
+# silent host neither returns errors nor drains. A draining host still replies to requests it has accepted.
 REPLY_UNDER_FAULT = {
     FaultKind.SILENT: ReplyKind.SILENT,
     FaultKind.HALF: ReplyKind.HALF,
@@ -40,12 +41,12 @@
     FaultKind.ERRORS: ReplyKind.ERROR,
     FaultKind.DRAIN: ReplyKind.VALUE,
 }
-IMMEDIATE_REPLIES = (ReplyKind.BUSY, ReplyKind.RESET)  # these take no service time
+IMMEDIATE_REPLIES = (ReplyKind.BUSY, ReplyKind.RESET)  # sent without service time
 
 
 @dataclass(frozen=True, slots=True)
 class ReplyFault:
-    """A fault that changes replies, and the share of requests that it hits."""
+    """A fault that changes replies, and the share of requests that it affects."""
 
     kind: FaultKind
     rate: float
@@ -53,8 +54,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HostCondition:
-    """A host at a moment: how much slower than its own service, the faults of its replies, and whether it is
-    down."""
+    """The condition of a host at a moment.
+
+    `slowdown` multiplies the service time; a host that is `down` has no connections.
+    """
 
     slowdown: float = 1.0
     reply_faults: tuple[ReplyFault, ...] = ()
@@ -63,14 +66,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What a host does with one request, and how long after the request came whole, in ms."""
+    """The reply of a host to one request, sent `after_ms` after the complete request is received."""
 
     kind: ReplyKind
     after_ms: float
 
 
 def faults_of_host(scenario: Scenario, zone: Zone, number: int) -> list[Fault]:
-    """The faults of the timeline that reach host `number` of `zone`, in the order of the file."""
+    """Return the faults of the timeline that affect host `number` of `zone`, in the order of the file."""
     names = (zone.name, f"{zone.name}/{number}")
     return [fault for fault in scenario.timeline if fault.target in names]
 
@@ -78,14 +81,14 @@
 def host_condition(
     faults: list[Fault], warm_up_s: float, since_start_ms: float, up_since_ms: float = 0.0
 ) -> HostCondition:
-    """A host's condition `since_start_ms` after the run began, if it came up at `up_since_ms`."""
+    """Return a host's condition `since_start_ms` after the run started; it is up since `up_since_ms`."""
     slowdown = 1.0
     reply_faults = []
     down = False
     for fault in faults:
-        begun = since_start_ms >= fault.at_s * 1000.0
-        over = fault.for_s and since_start_ms >= (fault.at_s + fault.for_s) * 1000.0
-        if not begun or over:
+        started = since_start_ms >= fault.at_s * 1000.0
+        ended = fault.for_s and since_start_ms >= (fault.at_s + fault.for_s) * 1000.0
+        if not started or ended:
             continue
         if fault.kind == FaultKind.SLOW:
             slowdown *= fault.factor
@@ -101,18 +104,20 @@
 
 
 def draw_service_ms(service: Service, random: Random) -> float:
-    """One draw of a host's own time for a request, in ms (before any slowing)."""
+    """Draw a host's service time for a request in ms, before any slowdown."""
     if service.kind == "fixed":
         return service.mean_ms
     if service.kind == "exponential":
         return random.expovariate(1.0 / service.mean_ms)
-    # A log-normal whose mean is mean_ms: mu = ln(mean) - sigma^2 / 2.
+    # The log-normal distribution with the mean mean_ms has mu = ln(mean_ms) - sigma^2 / 2.
     return random.lognormvariate(log(service.mean_ms) - service.sigma**2 / 2, service.sigma)
 
 
 def draw_reply(condition: HostCondition, service: Service, random: Random) -> Reply:
-    """What a host in this condition does with a request that came now. A host that is down is not asked, as
-    its connections end."""
+    """Draw the reply of a host in this condition to a request that is received now.
+
+    This is never called for a host that is down, because its connections are closed.
+    """
     service_ms = draw_service_ms(service, random) * condition.slowdown
     for kind, reply in REPLY_UNDER_FAULT.items():
         for fault in condition.reply_faults:
--- a/granitedock/lab/faults/link_faults.py
+++ b/granitedock/lab/faults/link_faults.py
@@ -1,9 +1,10 @@
-"""Faults of links between processes: what befalls the data of each directed pair of names now.
+"""Faults of the links between processes, set for each directed pair of names.
 
-Every gateway has an address of its own and one of its proxy, at which the others know it, so each directed
-pair (from, to) can be given a fault of its own: loss, delay, reordering, duplication, truncation, or a cut in
-one direction only. TCP links lead from one gateway to one party (the counter, discovery, a host) in the same
-way. Chance is seeded; nothing here needs a privilege. Source: docs/lab-design.md ("Links that fail").
+Every gateway has its own address and a proxy address through which the others reach it, so each directed pair
+(source, target) can have its own fault: loss, delay, reordering, duplication, truncation, or a cut in one
+direction only. A TCP link connects one gateway with one party (the counter, discovery, a host) in the same
+way. Random draws are seeded. Nothing here needs special privileges. Source: docs/lab-design.md ("Links that
+fail").
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkFault:
-    """What befalls data in one direction.
+    """The fault of one direction of a link.
 
-    `cut` loses all datagrams, and holds a TCP stream until it heals, as retransmission would. The shares are
-    of datagrams; the times are ms, `jitter_ms` being added at random up to this, so that datagrams overtake
-    each other.
+    `cut` drops all datagrams, and buffers a TCP stream until the link heals, as retransmission does. `lost`,
+    `duplicated` and `truncated` are shares of the datagrams. Each datagram is delayed by `delay_ms` plus a
+    random time of at most `jitter_ms`, so that datagrams overtake each other.
     """
 
     cut: bool = False
@@ -38,14 +39,14 @@
 
 
 class Delivery(NamedTuple):
-    """A datagram that arrives `after_ms` from now."""
+    """A datagram that arrives `delay_ms` from now."""
 
-    after_ms: float
+    delay_ms: float
     data: bytes
 
 
 def deliveries(fault: LinkFault, data: bytes, random: Random) -> list[Delivery]:
-    """How a datagram arrives: not at all, once, or twice."""
+    """Draw the deliveries of a datagram under a fault: none, one or two."""
     if fault.cut or random.random() < fault.lost:
         return []
     if random.random() < fault.truncated:
@@ -55,7 +56,7 @@
 
 
 class LinkFaults:
-    """The fault of each directed link now; a link that is not named has none."""
+    """The current fault of each directed link; a link without an entry has no fault."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
@@ -63,11 +64,11 @@
         self.listeners: list[Callable[[], None]] = []  # called after each change
 
     def on(self, source: str, target: str) -> LinkFault:
-        """The fault from `source` to `target`."""
+        """Return the fault of the link from `source` to `target`."""
         return self.faults.get((source, target), NO_FAULT)
 
     def set(self, fault: LinkFault, links: Iterable[Link]) -> None:
-        """The fault of these links from now on; NO_FAULT heals them."""
+        """Set the fault of these links and call the listeners; NO_FAULT heals the links."""
         for link in links:
             if fault == NO_FAULT:
                 self.faults.pop(link, None)
@@ -77,5 +78,5 @@
             listener()
 
     def heal(self) -> None:
-        """No link has a fault any more."""
+        """Remove the faults of all links."""
         self.set(NO_FAULT, list(self.faults))
--- a/granitedock/lab/faults/tcp_proxy.py
+++ b/granitedock/lab/faults/tcp_proxy.py
@@ -1,7 +1,8 @@
 """A proxy for the TCP connections from one gateway to one party (the counter, discovery, a host).
 
-A link that is cut stays open and silent, and what was written meanwhile arrives when it heals, as
-retransmission would bring it; new connections never come up. Source: docs/lab-design.md ("Links that fail").
+While a link is cut, its connections stay open and silent, and new connections are not established. Data that
+is written meanwhile arrives when the link heals, as it does by retransmission. Source: docs/lab-design.md
+("Links that fail").
 """
 
 from __future__ import annotations
@@ -22,93 +23,93 @@
 
 CONNECT_TIMEOUT_S = 2
 BACKLOG = 50
-BACKLOG_FILLERS = 2  # connections that fill the shortest queue of a listener
+BACKLOG_FILLERS = 2  # connections that fill a listener's accept queue of minimum length
 
 
 class ProxyConnection(Protocol):
-    """One side of a proxied connection: the gateway's, or the party's."""
+    """One side of a proxied connection, either the gateway's or the party's."""
 
     transport: Server | Client | None
 
     def __init__(self, proxy: TcpProxy, source: str, target: str) -> None:
-        """`source` is who writes to this side, `target` who reads the other."""
+        """`source` is the name of the peer of this side, `target` of the peer of the other side."""
         self.proxy = proxy
         self.source = source
         self.target = target
         self.peer: ProxyConnection | None = None  # the other side
-        self.held: list[bytes] = []
-        self.last_due = 0.0
-        self.ended = False
+        self.buffered: list[bytes] = []
+        self.last_delivery_s = 0.0  # reactor time of the last delayed delivery: data stays in order
+        self.closed = False
 
     def is_cut(self) -> bool:
-        """Whether nothing gets through from this side now."""
+        """Return whether the link in the direction from this side is cut."""
         return self.proxy.faults.on(self.source, self.target).cut
 
     def open_peer(self) -> ProxyConnection | None:
-        """The other side, if it has come up and not ended."""
+        """Return the other side if it is connected, else None."""
         peer = self.peer
-        return peer if peer is not None and peer.transport is not None and not peer.ended else None
+        return peer if peer is not None and peer.transport is not None and not peer.closed else None
 
     def connectionMade(self) -> None:
-        """Note that this side is open."""
+        """Register this side as open."""
         assert self.transport is not None
         self.transport.setTcpNoDelay(True)
         self.proxy.connections.add(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Pass on, delay or hold what came, as the link's fault has it."""
+        """Forward, delay or buffer the data as the link's fault determines."""
         fault = self.proxy.faults.on(self.source, self.target)
-        if fault.cut or self.held or self.peer is None or self.peer.transport is None:
-            self.held.append(data)
+        if fault.cut or self.buffered or self.peer is None or self.peer.transport is None:
+            self.buffered.append(data)
         elif fault.delay_ms:
-            now = self.proxy.reactor.seconds()
+            now_s = self.proxy.reactor.seconds()
             delay_ms = fault.delay_ms + fault.jitter_ms * self.proxy.faults.random.random()
-            self.last_due = max(self.last_due, now + delay_ms / 1000)
-            self.proxy.reactor.callLater(self.last_due - now, self.peer.write, data)
+            self.last_delivery_s = max(self.last_delivery_s, now_s + delay_ms / 1000)
+            self.proxy.reactor.callLater(self.last_delivery_s - now_s, self.peer.write, data)
         else:
             self.peer.write(data)
 
     def write(self, data: bytes) -> None:
-        """Write to whoever is at this side, unless it has ended."""
-        if self.transport is not None and not self.ended:
+        """Write data to the peer of this side, unless the side is closed."""
+        if self.transport is not None and not self.closed:
             self.transport.write(data)
 
     def release(self) -> None:
-        """Pass on what was held, or an end that did not get through, unless the link is cut."""
-        if self.ended and self.open_peer() is not None:
+        """Forward the buffered data, or a close that was not forwarded, unless the link is cut."""
+        if self.closed and self.open_peer() is not None:
             if not self.is_cut():
                 self.abort_peer()
             return
-        ready = self.held and self.peer is not None and self.peer.transport is not None
+        ready = self.buffered and self.peer is not None and self.peer.transport is not None
         if ready and not self.is_cut():
-            held = b"".join(self.held)
-            self.held = []
-            self.dataReceived(held)
+            data = b"".join(self.buffered)
+            self.buffered = []
+            self.dataReceived(data)
 
     def abort_peer(self) -> None:
-        """Reset the other side, if it is open."""
+        """Reset the other side, if it is connected."""
         peer = self.open_peer()
         if peer is not None and peer.transport is not None:
             peer.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  Twisted's signature
-        """Pass the end on. Nobody is left to send again what this side held."""
-        self.ended = True
+        """Forward the close and discard the buffered data, which no process would retransmit any more."""
+        self.closed = True
         self.proxy.connections.discard(self)
-        self.held.clear()
+        self.buffered.clear()
         peer = self.open_peer()
         if peer is None or peer.transport is None:
             return
         if self.is_cut():
-            # The end does not get through either: the other side stays open and silent until the cut is over.
-            # Who asks what was in flight meanwhile has to know when this side ended.
-            self.proxy.unheard_ends[peer.transport.getHost().port] = time.monotonic()
+            # The cut also blocks the close: the other side stays open and silent until the link heals. The
+            # time is recorded, as a check of the requests in flight needs to know when this side closed.
+            self.proxy.unreported_closes[peer.transport.getHost().port] = time.monotonic()
             return
         peer.transport.abortConnection()
 
 
 class PartyConnector(ClientFactory):
-    """Makes the party's side for a gateway's side that has come."""
+    """Connects to the party for a gateway's side that has been accepted."""
 
     noisy = False
 
@@ -116,7 +117,7 @@
         self.gateway_side = gateway_side
 
     def buildProtocol(self, addr: IAddress | None) -> ProxyConnection:  # noqa: ARG002  Twisted's signature
-        """Join the two sides; what was held flows once the party's side is up."""
+        """Link the two sides; buffered data is forwarded once the party's side is connected."""
         proxy = self.gateway_side.proxy
         party_side = ProxyConnection(proxy, self.gateway_side.target, self.gateway_side.source)
         party_side.peer = self.gateway_side
@@ -125,13 +126,13 @@
         return party_side
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002  Twisted's signature
-        """The party cannot be reached: reset the gateway's side."""
+        """Reset the gateway's side, as the party is unreachable."""
         if self.gateway_side.transport is not None:
             self.gateway_side.transport.abortConnection()
 
 
 class GatewayAcceptor(Factory):
-    """Makes the gateway's side of each connection that comes, and connects to the party."""
+    """Accepts connections of a gateway and connects each to the party."""
 
     noisy = False
 
@@ -139,7 +140,7 @@
         self.proxy = proxy
 
     def buildProtocol(self, addr: IAddress | None) -> ProxyConnection:  # noqa: ARG002  Twisted's signature
-        """Take a gateway's connection."""
+        """Create the gateway's side of a connection and start to connect to the party."""
         proxy = self.proxy
         gateway_side = ProxyConnection(proxy, proxy.gateway, proxy.party)
         host, _, port = proxy.party_address.rpartition(":")
@@ -148,7 +149,7 @@
 
 
 class TcpProxy:
-    """The link from one gateway to one party: a listener of the gateway's own, led on to the party."""
+    """The link from one gateway to one party: a listener for this gateway that forwards to the party."""
 
     port: Port
 
@@ -161,15 +162,15 @@
         listen_address: str,
         party_address: str,
     ) -> None:
-        """Listens at `listen_address` (port 0: any free one) and leads to `party_address`."""
+        """Listen at `listen_address` (port 0: any free port) and forward to `party_address`."""
         self.reactor = reactor
         self.faults = faults
         self.gateway = gateway
         self.party = party
         self.party_address = party_address
         self.connections: set[ProxyConnection] = set()
-        # When a side ended without the other hearing of it, by the port of its other side.
-        self.unheard_ends: dict[int, float] = {}
+        # Monotonic times of closes that a cut blocked, by the local port of the side that stays open.
+        self.unreported_closes: dict[int, float] = {}
         self.fillers: list[socket.socket] = []
         host, _, port = listen_address.rpartition(":")
         self.port = reactor.listenTCP(int(port), GatewayAcceptor(self), interface=host)
@@ -177,14 +178,16 @@
         faults.listeners.append(self.apply_faults)
 
     def is_cut(self) -> bool:
-        """Whether the link is cut in either direction."""
+        """Return whether the link is cut in either direction."""
         links = (self.gateway, self.party), (self.party, self.gateway)
         return any(self.faults.on(*link).cut for link in links)
 
     def apply_faults(self) -> None:
-        """Follow a change of the links' faults. While the link is cut, new connections never come up: the
-        listener's queue is made as short as it goes and filled, so that the kernel drops what else would
-        connect."""
+        """Apply a change of the links' faults.
+
+        While the link is cut, no new connection is established: the listener's accept queue is set to its
+        minimum length and filled, so that the kernel drops further connection attempts.
+        """
         if self.is_cut() and not self.fillers:
             self.port.stopReading()
             self.port.socket.listen(0)
@@ -203,11 +206,16 @@
             connection.release()
 
     def all_sides(self) -> list[ProxyConnection]:
-        """Both sides of every connection that has one open."""
-        return [side for one in self.connections for side in (one, one.peer) if side is not None]
+        """Return both sides of every connection that has at least one open side."""
+        return [
+            side
+            for connection in self.connections
+            for side in (connection, connection.peer)
+            if side is not None
+        ]
 
     def stop(self) -> Any:
-        """End the listener and all connections; returns a Deferred, or None."""
+        """Close the listener and all connections; returns a Deferred, or None."""
         self.faults.listeners.remove(self.apply_faults)
         for filler in self.fillers:
             filler.close()
--- a/granitedock/lab/load/verification.py
+++ b/granitedock/lab/load/verification.py
@@ -112,7 +112,7 @@
         port: at_s
         for proxy in cluster.tcp_proxies
         if proxy.party.startswith(Party.HOSTS)  # a test may name the link to one host
-        for port, at_s in proxy.unheard_ends.items()
+        for port, at_s in proxy.unreported_closes.items()
     }
     for host in cluster.hosts:
         for attempt in host.attempts:
