--- a/granitedock/lab/emulators/__init__.py
+++ b/granitedock/lab/emulators/__init__.py
@@ -1,1 +1,1 @@
-"""Emulators of what surrounds a gateway: hosts, the counter service and discovery."""
+"""Emulators of the services that a gateway connects to: hosts, the counter service and discovery."""
--- a/granitedock/lab/emulators/counter.py
+++ b/granitedock/lab/emulators/counter.py
@@ -1,12 +1,15 @@
-"""An emulator of the counter service on loopback, with the faults that a scenario gives it.
+"""An emulator of the counter service on loopback, with the faults of a scenario.
 
-It answers the calls that `service/counter_protocol.py` writes: `TALLY name amount life_ms` adds `amount` to
-the name's total for `life_ms` and answers the total of what is still alive, as a bulk string; `PING` is
-answered `+PONG`. Faults on the target `counter`: `kill` (listener and connections gone for `for_s`, back
-empty), `restart_empty` (connections reset and totals forgotten, at once), `partition` (connections stay open
-and answers are held for `for_s`, then written), `stale` (for `for_s`, totals as they stood when it began).
+The emulator answers the calls that `service/counter_protocol.py` writes. `TALLY name amount life_ms` adds
+`amount` to the name's total for `life_ms` and returns the total of all unexpired increments as a bulk string.
+`PING` returns `+PONG`. Faults with the target `counter`:
 
-Run as `python -m granitedock.lab.emulators.counter SCENARIO`: it prints its address as one JSON line and
+- `kill`: the listener and the connections are closed for `for_s`; all totals are lost.
+- `restart_empty`: the connections are reset and all totals are lost, while the listener stays open.
+- `partition`: the connections stay open, and replies are delayed until `for_s` is over.
+- `stale`: for `for_s`, replies contain the totals from the start of the fault.
+
+`python -m granitedock.lab.emulators.counter SCENARIO` prints the emulator's address as one JSON line and
 serves until SIGTERM. Source: docs/lab-design.md ("The counter and discovery").
 """
 
@@ -21,7 +24,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from granitedock.lab.emulators.process import LOOPBACK, listen_on_loopback, run_until_sigterm, vanish
+from granitedock.lab.emulators.process import LOOPBACK, close_abruptly, listen_on_loopback, run_until_sigterm
 from granitedock.lab.fault_targets import FaultKind, TargetKind
 from granitedock.lab.reactor import REACTOR
 from granitedock.lab.resp_connection import RespConnection
@@ -33,19 +36,19 @@
     from twisted.internet.defer import Deferred
     from twisted.internet.posixbase import PosixReactorBase
 
-CHECK_EVERY_S = 0.05
-TALLY_WORDS = 4  # the call's name, the counter's name, the amount and its life
+CHECK_INTERVAL_S = 0.05
+TALLY_WORDS = 4  # the call's name, the counter's name, the amount and its lifetime
 
 
 class Increment(NamedTuple):
-    """An amount that counts until `expires_ms` of the run's clock."""
+    """An amount that counts until `expires_ms` on the run's clock."""
 
     expires_ms: float
     amount: float
 
 
 class ExpiringCounts:
-    """For each name, the increments that are still alive. Times are ms of the run's clock."""
+    """The unexpired increments of each name. Times are in ms on the run's clock."""
 
     def __init__(self) -> None:
         self.increments: defaultdict[bytes, deque[Increment]] = defaultdict(deque)
@@ -56,18 +59,19 @@
         return self.total(name, now)
 
     def total(self, name: bytes, now: float) -> float:
-        """The sum of a name's increments that are alive."""
-        alive = self.increments[name]
-        while alive and alive[0].expires_ms <= now:  # lives are the same for a name: the first expires first
-            alive.popleft()
-        return sum(increment.amount for increment in alive)
+        """Return the sum of a name's unexpired increments, and evict expired ones."""
+        unexpired = self.increments[name]
+        # All increments of a name have the same lifetime, so the first expires first.
+        while unexpired and unexpired[0].expires_ms <= now:
+            unexpired.popleft()
+        return sum(increment.amount for increment in unexpired)
 
     def copy(self) -> ExpiringCounts:
-        """The same counts, apart from these."""
-        other = ExpiringCounts()
-        copied = {name: deque(alive) for name, alive in self.increments.items()}
-        other.increments = defaultdict(deque, copied)
-        return other
+        """Return an independent copy of the counts."""
+        duplicate = ExpiringCounts()
+        copied = {name: deque(unexpired) for name, unexpired in self.increments.items()}
+        duplicate.increments = defaultdict(deque, copied)
+        return duplicate
 
 
 class CounterEmulator:
@@ -78,37 +82,37 @@
         self.started_at = time.monotonic()
         self.faults = [fault for fault in scenario.timeline if fault.target == TargetKind.COUNTER]
         self.counts = ExpiringCounts()
-        self.stale_counts: ExpiringCounts | None = None  # answered from while a `stale` fault holds
-        self.frozen_counts: ExpiringCounts | None = None  # answered from while a test sets it
+        self.stale_counts: ExpiringCounts | None = None  # source of replies while a `stale` fault is active
+        self.frozen_counts: ExpiringCounts | None = None  # source of replies while a test sets it
         self.connections: set[CounterServerConnection] = set()
         self.port: IListeningPort | None = None
         self.port_number = 0
-        self.restarts_done: set[int] = set()  # positions in `faults`
+        self.applied_restarts: set[int] = set()  # positions in `faults` of the applied restarts
         self.stopped = False
 
     def now_ms(self) -> float:
-        """Time since the timeline began."""
+        """Return the time since the timeline started, in ms."""
         return (time.monotonic() - self.started_at) * 1000.0
 
     def is_fault_active(self, kind: FaultKind) -> bool:
-        """Whether a fault of this kind holds now."""
+        """Return whether a fault of this kind is active now."""
         now_s = self.now_ms() / 1000.0
         return any(fault.kind == kind and fault.is_active(now_s) for fault in self.faults)
 
     def listen(self) -> str:
-        """Take connections; returns the address, which stays the same over kills."""
+        """Listen for connections; returns the address, which stays the same after a kill."""
         self.port, self.port_number = listen_on_loopback(
             self.reactor, self.port_number, lambda: CounterServerConnection(self)
         )
         return f"{LOOPBACK}:{self.port_number}"
 
     def reset_connections(self) -> None:
-        """End every connection with a reset."""
+        """Reset every connection."""
         for connection in list(self.connections):
             connection.transport.abortConnection()
 
     def apply_faults(self) -> None:
-        """Begin and end faults, every 50 ms from the first call on."""
+        """Begin and end faults, and schedule the next call in CHECK_INTERVAL_S."""
         if self.stopped:
             return
         self.apply_kill()
@@ -120,39 +124,39 @@
             self.stale_counts = None
         if not self.is_fault_active(FaultKind.PARTITION):
             for connection in list(self.connections):
-                connection.release_held_replies()
-        self.reactor.callLater(CHECK_EVERY_S, self.apply_faults)
+                connection.send_delayed_replies()
+        self.reactor.callLater(CHECK_INTERVAL_S, self.apply_faults)
 
     def apply_kill(self) -> None:
-        """Be gone while a `kill` holds; a process that dies forgets."""
+        """Be down during a `kill` fault; all counts are lost, as a killed process loses its memory."""
         killed = self.is_fault_active(FaultKind.KILL)
         if killed and self.port is not None:
-            vanish(self.port, self.connections)
+            close_abruptly(self.port, self.connections)
             self.port = None
             self.counts = ExpiringCounts()
         elif not killed and self.port is None:
             self.listen()
 
     def apply_restarts(self) -> None:
-        """Carry out each `restart_empty` whose time has come, once."""
+        """Apply each `restart_empty` fault once, when its start time is reached."""
         for position, fault in enumerate(self.faults):
-            due = fault.kind == FaultKind.RESTART_EMPTY and position not in self.restarts_done
-            if due and self.now_ms() >= fault.at_s * 1000:
-                self.restarts_done.add(position)
+            pending = fault.kind == FaultKind.RESTART_EMPTY and position not in self.applied_restarts
+            if pending and self.now_ms() >= fault.at_s * 1000:
+                self.applied_restarts.add(position)
                 self.restart(ExpiringCounts())
 
     def restart(self, counts: ExpiringCounts) -> None:
-        """The process is gone and back at once, with these counts."""
+        """Emulate a crash and immediate restart of the process, which then has these counts."""
         self.reset_connections()
         self.counts = counts
 
     def stop(self) -> Deferred[None] | None:
-        """End it for good; what it returns fires when the listener is closed."""
+        """Stop permanently; returns a Deferred that fires when the listener is closed, or None."""
         self.stopped = True
-        return vanish(self.port, self.connections) if self.port is not None else None
+        return close_abruptly(self.port, self.connections) if self.port is not None else None
 
     def reply_to(self, words: list[bytes]) -> bytes:
-        """The reply to one call, as RESP."""
+        """Return the reply to one call, encoded as RESP."""
         if words[:1] == [b"PING"]:
             return b"+PONG\r\n"
         if len(words) != TALLY_WORDS or words[0] != b"TALLY":
@@ -175,36 +179,36 @@
     def __init__(self, counter: CounterEmulator) -> None:
         super().__init__()
         self.counter = counter
-        self.held_replies: list[bytes] = []
+        self.delayed_replies: list[bytes] = []
 
     def connectionMade(self) -> None:
-        """It is open."""
+        """Register the connection."""
         self.transport.setTcpNoDelay(True)
         self.counter.connections.add(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  Twisted's signature
-        """It has ended."""
+        """Unregister the connection."""
         self.counter.connections.discard(self)
 
     def value_received(self, value: Any, parts: list[bytes]) -> None:  # noqa: ARG002  the receiver's signature
-        """Answer one call. In a partition it counts all the same: the call was made, its answer is late."""
+        """Reply to one call. During a partition the call is counted too, and only its reply is delayed."""
         words = value if isinstance(value, list) else []
         reply = self.counter.reply_to([word for word in words if isinstance(word, bytes)])
         if self.counter.is_fault_active(FaultKind.PARTITION):
-            self.held_replies.append(reply)
+            self.delayed_replies.append(reply)
         else:
             self.send(reply)
 
-    def release_held_replies(self) -> None:
-        """Write what was held in a partition."""
-        if self.held_replies:
-            held = b"".join(self.held_replies)
-            self.held_replies = []
-            self.send(held)
+    def send_delayed_replies(self) -> None:
+        """Send the replies that were delayed during a partition."""
+        if self.delayed_replies:
+            data = b"".join(self.delayed_replies)
+            self.delayed_replies = []
+            self.send(data)
 
 
 def main(argv: list[str]) -> int:
-    """Serve as a process; the argument is the scenario file."""
+    """Run the emulator as a process; the argument is the scenario file."""
     counter = CounterEmulator(load(argv[1]))
     address = counter.listen()
     counter.apply_faults()
--- a/granitedock/lab/emulators/discovery.py
+++ b/granitedock/lab/emulators/discovery.py
@@ -1,15 +1,20 @@
 """An emulator of discovery on loopback: the HTTP watch that the gateway follows, and its faults.
 
-A watch is `GET /api/targets?watch=1&after=V`; the answer is 200 with chunked lines, one JSON list a line
+A watch is `GET /api/targets?watch=1&after=V`. The response is 200 with a chunked body of lines: one JSON list
 (`{"generation", "reset", "instances": [{"instanceId", "hostPort", "lifecycle"}]}`) whenever the list changes,
-and an empty line each second between. A host's lifecycle follows its faults: `drain` makes it `terminating`,
-`kill` `terminated` for its time. Faults on the target `discovery`: `down` (refused for `for_s`), `partition`
-(open and silent), `late_lists` (each list written `factor` seconds late), `wrong_lists` (addresses that lead
-nowhere). HTTP is read and written by h11.
-
-Run as `python -m granitedock.lab.emulators.discovery SCENARIO HOSTS`, where HOSTS is a file that holds the
-JSON line that `granitedock.lab.emulators.hosts` printed: it prints its own address as one JSON line and
-serves until SIGTERM.
+and an empty line each second in between. A host's lifecycle follows its faults: `drain` makes it
+`terminating`, and `kill` makes it `terminated` for its duration. Faults with the target `discovery`:
+
+- `down`: connections are refused for `for_s`.
+- `partition`: the watches stay open and silent.
+- `late_lists`: each list is written `factor` seconds late.
+- `wrong_lists`: the lists contain an address at which no host listens.
+
+h11 parses and formats HTTP.
+
+`python -m granitedock.lab.emulators.discovery SCENARIO HOSTS`, where HOSTS is a file with the JSON line that
+`granitedock.lab.emulators.hosts` printed, prints the emulator's address as one JSON line and serves until
+SIGTERM.
 """
 
 from __future__ import annotations
@@ -27,7 +32,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from granitedock.lab.emulators.process import LOOPBACK, listen_on_loopback, run_until_sigterm, vanish
+from granitedock.lab.emulators.process import LOOPBACK, close_abruptly, listen_on_loopback, run_until_sigterm
 from granitedock.lab.fault_targets import FaultKind, TargetKind
 from granitedock.lab.load.observations import WrittenList
 from granitedock.lab.reactor import REACTOR
@@ -38,34 +43,34 @@
     from twisted.internet.posixbase import PosixReactorBase
     from twisted.internet.tcp import Server
 
-CHECK_EVERY_S = 0.1
-HEARTBEAT_CHECKS = 10  # an empty line in one of so many checks
-NOWHERE = "127.0.0.1:1"
+CHECK_INTERVAL_S = 0.1
+HEARTBEAT_CHECKS = 10  # one in this many checks writes an empty line
+UNREACHABLE_ADDRESS = "127.0.0.1:1"
 IN_SERVICE, TERMINATING, TERMINATED = "in_service", "terminating", "terminated"  # lifecycles on the wire
 
 
 class ListSource(Protocol):
-    """What a watch needs of the discovery that it belongs to."""
+    """The interface of the discovery emulator that a watch uses."""
 
     watches: set[WatchConnection]
-    last_list: bytes  # the list as it stands, without a line end; empty before the first
+    last_list: bytes  # the current list without its line end; empty before the first list
 
     def record_written(self, line: bytes) -> None:
-        """A list is written to a new watch."""
+        """Record a list that is written to a new watch."""
 
 
 def zone_of(host: str) -> str:
-    """The zone in a host's name ("zone/n")."""
+    """Return the zone in a host's name ("zone/n")."""
     return host.partition("/")[0]
 
 
 class DiscoveryEmulator:
-    """The emulated discovery: the list as the faults make it at each moment, and the watches."""
+    """The emulated discovery: the current list under the faults, and the watches."""
 
     def __init__(
         self, scenario: Scenario, hosts: dict[str, str], reactor: PosixReactorBase = REACTOR
     ) -> None:
-        """`hosts` are the hosts' addresses by name ("zone/n")."""
+        """`hosts` maps the hosts' names ("zone/n") to their addresses."""
         self.reactor = reactor
         self.hosts = hosts
         self.restart_timeline()
@@ -76,34 +81,34 @@
         self.generation = 0
         self.last_list = b""
         self.stopped = False
-        # What was written, times on the steady clock. What is held up on the way, as `is_reachable` says, has
-        # not reached the gateway and is left out.
+        # The lists written, with times on the monotonic clock. A list that is written while the gateway is
+        # not reachable (`is_reachable`) has not arrived and is left out.
         self.written_lists: list[WrittenList] = []
         self.is_reachable: Callable[[], bool] = lambda: True
 
     def restart_timeline(self) -> None:
-        """The timeline begins now."""
+        """Restart the timeline at the current time."""
         self.began_s = time.monotonic()
         self.began_unix_s = time.time()
 
     def now_s(self) -> float:
-        """Seconds since the timeline began."""
+        """Return the time since the timeline started, in seconds."""
         return time.monotonic() - self.began_s
 
     def active_fault(self, kind: FaultKind, target: str) -> Fault | None:
-        """The first fault of the timeline of this kind and target that holds now."""
+        """Return the first fault of the timeline of this kind and target that is active now."""
         now_s = self.now_s()
         for fault in self.timeline:
             if fault.kind == kind and fault.target == target and fault.is_active(now_s):
                 return fault
         return None
 
-    def own_fault(self, kind: FaultKind) -> Fault | None:
-        """The fault of discovery itself, of this kind, that holds now."""
+    def discovery_fault(self, kind: FaultKind) -> Fault | None:
+        """Return the fault with the target `discovery`, of this kind, that is active now."""
         return self.active_fault(kind, TargetKind.DISCOVERY)
 
     def lifecycle(self, name: str) -> str:
-        """A host's lifecycle now."""
+        """Return a host's current lifecycle."""
         for target in (name, zone_of(name)):
             if self.active_fault(FaultKind.KILL, target):
                 return TERMINATED
@@ -112,23 +117,23 @@
         return IN_SERVICE
 
     def started_ms(self, name: str) -> float:
-        """When a host's process began, in Unix ms: 0 for long ago, else the end of its last kill."""
+        """Return the start time of a host in Unix ms: the end of its last kill, or 0 without a kill."""
         now_s = self.now_s()
-        last_end_s = 0.0
+        last_kill_end_s = 0.0
         for fault in self.timeline:
             end_s = fault.at_s + fault.for_s
-            hit = fault.kind == FaultKind.KILL and fault.target in (name, zone_of(name))
-            if hit and fault.for_s and end_s <= now_s:
-                last_end_s = max(last_end_s, end_s)
-        return round((self.began_unix_s + last_end_s) * 1000.0) if last_end_s else 0
+            is_kill = fault.kind == FaultKind.KILL and fault.target in (name, zone_of(name))
+            if is_kill and fault.for_s and end_s <= now_s:
+                last_kill_end_s = max(last_kill_end_s, end_s)
+        return round((self.began_unix_s + last_kill_end_s) * 1000.0) if last_kill_end_s else 0
 
     def endpoint_list(self) -> bytes:
-        """The list as it is now, one line of JSON without its end."""
-        wrong = self.own_fault(FaultKind.WRONG_LISTS) is not None
+        """Return the current list as a line of JSON without its line end."""
+        wrong = self.discovery_fault(FaultKind.WRONG_LISTS) is not None
         instances = [
             {
                 "instanceId": name,
-                "hostPort": NOWHERE if wrong else address,
+                "hostPort": UNREACHABLE_ADDRESS if wrong else address,
                 "lifecycle": self.lifecycle(name),
                 "zone": zone_of(name),
                 "startedAtMs": self.started_ms(name),
@@ -138,15 +143,17 @@
         return orjson.dumps({"generation": self.generation, "reset": True, "instances": instances})
 
     def listen(self) -> str:
-        """Take watches; returns the address, which stays the same over `down` faults."""
+        """Listen for watches; returns the address, which stays the same after a `down` fault."""
         self.port, self.port_number = listen_on_loopback(
             self.reactor, self.port_number, lambda: WatchConnection(self)
         )
         return f"{LOOPBACK}:{self.port_number}"
 
     def publish(self) -> None:
-        """Write the list to each watch if it changed, else an empty line each second; every 100 ms from the
-        first call on."""
+        """Write the list to each watch if it has changed, else an empty line each second.
+
+        Each call schedules the next one in CHECK_INTERVAL_S.
+        """
         if self.stopped:
             return
         self.apply_down()
@@ -154,29 +161,29 @@
         if current != self.last_list:
             self.generation += 1
             self.last_list = self.endpoint_list()
-            late = self.own_fault(FaultKind.LATE_LISTS)
+            late = self.discovery_fault(FaultKind.LATE_LISTS)
             self.reactor.callLater(late.factor if late else 0.0, self.write_to_all, self.last_list + b"\n")
         elif int(self.now_s() * HEARTBEAT_CHECKS) % HEARTBEAT_CHECKS == 0:
             self.write_to_all(b"\n")
-        self.reactor.callLater(CHECK_EVERY_S, self.publish)
+        self.reactor.callLater(CHECK_INTERVAL_S, self.publish)
 
     def apply_down(self) -> None:
-        """Be gone while a `down` fault holds."""
-        down = self.own_fault(FaultKind.DOWN) is not None
+        """Close the listener and the watches during a `down` fault, and listen again afterwards."""
+        down = self.discovery_fault(FaultKind.DOWN) is not None
         if down and self.port is not None:
-            vanish(self.port, self.watches)
+            close_abruptly(self.port, self.watches)
             self.port = None
         elif not down and self.port is None:
             self.listen()
 
     def stop(self) -> Deferred[None] | None:
-        """End it for good; what it returns fires when the listener is closed."""
+        """Stop permanently; returns a Deferred that fires when the listener is closed, or None."""
         self.stopped = True
-        return vanish(self.port, self.watches) if self.port is not None else None
+        return close_abruptly(self.port, self.watches) if self.port is not None else None
 
     def write_to_all(self, line: bytes) -> None:
-        """Write a line to each watch; in a partition they stay open and silent."""
-        if self.own_fault(FaultKind.PARTITION):
+        """Write a line to each watch; during a partition the watches stay open and silent."""
+        if self.discovery_fault(FaultKind.PARTITION):
             return
         if line.strip() and self.watches:
             self.record_written(line)
@@ -184,15 +191,15 @@
             watch.write(line)
 
     def record_written(self, line: bytes) -> None:
-        """Note a list that is written, if it reaches the gateway."""
+        """Record a list that is written, if the gateway is reachable."""
         if self.is_reachable():
             entries = orjson.loads(line)["instances"]
-            names = frozenset(e["instanceId"] for e in entries if e["lifecycle"] != IN_SERVICE)
+            names = frozenset(entry["instanceId"] for entry in entries if entry["lifecycle"] != IN_SERVICE)
             self.written_lists.append(WrittenList(time.monotonic(), names))
 
 
 class WatchConnection(TwistedProtocol):
-    """One gateway's watch of the list."""
+    """A gateway's watch of the list."""
 
     transport: Server
 
@@ -202,11 +209,11 @@
         self.open = False
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  Twisted's signature
-        """It has ended."""
+        """Unregister the watch."""
         self.source.watches.discard(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Read HTTP; what is none is reset."""
+        """Parse HTTP; a protocol error resets the connection."""
         try:
             self.http.receive_data(data)
             while (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
@@ -216,7 +223,7 @@
             self.transport.abortConnection()
 
     def start(self) -> None:
-        """Answer the request, and write the list if there is one."""
+        """Send the response head, and the list if there is one."""
         self.open = True
         head = h11.Response(status_code=200, headers=[("Transfer-Encoding", "chunked")])
         self.write_event(head)
@@ -230,12 +237,12 @@
         self.write_event(h11.Data(data=line))
 
     def write_event(self, event: Any) -> None:
-        """Write an event of h11."""
+        """Write an h11 event."""
         self.transport.write(self.http.send(event))
 
 
 def main(argv: list[str]) -> int:
-    """Serve as a process; the arguments are the scenario file and the file of hosts' addresses."""
+    """Run the emulator as a process; the arguments are the scenario file and the file of host addresses."""
     discovery = DiscoveryEmulator(load(argv[1]), orjson.loads(Path(argv[2]).read_bytes()))
     address = discovery.listen()
     discovery.publish()
--- a/granitedock/lab/emulators/hosts.py
+++ b/granitedock/lab/emulators/hosts.py
@@ -1,12 +1,12 @@
 """Emulated hosts: many RESP2 servers on loopback in one Twisted process, each under its scenario's faults.
 
-Each host listens on its own port, serves `slots` requests at once with a queue of `queue` behind them
-(beyond it: `-BUSY`), and does with each request what `host_faults.draw_reply` says: answers after its service
-time, errs, refuses, stays silent, writes half an answer and stalls, or resets the connection. A killed host
-closes its listener and its connections at once, as a dead process does. Framing is the service's own
-(`service/resp.py`).
+Each host listens on its own port, processes `slots` requests concurrently, queues at most `queue` more, and
+rejects further requests with `-BUSY`. `host_faults.draw_reply` determines the reply to each request: a value
+after the service time, an error, a rejection, no reply, half a reply followed by silence, or a reset of the
+connection. A killed host closes its listener and its connections immediately, as a killed process does. The
+emulator uses the framing of the service (`service/resp.py`).
 
-Run as `python -m granitedock.lab.emulators.hosts SCENARIO`: it prints one JSON line,
+`python -m granitedock.lab.emulators.hosts SCENARIO` prints one JSON line,
 {"zone/n": "127.0.0.1:port", ...}, and serves until SIGTERM. Source: docs/lab-design.md ("Where the emulated
 hosts run").
 """
@@ -25,7 +25,7 @@
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 
-from granitedock.lab.emulators.process import LOOPBACK, listen_on_loopback, run_until_sigterm, vanish
+from granitedock.lab.emulators.process import LOOPBACK, close_abruptly, listen_on_loopback, run_until_sigterm
 from granitedock.lab.faults.host_faults import (
     HostCondition,
     ReplyKind,
@@ -45,21 +45,21 @@
 
 Clock = Callable[[], float]  # ms
 
-VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"  # a value, with no figures of units behind it
+VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"  # a value whose two unit fields are null
 REQUEST_ID = re.compile(rb"[0-9a-f]{1,16}").fullmatch
-REQUEST_ID_POSITION = 2  # in a request: its command, the customer, the request's id
+REQUEST_ID_POSITION = 2  # a request is its command, the customer, the request's id and more
 REPLIES = {
     ReplyKind.VALUE: VALUE,
     ReplyKind.ERROR: b"-ERR emulated\r\n",
     ReplyKind.BUSY: b"-BUSY\r\n",
     ReplyKind.HALF: VALUE[: len(VALUE) // 2],
 }
-ENDS_ATTEMPT = (ReplyKind.VALUE, ReplyKind.ERROR, ReplyKind.BUSY, ReplyKind.RESET)
-CHECK_EVERY_S = 0.5
+ATTEMPT_ENDING_REPLIES = (ReplyKind.VALUE, ReplyKind.ERROR, ReplyKind.BUSY, ReplyKind.RESET)
+CHECK_INTERVAL_S = 0.5
 
 
 class HostEmulator:
-    """One emulated host: its slots and queue, its faults, and the connections it has."""
+    """An emulated host: its slots and queue, its faults and its connections."""
 
     def __init__(
         self,
@@ -70,40 +70,40 @@
         clock: Clock,
         reactor: PosixReactorBase,
     ) -> None:
-        """`clock` gives the ms of the run."""
+        """`clock` returns the time of the run in ms."""
         self.name = name
         self.zone = zone
         self.faults = faults
         self.random = random
         self.clock = clock
         self.reactor = reactor
-        self.timeline_began_ms = clock()
-        self.up_since_ms = self.timeline_began_ms
+        self.timeline_start_ms = clock()
+        self.up_since_ms = self.timeline_start_ms
         self.in_service = 0
         self.queue: deque[tuple[HostServerConnection, HostAttempt]] = deque()
         self.connections: set[HostServerConnection] = set()
         self.port: IListeningPort | None = None
         self.port_number = 0
-        self.received = 0  # requests that came whole
-        self.failed = 0  # of those, not answered with a value
+        self.received = 0  # complete requests received
+        self.failed = 0  # requests received for which the drawn reply is not a value
         self.stopped = False
-        self.attempts: list[HostAttempt] = []  # all that came, on the steady clock
-        self.starts: list[float] = []  # when it came up again, on the steady clock
+        self.attempts: list[HostAttempt] = []  # all requests received, with times on the monotonic clock
+        self.starts: list[float] = []  # times on the monotonic clock at which the host came up again
 
     def condition(self) -> HostCondition:
-        """Its condition now."""
-        since_start_ms = self.clock() - self.timeline_began_ms
-        up_since_ms = self.up_since_ms - self.timeline_began_ms
+        """Return the current condition of the host."""
+        since_start_ms = self.clock() - self.timeline_start_ms
+        up_since_ms = self.up_since_ms - self.timeline_start_ms
         return host_condition(self.faults, self.zone.warm_up_s, since_start_ms, up_since_ms)
 
     def restart_timeline(self, clock: Clock) -> None:
-        """Its faults count from now on, when `clock` reads 0."""
+        """Restart the timeline of the faults now, when `clock` returns 0."""
         self.clock = clock
-        self.timeline_began_ms = 0.0
+        self.timeline_start_ms = 0.0
         self.up_since_ms = 0.0
 
     def receive_request(self, connection: HostServerConnection, request_id: int) -> None:
-        """Serve a request that came whole, queue it, or refuse it."""
+        """Process a complete request, queue it, or reject it as busy."""
         self.received += 1
         peer_port = connection.transport.getPeer().port
         attempt = HostAttempt(request_id, self.name, time.monotonic(), peer_port=peer_port)
@@ -119,34 +119,34 @@
             attempt.ended_at_s = time.monotonic()
 
     def start_service(self, connection: HostServerConnection, attempt: HostAttempt) -> None:
-        """Begin with a request."""
+        """Start to process a request: draw its reply and schedule it."""
         self.in_service += 1
         reply = draw_reply(self.condition(), self.zone.service, self.random)
         self.failed += reply.kind != ReplyKind.VALUE
         self.reactor.callLater(reply.after_ms / 1000.0, self.finish_service, connection, reply.kind, attempt)
 
     def finish_service(self, connection: HostServerConnection, kind: ReplyKind, attempt: HostAttempt) -> None:
-        """Do with a request what was drawn for it, then begin with what waits."""
+        """Carry out the drawn reply to a request, then start the queued requests."""
         self.in_service -= 1
         attempt.reply = kind
         if connection.transport is not None and connection.transport.connected:
-            if kind in ENDS_ATTEMPT:
+            if kind in ATTEMPT_ENDING_REPLIES:
                 attempt.ended_at_s = min(attempt.ended_at_s, time.monotonic())
             if kind == ReplyKind.RESET:
                 connection.transport.abortConnection()
             elif kind in REPLIES:
                 connection.send(REPLIES[kind])
-            # SILENT: it is held and never answered
+            # ReplyKind.SILENT leaves the connection open without a reply.
         while self.queue and self.in_service < self.zone.slots:
             self.start_service(*self.queue.popleft())
 
     def apply_faults(self) -> None:
-        """Stop listening and drop connections while it is down; listen again afterwards."""
+        """Close the listener and the connections while the host is down, and listen again afterwards."""
         if self.stopped:
             return
         down = self.condition().down
         if down and self.port is not None:
-            vanish(self.port, self.connections)
+            close_abruptly(self.port, self.connections)
             self.port = None
         elif not down and self.port is None:
             self.up_since_ms = self.clock()
@@ -154,12 +154,12 @@
             self.listen()
 
     def stop(self) -> Deferred[None] | None:
-        """End it for good; what it returns fires when the listener is closed."""
+        """Stop permanently; returns a Deferred that fires when the listener is closed, or None."""
         self.stopped = True
-        return vanish(self.port, self.connections) if self.port is not None else None
+        return close_abruptly(self.port, self.connections) if self.port is not None else None
 
     def listen(self) -> str:
-        """Take connections; returns the address, which stays the same over kills."""
+        """Listen for connections; returns the address, which stays the same after a kill."""
         self.port, self.port_number = listen_on_loopback(
             self.reactor, self.port_number, lambda: HostServerConnection(self)
         )
@@ -167,7 +167,7 @@
 
 
 class HostServerConnection(RespConnection):
-    """One gateway's connection to an emulated host."""
+    """A gateway's connection to an emulated host."""
 
     transport: Server
 
@@ -177,18 +177,18 @@
         self.last_attempt: HostAttempt | None = None
 
     def connectionMade(self) -> None:
-        """It is open."""
+        """Register the connection."""
         self.transport.setTcpNoDelay(True)
         self.host.connections.add(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  Twisted's signature
-        """It has ended, and with it the last attempt that came on it."""
+        """Unregister the connection; its last attempt ends with it."""
         self.host.connections.discard(self)
         if self.last_attempt is not None:
             self.last_attempt.ended_at_s = min(self.last_attempt.ended_at_s, time.monotonic())
 
     def value_received(self, value: Any, parts: list[bytes]) -> None:  # noqa: ARG002  the receiver's signature
-        """Take one command: a PING or a request."""
+        """Handle one command: a PING or a request."""
         words = value if isinstance(value, list) else []
         if words and words[0] == b"PING":
             self.send(b"+PONG\r\n")
@@ -200,11 +200,11 @@
 def start_hosts(
     scenario: Scenario, reactor: PosixReactorBase = REACTOR
 ) -> tuple[dict[str, str], list[HostEmulator]]:
-    """Start all hosts of the scenario, listening; returns their addresses by name ("zone/n"), and them."""
-    began = time.monotonic()
+    """Start all hosts of the scenario; returns their addresses by name ("zone/n"), and the hosts."""
+    start_s = time.monotonic()
 
     def clock() -> float:
-        return (time.monotonic() - began) * 1000.0
+        return (time.monotonic() - start_s) * 1000.0
 
     addresses: dict[str, str] = {}
     hosts: list[HostEmulator] = []
@@ -221,14 +221,14 @@
         for host in hosts:
             host.apply_faults()
         if not all(host.stopped for host in hosts):
-            reactor.callLater(CHECK_EVERY_S, apply_faults)
+            reactor.callLater(CHECK_INTERVAL_S, apply_faults)
 
-    reactor.callLater(CHECK_EVERY_S, apply_faults)
+    reactor.callLater(CHECK_INTERVAL_S, apply_faults)
     return addresses, hosts
 
 
 def main(argv: list[str]) -> int:
-    """Serve as a process; the argument is the scenario file."""
+    """Run the emulators as a process; the argument is the scenario file."""
     addresses, _ = start_hosts(load(argv[1]))
     return run_until_sigterm(addresses)
 
--- a/granitedock/lab/emulators/process.py
+++ b/granitedock/lab/emulators/process.py
@@ -1,4 +1,4 @@
-"""How an emulator listens on loopback, vanishes, and runs as a process of its own."""
+"""Functions with which an emulator listens on loopback, closes abruptly and runs as a separate process."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     """A transport that can be reset."""
 
     def abortConnection(self) -> None:
-        """End the connection at once, with a reset."""
+        """Reset the connection immediately."""
 
 
 class Abortable(Protocol):
@@ -32,12 +32,14 @@
 
     @property
     def transport(self) -> AbortableTransport:
-        """Where its bytes go."""
+        """The transport of the connection."""
 
 
 def run_until_sigterm(announcement: Any) -> int:
-    """Print `announcement` as one JSON line on standard output (addresses, for whoever started the process),
-    then run the reactor until SIGTERM; returns 0."""
+    """Print `announcement` as one JSON line, then run the reactor until SIGTERM; returns 0.
+
+    The announcement on standard output gives the emulator's addresses to the parent process.
+    """
     sys.stdout.write(orjson.dumps(announcement).decode() + "\n")
     sys.stdout.flush()
     signal.signal(signal.SIGTERM, lambda *_: REACTOR.callFromThread(REACTOR.stop))
@@ -53,9 +55,11 @@
     return listening, listening.getHost().port
 
 
-def vanish(listening: IListeningPort, connections: Iterable[Abortable]) -> Deferred[None] | None:
-    """Disappear as a dead process does: the listener is closed and every connection reset at once. What it
-    returns fires when the listener is closed."""
+def close_abruptly(listening: IListeningPort, connections: Iterable[Abortable]) -> Deferred[None] | None:
+    """Close the listener and reset every connection immediately, as the kernel does for a killed process.
+
+    Returns a Deferred that fires when the listener is closed, or None.
+    """
     closed = listening.stopListening()
     for connection in list(connections):
         connection.transport.abortConnection()
