--- a/granitedock/lab/__init__.py
+++ b/granitedock/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: emulators of the world round the gateway, a load tool and reports (docs/lab-design.md)."""
+"""The laboratory: emulators of a gateway's environment, a load generator and reports (docs/lab-design.md)."""
--- a/granitedock/lab/fault_targets.py
+++ b/granitedock/lab/fault_targets.py
@@ -1,7 +1,7 @@
-"""Kinds of faults that a scenario's timeline may hold, and what each may be put on.
+"""Kinds of faults that a scenario's timeline can contain, and the valid targets of each.
 
-A target is written as a zone's name, one host as `zone/n`, `counter`, `discovery`, one gateway as `gateway/n`
-or a group of gateways as `gateway/0-2,5`. The values of the enums are the words of the scenario file.
+A target is written as a zone's name, a host as `zone/n`, `counter`, `discovery`, a gateway as `gateway/n`, or
+a group of gateways as `gateway/0-2,5`. The values of the enums are the words of the scenario file.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class FaultKind(StrEnum):
-    """What a fault of the timeline does to its target."""
+    """The effect of a fault of the timeline on its target."""
 
     SLOW = "slow"
     ERRORS = "errors"
@@ -29,7 +29,7 @@
     STOP = "stop"
     RESTART = "restart"
     CUT = "cut"
-    IMPAIR = "wire"  # a link loses, delays or duplicates
+    IMPAIR = "wire"  # a link loses, delays or duplicates datagrams
     RESTART_EMPTY = "restart_empty"
     PARTITION = "partition"
     STALE = "stale"
@@ -41,7 +41,7 @@
 
 
 class TargetKind(StrEnum):
-    """What the target of a fault is."""
+    """The kind of the target of a fault."""
 
     ZONE = "zone"
     HOST = "host"
@@ -51,7 +51,7 @@
 
 
 class Party(StrEnum):
-    """What a gateway's TCP links lead to."""
+    """The kind of service at the other end of a gateway's TCP link."""
 
     COUNTER = "counter"
     DISCOVERY = "discovery"
@@ -94,31 +94,34 @@
     FaultKind.FLAP: (TargetKind.HOST,),
     FaultKind.DOWN: ON_DISCOVERY,
 }
-LINK_FAULTS = (FaultKind.CUT, FaultKind.IMPAIR)  # these have another side
+LINK_FAULTS = (FaultKind.CUT, FaultKind.IMPAIR)  # kinds of faults that have another side
 
 
-def listed(kinds: Sequence[TargetKind]) -> str:
-    """Kinds of targets as text: "zone, host or counter"."""
+def format_target_kinds(kinds: Sequence[TargetKind]) -> str:
+    """Return kinds of targets as text, such as "zone, host or counter"."""
     *others, last = kinds
     return f"{', '.join(others)} or {last}" if others else str(last)
 
 
 def gateway_numbers(target: str, gateways: int) -> list[int]:
-    """The gateways that `gateway/n` or a group as `gateway/0-2,5` names; empty if one of them is unknown."""
+    """Return the numbers in `gateway/n` or a group such as `gateway/0-2,5`; empty if one is unknown."""
     prefix, _, group = target.partition("/")
     if prefix != GATEWAY_PREFIX or not GATEWAY_GROUP(group):
         return []
-    named: set[int] = set()
+    numbers: set[int] = set()
     for part in group.split(","):
         low, _, high = part.partition("-")
         if int(high or low) >= gateways:
             return []
-        named |= set(range(int(low), int(high or low) + 1))
-    return sorted(named)
+        numbers |= set(range(int(low), int(high or low) + 1))
+    return sorted(numbers)
 
 
 def target_kinds(target: str, zones: dict[str, int], gateways: int = 0) -> set[TargetKind]:
-    """What a target names; empty if it names nothing known. `zones` gives each zone's number of hosts."""
+    """Return the kind of a target as a set, empty if the target is unknown.
+
+    `zones` maps the name of each zone to its number of hosts.
+    """
     if target in (TargetKind.COUNTER, TargetKind.DISCOVERY):
         return {TargetKind(target)}
     if target in zones:
--- a/granitedock/lab/gateway_settings.py
+++ b/granitedock/lab/gateway_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a laboratory gateway: those of the scenario, in the form of the platform's file."""
+"""The settings of a laboratory gateway, from the scenario, in the format of the platform file."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from granitedock.lab.scenario import Plan, Scenario
 from granitedock.policy.types import Idempotency
 
-IDEMPOTENCY_WINDOW_MS = 3000.0  # for so long hosts drop a repeat of a request with an idempotency key
+IDEMPOTENCY_WINDOW_MS = 3000.0  # hosts drop repeats of a request with an idempotency key for this time
 LATENCY_OBJECTIVE_MS = 1000
 DEADLINE_MS = 4000
 SLOW_START = SlowStartTerms()
-GOSSIP_DATAGRAMS_A_SECOND = 100
+GOSSIP_DATAGRAMS_PER_S = 100
 ALLOWED = {"MaxAttempts": 3, "Cancel": True, "ConnIdleMs": 10000, "MostHeld": 2000}
 MAX_UNITS = 4
-REPEAT_WORDS = {  # of the platform's file
+REPEAT_WORDS = {  # words of the platform file
     Idempotency.IDEMPOTENT: "safe",
     Idempotency.KEYED: "keyed",
     Idempotency.NON_IDEMPOTENT: "unsafe",
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LabRequestClass:
-    """A request class that every scenario has."""
+    """A request class that is defined in every scenario."""
 
     name: str
     idempotency: Idempotency
@@ -39,24 +39,24 @@
 
 
 def gateway_settings(scenario: Scenario, number: int) -> dict[str, Any]:
-    """What the platform's file of gateway `number` of the scenario holds under `settings`."""
+    """Return the value of `settings` in the platform file of gateway `number` of the scenario."""
     return {
         "Me": number,
         "Balancers": scenario.fleet.gateways,
-        "Lanes": [request_class_record(one) for one in REQUEST_CLASSES],
+        "Lanes": [request_class_record(request_class) for request_class in REQUEST_CLASSES],
         "Tariffs": [plan_record(plan) for plan in scenario.plans],
         "Allowed": dict(ALLOWED),
         "Safety": slow_start_record(SLOW_START),
         "Specifics": {
             "Counter": True,
             "MaxUnits": MAX_UNITS,
-            "MailPerS": GOSSIP_DATAGRAMS_A_SECOND if scenario.fleet.gossip_permitted else 0,
+            "MailPerS": GOSSIP_DATAGRAMS_PER_S if scenario.fleet.gossip_permitted else 0,
         },
     }
 
 
 def request_class_record(request_class: LabRequestClass) -> dict[str, Any]:
-    """A request class in the platform's words."""
+    """Return a request class in the format of the platform file."""
     record: dict[str, Any] = {
         "Name": request_class.name,
         "Repeat": REPEAT_WORDS[request_class.idempotency],
@@ -70,7 +70,7 @@
 
 
 def plan_record(plan: Plan) -> dict[str, Any]:
-    """A plan in the platform's words."""
+    """Return a plan in the format of the platform file."""
     return {
         "Name": plan.name,
         "Refill": plan.rate,
@@ -82,7 +82,7 @@
 
 
 def slow_start_record(terms: SlowStartTerms) -> dict[str, Any]:
-    """How hosts warm up, in the platform's words."""
+    """Return the slow-start settings of hosts in the format of the platform file."""
     return {
         "ColdFrom": terms.initial_share,
         "ColdMs": 1000 * terms.warm_up_s,
--- a/granitedock/lab/reactor.py
+++ b/granitedock/lab/reactor.py
@@ -19,13 +19,13 @@
 
 
 class ReactorThread:
-    """The thread in which the reactor runs, from the first call on until the process ends."""
+    """The thread that runs the reactor from the first call until the process ends."""
 
     thread: Thread | None = None
 
     @classmethod
     def ensure_running(cls) -> None:
-        """Start the thread if it does not run yet."""
+        """Start the thread if it is not running."""
         if cls.thread is None:
             options = {"installSignalHandlers": False}
             cls.thread = Thread(target=REACTOR.run, kwargs=options, daemon=True)
@@ -35,7 +35,9 @@
 def on_reactor(
     function: Callable[Parameters, Result], *args: Parameters.args, **options: Parameters.kwargs
 ) -> Any:
-    """Call `function` in the reactor's thread; returns what it returns (of a Deferred, its result), or raises
-    what it raises. To be called from any other thread."""
+    """Call `function` in the reactor's thread and wait for its result, or the result of its Deferred.
+
+    Raises the exceptions of `function`. Call this from any thread except the reactor's.
+    """
     ReactorThread.ensure_running()
     return blockingCallFromThread(REACTOR, function, *args, **options)
--- a/granitedock/lab/scenario.py
+++ b/granitedock/lab/scenario.py
@@ -1,12 +1,12 @@
-"""Scenario files of the laboratory: TOML, validated by pydantic; errors name the field and its line.
+"""Scenario files of the laboratory: TOML that pydantic validates; errors name the field and its line.
 
-A scenario says what the laboratory emulates and what it does to it: the fleet (gateways, zones of hosts with
-their service times), the clients and their load, and a timeline of faults. Fields carry the field's terms;
-where the file's key is another word, it is the field's alias. No sockets here: the emulators and the load
-generator read the `Scenario` that this module makes.
+A scenario defines what the laboratory emulates and which faults it injects: the fleet (gateways, and zones of
+hosts with their service times), the clients and their load, and a timeline of faults. Fields are named in the
+usual technical terms; where the key in the file differs, it is the field's alias. This module uses no
+sockets: the emulators and the load generator read the `Scenario` that it creates.
 
-Units: seconds in fields that end in `_s`, milliseconds in `_ms`; rates are requests a second.
-Errors: `ScenarioError`. Source: docs/lab-design.md; the format is described for operators in docs/lab.md.
+Units: seconds in fields that end in `_s`, milliseconds in `_ms`; rates are in requests per second.
+Errors: `ScenarioError`. Source: docs/lab-design.md; docs/lab.md describes the format for operators.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
     Direction,
     FaultKind,
     Party,
+    format_target_kinds,
     gateway_numbers,
-    listed,
     target_kinds,
 )
 from granitedock.toml_file import StrictModel, TomlFileError, read_text
@@ -34,13 +34,16 @@
 NonNegative = Annotated[float, Field(ge=0)]
 Share = Annotated[float, Field(ge=0, le=1)]
 DelayMs = Annotated[float, Field(ge=0, le=60000)]
-ENDLESS_S = 1e9  # the length of a fault that ends with the run
-CrossCheckFault = tuple[tuple[str | int, ...], str]  # path of keys, and what is wrong
+ENDLESS_S = 1e9  # the length of a fault that lasts until the end of the run
+CrossCheckProblem = tuple[tuple[str | int, ...], str]  # path of keys, and description of the problem
 
 
 class Service(StrictModel):
-    """How long a host takes for one request, in ms: `fixed`, `exponential` about a mean, or `lognormal` with
-    a heavy tail (`sigma` is the spread of the logarithm)."""
+    """The distribution of a host's service time for one request, in ms.
+
+    `fixed` is constant, `exponential` has the given mean, and `lognormal` has a heavy tail, where `sigma` is
+    the standard deviation of the logarithm.
+    """
 
     kind: Literal["fixed", "exponential", "lognormal"] = "exponential"
     mean_ms: Positive = 20.0
@@ -48,18 +51,19 @@
 
 
 class Zone(StrictModel):
-    """Hosts that fail together; each serves `slots` requests at once and queues `queue` behind them."""
+    """Hosts that fail together; each processes `slots` requests concurrently and queues `queue` more."""
 
     name: Annotated[str, Field(pattern=r"^[a-z][a-z0-9-]*$")]
     hosts: Annotated[int, Field(ge=1, le=500)]
     slots: Annotated[int, Field(ge=1, le=1000)] = 8
     queue: Annotated[int, Field(ge=0, le=100000)] = 64
-    warm_up_s: NonNegative = Field(default=0.0, alias="cold_s")  # slow for so long after it starts
+    # A host is slow for this time after its start.
+    warm_up_s: NonNegative = Field(default=0.0, alias="cold_s")
     service: Service = Service()
 
 
 class Plan(StrictModel):
-    """A customer's plan: units a second, at once, and a hard ceiling (0: none)."""
+    """A customer's plan: units per second, burst size in units, and a hard ceiling (0: no ceiling)."""
 
     name: str = "p"
     rate: Positive = 10.0
@@ -70,51 +74,52 @@
 
 
 class Fleet(StrictModel):
-    """The gateways, which of their exchanges are on, and the zones of hosts behind them."""
+    """The gateways, the exchanges between them that are enabled, and the zones of hosts behind them."""
 
     gateways: Annotated[int, Field(ge=1, le=64)] = 2
-    gossip_permitted: bool = Field(default=False, alias="talk")  # by the platform's settings
+    gossip_permitted: bool = Field(default=False, alias="talk")  # in the platform's settings
     host_health_sharing: bool = Field(default=False, alias="hosts")
     quota_sharing: bool = Field(default=False, alias="shared")
-    membership: bool = Field(default=False, alias="view")  # by the operators' file
+    membership: bool = Field(default=False, alias="view")  # in the operators' file
     zones: Annotated[list[Zone], Field(min_length=1)]
 
     @model_validator(mode="after")
-    def names_differ(self) -> Fleet:
-        """Refuse zones of the same name, and one whose hosts would read as gateways."""
+    def check_zone_names(self) -> Fleet:
+        """Reject zones of the same name, and a zone whose hosts would be parsed as gateways."""
         names = [zone.name for zone in self.zones]
         if len(set(names)) != len(names):
-            problem = f"zone names repeat: {names}"
+            problem = f"expected distinct zone names, got {names}"
             raise ValueError(problem)
         if GATEWAY_PREFIX in names:
-            problem = "no zone can be named 'gateway': its hosts would read as gateways"
+            problem = "no zone can be named 'gateway': its hosts would be parsed as gateways"
             raise ValueError(problem)
         return self
 
 
 class Clients(StrictModel):
-    """Open-loop load of one customer: arrivals drawn in advance, Poisson at `rate` or in bursts."""
+    """Open-loop load of one customer, drawn in advance: Poisson arrivals at `rate`, or bursts."""
 
     customer: Annotated[int, Field(ge=0)]
     request_class: str = Field(alias="product")
     plan: str
-    rate: Positive  # requests a second
+    rate: Positive  # requests per second
     shape: Literal["steady", "bursts"] = "steady"
     burst_size: Annotated[int, Field(ge=1)] = 50
     burst_every_s: Positive = 5.0
-    deadline_ms: Positive = Field(default=3000.0, alias="left_ms")  # from when a request is sent
+    deadline_ms: Positive = Field(default=3000.0, alias="left_ms")  # from the time at which a request is sent
     units: Positive = 1.0
-    # The customer's gateways: so many in a row, from this number on.
+    # The customer's gateways have consecutive numbers: `subset_size` of them from `subset_start` on.
     subset_size: Annotated[int, Field(ge=1, le=64)] = Field(default=1, alias="spread")
     subset_start: Annotated[int, Field(ge=0, le=63)] = Field(default=0, alias="first")
 
 
 class Fault(StrictModel):
-    """One fault of the timeline: from `at_s`, for `for_s` (0: for the rest of the run), on `target`.
+    """A fault of the timeline on `target`, which starts at `at_s` and lasts `for_s` (0: until the run ends).
 
-    `factor` slows; `rate` is a share of requests hit. A link fault acts between the target and `other_side`:
-    other gateways, `counter`, `discovery` or `hosts`; empty for all other gateways. An impaired link loses
-    `rate` of the datagrams, delays them by `late_ms` and up to `jitter_ms` more, and duplicates a share.
+    `factor` multiplies service times, and `rate` is the share of requests affected. A link fault affects the
+    links between the target and `other_side`: other gateways, `counter`, `discovery` or `hosts`; an empty
+    value stands for all other gateways. An impaired link loses the share `rate` of the datagrams, delays them
+    by `late_ms` plus at most `jitter_ms`, and duplicates the share `duplicated`.
     """
 
     at_s: NonNegative
@@ -130,13 +135,16 @@
     duplicated: Share = Field(default=0.0, alias="twice")
 
     def is_active(self, now_s: float) -> bool:
-        """Whether it holds `now_s` seconds after the timeline began."""
+        """Return whether the fault is active `now_s` seconds after the start of the timeline."""
         return self.at_s <= now_s < self.at_s + (self.for_s or ENDLESS_S)
 
 
 class Expect(StrictModel):
-    """What the run must show: a customer's units served, of the requests sent from `from_s` to `to_s`, as a
-    part of what its plan's rate allows in that time."""
+    """An expectation of the run: bounds of a customer's units served, as a share of its plan's allowance.
+
+    The units are those of requests sent from `from_s` to `to_s`, and the allowance is what the plan's rate
+    permits in that time.
+    """
 
     customer: Annotated[int, Field(ge=0)]
     from_s: NonNegative
@@ -146,7 +154,7 @@
 
 
 class Scenario(StrictModel):
-    """A whole scenario file."""
+    """A complete scenario file."""
 
     name: str = "scenario"
     seed: Annotated[int, Field(ge=0)] = 1
@@ -159,65 +167,77 @@
 
 
 class ScenarioError(TomlFileError):
-    """A scenario that cannot be used; its text has a line for each fault, `FILE:LINE: PATH: WHAT`."""
+    """An invalid scenario; the text has one line for each problem, `FILE:LINE: PATH: DESCRIPTION`."""
 
 
-def cross_check(scenario: Scenario) -> list[CrossCheckFault]:
-    """What each part allows alone but not together with the others."""
-    return timeline_faults(scenario) + expectation_faults(scenario) + client_faults(scenario)
+def cross_check(scenario: Scenario) -> list[CrossCheckProblem]:
+    """Return the problems of a scenario whose parts are valid alone but not in combination."""
+    return timeline_problems(scenario) + expectation_problems(scenario) + client_problems(scenario)
 
 
-def timeline_faults(scenario: Scenario) -> list[CrossCheckFault]:
-    """Faults of the timeline that name nothing of this scenario, or come too late."""
+def timeline_problems(scenario: Scenario) -> list[CrossCheckProblem]:
+    """Return the problems of faults that name an unknown target or other side, or start too late."""
     zones = {zone.name: zone.hosts for zone in scenario.fleet.zones}
     gateways = scenario.fleet.gateways
     parties = tuple(party.value for party in Party)
-    found: list[CrossCheckFault] = []
-    for n, fault in enumerate(scenario.timeline):
-        what, side = fault.kind.value, fault.other_side
-        if side and side not in parties and not gateway_numbers(side, gateways):
-            found.append((("timeline", n, "off"), f"neither gateways nor one of {parties}: {side!r}"))
-        if side and fault.kind not in LINK_FAULTS:
-            found.append((("timeline", n, "off"), f"{what!r} has no other side"))
+    problems: list[CrossCheckProblem] = []
+    for position, fault in enumerate(scenario.timeline):
+        what, other_side = fault.kind.value, fault.other_side
+        if other_side and other_side not in parties and not gateway_numbers(other_side, gateways):
+            problems.append(
+                (("timeline", position, "off"), f"neither gateways nor one of {parties}: {other_side!r}")
+            )
+        if other_side and fault.kind not in LINK_FAULTS:
+            problems.append(
+                (("timeline", position, "off"), f"{what!r} is not a link fault and has no other side")
+            )
         if not target_kinds(fault.target, zones, gateways) & set(TARGETS[fault.kind]):
-            takes = listed(TARGETS[fault.kind])
-            found.append((("timeline", n, "target"), f"{what!r} takes a {takes}, not {fault.target!r}"))
+            valid_targets = format_target_kinds(TARGETS[fault.kind])
+            problems.append(
+                (("timeline", position, "target"), f"{what!r} takes a {valid_targets}, not {fault.target!r}")
+            )
         if fault.at_s >= scenario.length_s:
-            problem = f"{fault.at_s} is not within length_s {scenario.length_s}"
-            found.append((("timeline", n, "at_s"), problem))
-    return found
+            problem = f"{fault.at_s} is not before length_s {scenario.length_s}"
+            problems.append((("timeline", position, "at_s"), problem))
+    return problems
 
 
-def expectation_faults(scenario: Scenario) -> list[CrossCheckFault]:
-    """Expectations of a time outside the run, or of a customer without clients."""
+def expectation_problems(scenario: Scenario) -> list[CrossCheckProblem]:
+    """Return the problems of expectations outside the run, or for a customer without clients."""
     customers = {clients.customer for clients in scenario.clients}
-    found: list[CrossCheckFault] = []
-    for n, expect in enumerate(scenario.expect):
+    problems: list[CrossCheckProblem] = []
+    for position, expect in enumerate(scenario.expect):
         if not expect.from_s < expect.to_s <= scenario.length_s:
-            found.append((("expect", n, "to_s"), "must be after from_s and within length_s"))
+            problems.append(
+                (("expect", position, "to_s"), "expected a time after from_s and not after length_s")
+            )
         if expect.customer not in customers:
-            found.append((("expect", n, "customer"), f"no clients of customer {expect.customer}"))
-    return found
+            problems.append(
+                (("expect", position, "customer"), f"no clients are defined for customer {expect.customer}")
+            )
+    return problems
 
 
-def client_faults(scenario: Scenario) -> list[CrossCheckFault]:
-    """Clients of a plan that is not, or of more gateways than there are."""
+def client_problems(scenario: Scenario) -> list[CrossCheckProblem]:
+    """Return the problems of clients with an unknown plan, or with more gateways than the fleet has."""
     plans = {plan.name for plan in scenario.plans}
     gateways = scenario.fleet.gateways
-    found: list[CrossCheckFault] = []
-    for n, clients in enumerate(scenario.clients):
+    problems: list[CrossCheckProblem] = []
+    for position, clients in enumerate(scenario.clients):
         if clients.plan not in plans:
-            found.append((("clients", n, "plan"), f"no plan {clients.plan!r}"))
+            problems.append((("clients", position, "plan"), f"no plan is named {clients.plan!r}"))
         if clients.subset_size > gateways:
-            found.append((("clients", n, "spread"), f"more than the {gateways} gateways"))
-    return found
+            problems.append(
+                (("clients", position, "spread"), f"expected at most the {gateways} gateways of the fleet")
+            )
+    return problems
 
 
 def load(path: str | Path) -> Scenario:
-    """Read and check a scenario file. Raises ScenarioError; nothing is started from a file that fails."""
+    """Read and validate a scenario file. Raises ScenarioError, before anything is started."""
     return parse(read_text(path, ScenarioError), str(path))
 
 
 def parse(text: str, name: str = "<scenario>") -> Scenario:
-    """Check a scenario given as TOML text; `name` stands for the file in errors. Raises ScenarioError."""
+    """Validate a scenario given as TOML text; errors show `name` as the file. Raises ScenarioError."""
     return parse_toml(text, name, Scenario, cross_check, ScenarioError)
