--- a/granitedock/lab/report.py
+++ b/granitedock/lab/report.py
@@ -1,6 +1,6 @@
-"""What came of runs: latency percentiles, the outcomes' shares, and plots with the faults drawn in.
+"""Reports of runs: latency percentiles, shares of outcomes, and plots that mark the times of faults.
 
-Two runs are compared side by side. Latencies are kept by HdrHistogram.
+A plot shows several runs side by side. HdrHistogram records the latencies.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 }
 MAX_LATENCY_US = 60_000_000
 SIGNIFICANT_FIGURES = 3
-PLOT_WIDTH, PLOT_HEIGHT, PLOT_DPI = 7, 6, 100  # inches a run, and dots an inch
+PLOT_WIDTH, PLOT_HEIGHT, PLOT_DPI = 7, 6, 100  # inches for each run, and dots per inch
 
 
 def latencies(records: Iterable[RequestRecord]) -> HdrHistogram:
-    """The latencies of the requests done, in microseconds."""
+    """Return the latencies of the requests done, in microseconds."""
     histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_FIGURES)
     for record in records:
         if record.outcome == RequestOutcome.DONE:
@@ -43,7 +43,7 @@
 
 
 def report_lines(run: Run) -> list[str]:
-    """The report as text: a line for each fault, one for all requests and one for each customer."""
+    """Return the report as text: a line for each fault, one for all requests, one for each customer."""
     lines = [f"{run.name}: {len(run.records)} tasks in {run.length_s:g} s"]
     for fault in run.faults:
         length = f" for {fault['for_s']:g} s" if fault["for_s"] else ""
@@ -51,18 +51,18 @@
         lines.append(text.rstrip() + length)
     lines.append(outcome_line("all", run.records))
     for customer in sorted({record.customer for record in run.records}):
-        own = [record for record in run.records if record.customer == customer]
-        lines.append(outcome_line(f"customer {customer}", own))
+        customer_records = [record for record in run.records if record.customer == customer]
+        lines.append(outcome_line(f"customer {customer}", customer_records))
     return lines
 
 
-def outcome_line(who: str, records: list[RequestRecord]) -> str:
-    """The shares of outcomes, and the percentiles of the latency of the requests done."""
+def outcome_line(label: str, records: list[RequestRecord]) -> str:
+    """Return the shares of outcomes, and latency percentiles of the requests done, after `label`."""
     counts = Counter(record.outcome for record in records)
     shares = "  ".join(
         f"{outcome} {counts[outcome] / len(records):.3f}" for outcome in RequestOutcome if counts[outcome]
     )
-    line = f"  {who:14s} {shares}"
+    line = f"  {label:14s} {shares}"
     if not counts[RequestOutcome.DONE]:
         return line
     histogram = latencies(records)
@@ -74,7 +74,7 @@
 
 
 def records_by_second(run: Run) -> dict[int, list[RequestRecord]]:
-    """The run's requests by the second in which they were sent."""
+    """Group the run's requests by the second in which they are sent."""
     table: dict[int, list[RequestRecord]] = {}
     for record in run.records:
         table.setdefault(int(record.sent_at_s), []).append(record)
@@ -82,7 +82,7 @@
 
 
 def plot(runs: list[Run], path: Path) -> None:
-    """Draw answers a second and latency over time, a column a run, with the faults shaded."""
+    """Draw replies per second and latency over time, one column for each run, with shaded faults."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -97,29 +97,29 @@
     pyplot.close(figure)
 
 
-def plot_run(run: Run, answers: Axes, latency: Axes) -> None:
-    """Draw one run's answers a second and its latency."""
+def plot_run(run: Run, replies: Axes, latency: Axes) -> None:
+    """Draw the replies per second and the latency of one run."""
     table = records_by_second(run)
     seconds = sorted(second for second in table if second < run.length_s)
     for outcome in RequestOutcome:
         counts = [sum(record.outcome == outcome for record in table[second]) for second in seconds]
         if any(counts):
-            answers.plot(seconds, counts, color=COLOURS[outcome], label=str(outcome))
+            replies.plot(seconds, counts, color=COLOURS[outcome], label=str(outcome))
     for percentile in PLOTTED_PERCENTILES:
         figures = [latencies(table[second]).get_value_at_percentile(percentile) / 1000 for second in seconds]
         latency.plot(seconds, figures, label=f"p{percentile:g} of those done")
-    for axis in (answers, latency):
+    for axis in (replies, latency):
         shade_faults(run, axis)
         axis.legend(fontsize=8)
         axis.grid(alpha=0.3)
-    answers.set_title(run.name)
-    answers.set_ylabel("answers a second")
+    replies.set_title(run.name)
+    replies.set_ylabel("replies per second")
     latency.set_ylabel("ms")
     latency.set_xlabel("s")
 
 
 def shade_faults(run: Run, axis: Axes) -> None:
-    """Shade the times in which faults held."""
+    """Shade the time spans in which faults are active."""
     for fault in run.faults:
-        ends = fault["at_s"] + (fault["for_s"] or run.length_s)
-        axis.axvspan(fault["at_s"], min(ends, run.length_s), color="tab:red", alpha=0.1)
+        end_s = fault["at_s"] + (fault["for_s"] or run.length_s)
+        axis.axvspan(fault["at_s"], min(end_s, run.length_s), color="tab:red", alpha=0.1)
--- a/granitedock/lab/run_storage.py
+++ b/granitedock/lab/run_storage.py
@@ -1,6 +1,6 @@
-"""A run of the laboratory as it is kept in a folder: `run.json` and `rows.jsonl`, a line a request.
+"""The storage of a laboratory run in a folder: `run.json`, and `rows.jsonl` with one line for each request.
 
-The names of the stored fields are fixed; they are translated here and nowhere else.
+The names of stored fields are fixed. Only this module translates between them and the names of attributes.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from granitedock.lab.load.request_record import RequestRecord
 
 RUN_FILE, RECORDS_FILE = "run.json", "rows.jsonl"
-# Fields of a record that are stored under another name; the others keep their own.
+# Stored names of the record's fields whose stored name differs from the attribute.
 STORED_NAMES = {
     "sent_at_s": "sent_s",
     "deadline_ms": "left_ms",
@@ -32,12 +32,12 @@
 
 
 class RunError(GranitedockError, ValueError):
-    """A folder that holds no run; its text names the file, and the line at fault."""
+    """A folder without a valid run; the text names the file and the invalid line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A run: the scenario's name, its length, its faults in the scenario file's words, and all requests."""
+    """A run: the scenario's name, length and faults in the words of its file, and the request records."""
 
     name: str
     length_s: float
@@ -45,23 +45,23 @@
     records: list[RequestRecord]
 
 
-def keep(run: Run, folder: Path) -> None:
-    """Leave a run in its folder."""
+def save(run: Run, folder: Path) -> None:
+    """Write a run to a folder."""
     head = {"name": run.name, "length_s": run.length_s, "faults": run.faults}
     (folder / RUN_FILE).write_bytes(orjson.dumps(head, option=orjson.OPT_INDENT_2))
     (folder / RECORDS_FILE).write_bytes(encode_records(run.records))
 
 
 def read(folder: str | Path) -> Run:
-    """A run as it was kept. Raises RunError."""
+    """Read a run that `save` wrote. Raises RunError."""
     folder = Path(folder)
     line = 0
     try:
         head = orjson.loads((folder / RUN_FILE).read_bytes())
         records = []
-        for text in (folder / RECORDS_FILE).read_bytes().splitlines():
+        for encoded_record in (folder / RECORDS_FILE).read_bytes().splitlines():
             line += 1
-            records.append(decode_record(text))
+            records.append(decode_record(encoded_record))
         return Run(head["name"], float(head["length_s"]), head["faults"], records)
     except OSError as error:
         problem = f"{folder}: no run: {error}"
@@ -73,7 +73,7 @@
 
 
 def encode_records(records: Iterable[RequestRecord]) -> bytes:
-    """Records as lines of JSON."""
+    """Encode records as lines of JSON."""
     stored_names = [(name, STORED_NAMES.get(name, name)) for name in RECORD_FIELDS]
     return b"".join(
         orjson.dumps({stored: getattr(record, name) for name, stored in stored_names}) + b"\n"
@@ -82,7 +82,7 @@
 
 
 def decode_record(line: bytes) -> RequestRecord:
-    """A record of its line. Raises ValueError, KeyError or TypeError."""
+    """Decode the record of a line. Raises ValueError, KeyError or TypeError."""
     stored = orjson.loads(line)
     values = {FIELD_NAMES.get(name, name): value for name, value in stored.items()}
     if "outcome" in values:
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -98,9 +98,9 @@
 
 def write_run(folder, name, length_s, faults, rows):
     from granitedock.lab.load.request_record import RequestRecord
-    from granitedock.lab.run_storage import Run, keep
+    from granitedock.lab.run_storage import Run, save
 
-    keep(Run(name, length_s, faults, [RequestRecord(*row) for row in rows]), folder)
+    save(Run(name, length_s, faults, [RequestRecord(*row) for row in rows]), folder)
 
 
 def read_capacity(path):
