--- a/tests/helpers/emulators.py
+++ b/tests/helpers/emulators.py
@@ -1,4 +1,4 @@
-"""The laboratory's emulators of hosts, counter and discovery as loopback processes, for their own tests."""
+"""Runs the laboratory's emulators of hosts, counter and discovery as processes, for their tests."""
 
 import json
 import subprocess
@@ -7,10 +7,10 @@
 
 STOP_TIMEOUT_S = 5
 
-# A scenario's zone of one host, for tests that need no more.
+# The fleet of a scenario with one zone of one host.
 ONE_HOST = 'length_s = 30\n[fleet]\n[[fleet.zones]]\nname = "east"\nhosts = 1\n'
 
-# A scenario must have clients; the emulators' tests need no more than this.
+# The clients that a valid scenario must contain; the emulators do not use them.
 CLIENTS = '[[clients]]\ncustomer = 1\nproduct = "read"\nplan = "p"\nrate = 1\n'
 
 
@@ -18,7 +18,7 @@
 def spawned(module, tmp_path, scenario, *arguments):
     """Run `python -m granitedock.lab.emulators.MODULE` on a scenario's text until the context ends.
 
-    Gives the first line that it prints, decoded from JSON: where it can be reached.
+    Yields the first line that the process prints, decoded from JSON: the emulator's address or addresses.
     """
     path = tmp_path / "s.toml"
     path.write_text(scenario)
--- a/tests/lab/test_discovery_emulator.py
+++ b/tests/lab/test_discovery_emulator.py
@@ -1,4 +1,8 @@
-"""The discovery emulator on loopback: the list, a drain written to the watch, and an outage."""
+"""The discovery emulator on loopback.
+
+The test guards against a watch that misses a changed lifecycle, survives an outage, or starts without the
+current list after the outage.
+"""
 
 import json
 import socket
@@ -25,36 +29,37 @@
 
 def watch(address):
     host, _, port = address.rpartition(":")
-    line = socket.create_connection((host, int(port)), timeout=1.0)
-    line.sendall(b"GET /api/targets?watch=1&after=0 HTTP/1.1\r\nHost: d\r\n\r\n")
-    return line
+    connection = socket.create_connection((host, int(port)), timeout=1.0)
+    connection.sendall(b"GET /api/targets?watch=1&after=0 HTTP/1.1\r\nHost: d\r\n\r\n")
+    return connection
 
 
-def heard(line, until):
-    """The lifecycles written to the watch until `until` (monotonic seconds); None if it was cut."""
+def received_lifecycles(connection, deadline_s):
+    """Return the lifecycles written to the watch before `deadline_s` (monotonic); None if it is closed."""
     data = b""
-    while time.monotonic() < until:
+    while time.monotonic() < deadline_s:
         try:
-            more = line.recv(65536)
+            chunk = connection.recv(65536)
         except TimeoutError:
             continue
         except ConnectionResetError:
             return None
-        if not more:
+        if not chunk:
             return None
-        data += more
+        data += chunk
     return [json.loads(row)["instances"][0]["lifecycle"] for row in data.split(b"\n") if row.startswith(b"{")]
 
 
-def test_discovery_writes_the_list_and_a_drain_and_goes_down_and_back(tmp_path):
+def test_a_watch_receives_the_list_and_a_drain_and_the_current_list_after_an_outage(tmp_path):
     hosts = tmp_path / "hosts.json"
     hosts.write_text(json.dumps({"east/0": "127.0.0.1:5000"}))
-    with spawned("discovery", tmp_path, SCENARIO, str(hosts)) as said:
-        address = said
-        began = time.monotonic()
-        line = watch(address)
-        assert heard(line, began + 1.6) == ["in_service", "terminating"]
-        assert heard(line, began + 2.5) is None  # down: the watch is cut
-        time.sleep(max(0.0, 3.4 - (time.monotonic() - began)))
-        with watch(address) as again:
-            assert heard(again, time.monotonic() + 0.5) == ["terminating"]  # back, with the list as it stands
+    with spawned("discovery", tmp_path, SCENARIO, str(hosts)) as announcement:
+        address = announcement
+        start_s = time.monotonic()
+        connection = watch(address)
+        assert received_lifecycles(connection, start_s + 1.6) == ["in_service", "terminating"]
+        assert received_lifecycles(connection, start_s + 2.5) is None  # down: the watch is closed
+        time.sleep(max(0.0, 3.4 - (time.monotonic() - start_s)))
+        with watch(address) as second_watch:
+            # Discovery is up again and writes the current list.
+            assert received_lifecycles(second_watch, time.monotonic() + 0.5) == ["terminating"]
--- a/tests/lab/test_host_emulators.py
+++ b/tests/lab/test_host_emulators.py
@@ -1,4 +1,8 @@
-"""Emulated hosts on loopback: one answers, one is silent, one is killed and comes back, as scripted."""
+"""Emulated hosts on loopback.
+
+The test guards against hosts that ignore the faults of the scenario: a silent host that replies, or a killed
+host that still listens or does not restart.
+"""
 
 import socket
 import time
@@ -31,13 +35,16 @@
 
 
 def ask(address, wait_s=1.0):
-    """One request on a new connection: the answer, b"" if none came in time, None if nobody listens."""
+    """Send a request on a new connection and return the reply.
+
+    Returns b"" if no reply arrives in time, and None if there is no listener or the connection is reset.
+    """
     host, _, port = address.rpartition(":")
     try:
-        with socket.create_connection((host, int(port)), timeout=wait_s) as line:
-            line.sendall(encode_command(b"API.READ", b"a1", b"b2", b"c=read,t=p,d=1000"))
+        with socket.create_connection((host, int(port)), timeout=wait_s) as connection:
+            connection.sendall(encode_command(b"API.READ", b"a1", b"b2", b"c=read,t=p,d=1000"))
             try:
-                return line.recv(1024)
+                return connection.recv(1024)
             except TimeoutError:
                 return b""
             except ConnectionResetError:
@@ -46,13 +53,14 @@
         return None
 
 
-def test_hosts_do_as_the_scenario_says(tmp_path):
-    with spawned("hosts", tmp_path, SCENARIO) as said:
-        addresses = said
-        began = time.monotonic()  # its clock began a little before it spoke: ours is no sooner
+def test_hosts_follow_the_faults_of_the_scenario(tmp_path):
+    with spawned("hosts", tmp_path, SCENARIO) as announcement:
+        addresses = announcement
+        # The emulator starts its clock before it prints its output, so this time is not before that start.
+        start_s = time.monotonic()
         assert ask(addresses["east/0"]) == VALUE
         assert ask(addresses["east/1"], wait_s=0.3) == b""
-        time.sleep(max(0.0, 2.3 - (time.monotonic() - began)))
-        assert ask(addresses["east/0"]) is None  # killed: nobody listens
-        time.sleep(max(0.0, 4.5 - (time.monotonic() - began)))
-        assert ask(addresses["east/0"]) == VALUE  # back
+        time.sleep(max(0.0, 2.3 - (time.monotonic() - start_s)))
+        assert ask(addresses["east/0"]) is None  # killed: there is no listener
+        time.sleep(max(0.0, 4.5 - (time.monotonic() - start_s)))
+        assert ask(addresses["east/0"]) == VALUE  # restarted
--- a/tests/lab/test_host_faults.py
+++ b/tests/lab/test_host_faults.py
@@ -1,4 +1,8 @@
-"""Faults of hosts: those of a zone reach its hosts together, and the same seed gives the same replies."""
+"""Faults of emulated hosts.
+
+The tests guard against faults that affect the wrong hosts or the wrong share of requests, or start or end at
+the wrong time, and against runs that differ although their seed is the same.
+"""
 
 from pathlib import Path
 from random import Random
@@ -9,40 +13,48 @@
 EXAMPLE = Path(__file__).parents[2] / "docs" / "examples" / "zone-slow.toml"
 
 
-def test_a_zone_that_slows_slows_all_its_hosts_at_the_same_moment_and_no_other():
+def test_a_slow_zone_slows_all_its_hosts_at_the_same_moment_and_no_other_host():
     scenario = load(EXAMPLE)
     east, west = scenario.fleet.zones
-    at = [host_condition(faults_of_host(scenario, east, n), 0, 20_000).slowdown for n in range(east.hosts)]
-    before = [
-        host_condition(faults_of_host(scenario, east, n), 0, 19_999).slowdown for n in range(east.hosts)
+    slowdowns = [
+        host_condition(faults_of_host(scenario, east, number), 0, 20_000).slowdown
+        for number in range(east.hosts)
+    ]
+    slowdowns_before = [
+        host_condition(faults_of_host(scenario, east, number), 0, 19_999).slowdown
+        for number in range(east.hosts)
     ]
-    assert at == [6.0] * east.hosts and before == [1.0] * east.hosts
+    assert slowdowns == [6.0] * east.hosts and slowdowns_before == [1.0] * east.hosts
     assert host_condition(faults_of_host(scenario, west, 0), 0, 20_000).slowdown == 1.0
 
 
-def test_a_cold_host_is_slow_for_its_first_seconds_only():
+def test_a_host_is_slow_only_for_its_warm_up_time_after_each_start():
     assert host_condition([], 5, 4_999, up_since_ms=0).slowdown > 1.0
     assert host_condition([], 5, 5_000, up_since_ms=0).slowdown == 1.0
-    assert host_condition([], 5, 30_000, up_since_ms=26_000).slowdown > 1.0  # it came up again
+    assert host_condition([], 5, 30_000, up_since_ms=26_000).slowdown > 1.0  # after a restart at 26 s
 
 
-def test_faults_hit_their_share_of_requests_and_the_same_seed_gives_the_same_replies():
+def test_faults_affect_their_share_of_requests_and_the_same_seed_gives_the_same_replies():
     busy = Fault(at_s=0, what="busy", target="east", rate=0.25)
-    state = host_condition([busy], 0, 1_000)
+    condition = host_condition([busy], 0, 1_000)
     service = Service(kind="lognormal", mean_ms=15, sigma=0.8)
-    days = []
+    runs = []
     for seed in (9, 9, 10):
-        chance = Random(seed)
-        days.append([draw_reply(state, service, chance) for _ in range(4000)])
-    assert days[0] == days[1] and days[0] != days[2]
-    replies = days[0]
-    share = sum(r.kind == "busy" for r in replies) / len(replies)
+        random = Random(seed)
+        runs.append([draw_reply(condition, service, random) for _ in range(4000)])
+    assert runs[0] == runs[1] and runs[0] != runs[2]
+    replies = runs[0]
+    share = sum(reply.kind == "busy" for reply in replies) / len(replies)
     assert 0.22 < share < 0.28
-    values = sorted(r.after_ms for r in replies if r.kind == "value")
-    assert 12 < sum(values) / len(values) < 18 and values[-1] > 4 * values[len(values) // 2]  # a heavy tail
+    latencies_ms = sorted(reply.after_ms for reply in replies if reply.kind == "value")
+    # The distribution has a heavy tail.
+    assert (
+        12 < sum(latencies_ms) / len(latencies_ms) < 18
+        and latencies_ms[-1] > 4 * latencies_ms[len(latencies_ms) // 2]
+    )
 
 
-def test_a_silent_host_takes_and_never_answers_and_a_killed_one_is_gone_for_its_time():
+def test_a_silent_host_never_replies_and_a_killed_host_is_down_for_the_length_of_the_fault():
     silent = Fault(at_s=1, what="silent", target="east/0")
     kill = Fault(at_s=2, what="kill", target="east/0", for_s=3)
     assert draw_reply(host_condition([silent], 0, 1_500), Service(), Random(1)).kind == "silent"
