--- a/granitedock/lab/cluster/cluster.py
+++ b/granitedock/lab/cluster/cluster.py
@@ -294,12 +294,12 @@
         Returns the seconds until the views agree. Raises DisagreementError after `within_s`.
         """
         live = set(gateways)
-        began = time.monotonic()
+        start_s = time.monotonic()
         while True:
             views = {gateway: self.live_members_or_error(gateway) for gateway in live}
             if all(view == live for view in views.values()):
-                return time.monotonic() - began
-            if time.monotonic() - began > within_s:
+                return time.monotonic() - start_s
+            if time.monotonic() - start_s > within_s:
                 raise DisagreementError(within_s, live, views)
             time.sleep(POLL_INTERVAL_S)
 
--- a/granitedock/lab/cluster/surroundings.py
+++ b/granitedock/lab/cluster/surroundings.py
@@ -88,12 +88,12 @@
 
     def restart_timeline(self) -> None:
         """Restart the timeline of the emulators' faults at the current time."""
-        began = time.monotonic()
-        self.counter.started_at = began
+        start_s = time.monotonic()
+        self.counter.started_at = start_s
         for discovery in self.discoveries:
             discovery.restart_timeline()
         for host in self.hosts:
-            host.restart_timeline(lambda: (time.monotonic() - began) * 1000.0)
+            host.restart_timeline(lambda: (time.monotonic() - start_s) * 1000.0)
 
     def host(self, name: str) -> HostEmulator:
         """Return the emulated host of this name ("zone/n")."""
@@ -105,12 +105,12 @@
         Discovery receives the fault too, as a drain or a kill changes the host's lifecycle in the list.
         """
         host = self.host(name)
-        began = time.monotonic()
+        start_s = time.monotonic()
         host.faults.append(
             Fault(at_s=host.clock() / 1000.0, what=kind, target=name, for_s=for_s, rate=rate, factor=factor)
         )
         for discovery in self.discoveries:
-            at_s = began - discovery.began_s
+            at_s = start_s - discovery.began_s
             discovery.timeline.append(Fault(at_s=at_s, what=kind, target=name, for_s=for_s, rate=rate))
 
     def clear_host_faults(self, name: str) -> None:
--- a/granitedock/lab/emulators/counter.py
+++ b/granitedock/lab/emulators/counter.py
@@ -53,16 +53,16 @@
     def __init__(self) -> None:
         self.increments: defaultdict[bytes, deque[Increment]] = defaultdict(deque)
 
-    def add(self, name: bytes, number: float, life_ms: float, now: float) -> float:
+    def add(self, name: bytes, number: float, life_ms: float, now_ms: float) -> float:
         """Add `number` to a name's total for `life_ms`; returns the total."""
-        self.increments[name].append(Increment(now + life_ms, number))
-        return self.total(name, now)
+        self.increments[name].append(Increment(now_ms + life_ms, number))
+        return self.total(name, now_ms)
 
-    def total(self, name: bytes, now: float) -> float:
+    def total(self, name: bytes, now_ms: float) -> float:
         """Return the sum of a name's unexpired increments, and evict expired ones."""
         unexpired = self.increments[name]
         # All increments of a name have the same lifetime, so the first expires first.
-        while unexpired and unexpired[0].expires_ms <= now:
+        while unexpired and unexpired[0].expires_ms <= now_ms:
             unexpired.popleft()
         return sum(increment.amount for increment in unexpired)
 
@@ -165,11 +165,11 @@
             number, life_ms = float(words[2]), float(words[3])
         except ValueError:
             return b"-ERR not a number\r\n"
-        now = self.now_ms()
-        total = self.counts.add(words[1], number, life_ms, now)
+        now_ms = self.now_ms()
+        total = self.counts.add(words[1], number, life_ms, now_ms)
         stale = self.frozen_counts or self.stale_counts
         if stale is not None:
-            total = stale.total(words[1], now)
+            total = stale.total(words[1], now_ms)
         return encode_bulk_string(format_amount(total))
 
 
