--- a/granitedock/lab/scale/calls.py
+++ b/granitedock/lab/scale/calls.py
@@ -1,4 +1,4 @@
-"""What calls to the counter cost: how many one core of the emulator bears, and the bytes of a call."""
+"""Measure the cost of calls to the counter: the rate that one core of the emulator serves, and bytes."""
 
 from __future__ import annotations
 
@@ -19,20 +19,23 @@
 from granitedock.lab.scale.probe import process_cpu_s
 from granitedock.service.counter_protocol import encode_call
 
-LIFE_MS = 12_000.0
-IN_FLIGHT = 4  # calls on a connection that wait for answers
-NAMES = 21_000
+COUNT_TTL_MS = 12_000.0
+CALLS_IN_FLIGHT = 4  # Calls of each connection that await an answer.
+COUNTER_NAMES = 21_000
 NAME_STRIDE = 17
-LONGEST_NAME = 2**62
-CONNECT_S = 10.0
+LONGEST_COUNTER_NAME = 2**62
+CONNECT_TIMEOUT_S = 10.0
 RECEIVE_BYTES = 65_536
 TYPICAL_ANSWER = b"$6\r\n123456\r\n"
 
 
 @dataclass(frozen=True, slots=True)
 class CallCost:
-    """Calls a second that the emulator answered on so many connections, its processor time a call, and the
-    bytes of a call both ways, without headers of the network."""
+    """The cost of counter calls over `connections` connections.
+
+    `calls_a_second` is the rate at which the emulator answered and `counter_cpu_us` its processor time per
+    call (us). `call_bytes` and `answer_bytes` are a call's bytes in each direction, without network headers.
+    """
 
     connections: int
     calls_a_second: float
@@ -42,26 +45,26 @@
 
 
 def open_connections(address: str, count: int) -> list[socket.socket]:
-    """So many connections to the counter. Raises MachineLimitError where they cannot be opened."""
+    """Open `count` connections to the counter. Raises MachineLimitError if one cannot be opened."""
     host, _, port = address.rpartition(":")
     try:
-        return [socket.create_connection((host, int(port)), timeout=CONNECT_S) for _ in range(count)]
+        return [socket.create_connection((host, int(port)), timeout=CONNECT_TIMEOUT_S) for _ in range(count)]
     except OSError as error:
         raise MachineLimitError.connections(count, error) from None
 
 
 def next_calls(calls: Iterator[bytes], count: int) -> bytes:
-    """The next calls as one piece of bytes."""
+    """Return the next `count` calls, concatenated."""
     return b"".join(islice(calls, count))
 
 
 def exchange_calls(connections: list[socket.socket], seconds: float) -> int:
-    """Keep `IN_FLIGHT` calls in flight on each connection for so long; the number of answers."""
-    calls = cycle([encode_call(NAME_STRIDE * number, 1.0, LIFE_MS) for number in range(NAMES)])
+    """Keep `CALLS_IN_FLIGHT` calls open on each connection for `seconds` and return the answers' number."""
+    calls = cycle([encode_call(NAME_STRIDE * number, 1.0, COUNT_TTL_MS) for number in range(COUNTER_NAMES)])
     answered = 0
     with selectors.DefaultSelector() as selector:
         for connection in connections:
-            connection.sendall(next_calls(calls, IN_FLIGHT))
+            connection.sendall(next_calls(calls, CALLS_IN_FLIGHT))
             selector.register(connection, selectors.EVENT_READ, data=connection)
         deadline = time.monotonic() + seconds
         while time.monotonic() < deadline:
@@ -73,7 +76,7 @@
 
 
 def measure(connections: int, seconds: float) -> CallCost:
-    """One counter emulator, called as fast as it answers."""
+    """Measure one counter emulator, called as fast as it answers."""
     with tempfile.TemporaryDirectory() as folder:
         scenario_path = Path(folder) / "scenario.toml"
         scenario_path.write_text(emulator_scenario_text(1))
@@ -90,6 +93,6 @@
         connections=connections,
         calls_a_second=answered / elapsed_s,
         counter_cpu_us=1e6 * cpu_s / max(1, answered),
-        call_bytes=len(encode_call(LONGEST_NAME, 1.0, LIFE_MS)),
+        call_bytes=len(encode_call(LONGEST_COUNTER_NAME, 1.0, COUNT_TTL_MS)),
         answer_bytes=len(TYPICAL_ANSWER),
     )
--- a/granitedock/lab/scale/child_processes.py
+++ b/granitedock/lab/scale/child_processes.py
@@ -1,4 +1,4 @@
-"""Processes that a measurement starts, and how it speaks with them by lines of JSON."""
+"""Start the processes of a measurement and exchange lines of JSON with them."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 from granitedock.lab.scale.errors import ProcessError
 
-ERROR_CHARACTERS = 500  # of a process's errors, shown where it did not start
+MAX_ERROR_CHARACTERS = 500  # The end of the standard error output that a ProcessError quotes.
 ENDPOINT_LIST_EMULATOR = "granitedock.lab.scale.endpoint_list_emulator"
 
 
 def open_pipe(pipe: IO[bytes] | None) -> IO[bytes]:
-    """A pipe that the process was started with. Raises ValueError where it was started without."""
+    """Return the pipe. Raises ValueError if the process was started without it."""
     if pipe is None:
         raise ValueError(pipe)
     return pipe
 
 
 def stop(process: subprocess.Popen[bytes]) -> None:
-    """Kill the process, wait for its end and close its pipes."""
+    """Kill the process, wait until it has ended and close its pipes."""
     process.kill()
     process.wait()
     for pipe in (process.stdin, process.stdout, process.stderr):
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EmulatorProcess:
-    """An emulator's process, and what it announced: its address, or its addresses by name."""
+    """The process of an emulator, and its announcement: one address, or addresses by name."""
 
     pid: int
     announcement: Any
@@ -43,7 +43,7 @@
 
 @contextmanager
 def emulator_process(module: str, *arguments: str) -> Iterator[EmulatorProcess]:
-    """Run an emulator until the block ends. Raises ProcessError."""
+    """Run an emulator until the block ends. Raises ProcessError if it does not start."""
     process = subprocess.Popen(
         [sys.executable, "-m", module, *arguments], stdout=subprocess.PIPE, stderr=subprocess.PIPE
     )
@@ -51,15 +51,18 @@
         line = open_pipe(process.stdout).readline()
         if not line:
             errors = open_pipe(process.stderr).read()
-            raise ProcessError.not_started(module, errors[-ERROR_CHARACTERS:].decode())
+            raise ProcessError.not_started(module, errors[-MAX_ERROR_CHARACTERS:].decode())
         yield EmulatorProcess(process.pid, orjson.loads(line))
     finally:
         stop(process)
 
 
 class CommandProcess:
-    """A process that takes commands on standard input and answers each with one line of JSON; the first line
-    is its announcement. Raises ProcessError where it ends before an answer."""
+    """A process that reads commands from standard input and answers each with one line of JSON.
+
+    The first line that it writes is its announcement. Reading an answer raises ProcessError if the process
+    ends before it answers.
+    """
 
     def __init__(self, module: str, *arguments: str) -> None:
         command = [sys.executable, "-m", module, *arguments]
@@ -67,20 +70,20 @@
         self.announcement = self.read_answer()
 
     def read_answer(self) -> Any:
-        """The next line, decoded."""
+        """Read the next line and return it decoded."""
         line = open_pipe(self.process.stdout).readline()
         if not line:
             raise ProcessError.ended(self.process.wait())
         return orjson.loads(line)
 
     def send(self, command: dict[str, Any]) -> None:
-        """Send a command; its answer is read later."""
+        """Send a command without reading its answer."""
         pipe = open_pipe(self.process.stdin)
         pipe.write(orjson.dumps(command) + b"\n")
         pipe.flush()
 
     def query(self, command: dict[str, Any]) -> Any:
-        """Send a command and read its answer."""
+        """Send a command and return its answer."""
         self.send(command)
         return self.read_answer()
 
@@ -91,7 +94,7 @@
 
 @contextmanager
 def command_process(module: str, *arguments: str) -> Iterator[CommandProcess]:
-    """Run a process that takes commands, until the block ends."""
+    """Run a CommandProcess until the block ends."""
     process = CommandProcess(module, *arguments)
     try:
         yield process
--- a/granitedock/lab/scale/configuration.py
+++ b/granitedock/lab/scale/configuration.py
@@ -1,4 +1,4 @@
-"""What the configuration service costs: hollow gateways that follow real control processes on loopback."""
+"""Measure the configuration service: hollow gateways that follow real control processes on loopback."""
 
 from __future__ import annotations
 
@@ -10,25 +10,38 @@
 from granitedock.configuration import control_client
 from granitedock.lab.hollow.messages import GatewayState
 from granitedock.lab.scale.child_processes import ENDPOINT_LIST_EMULATOR, command_process
-from granitedock.lab.scale.control_processes import ANSWER_S, CLUSTER, RunningControl, control_processes
+from granitedock.lab.scale.control_processes import (
+    ANSWER_TIMEOUT_S,
+    CLUSTER,
+    RunningControl,
+    control_processes,
+)
 from granitedock.lab.scale.hollow_fleet import FleetUsage, HollowFleet, UsageInterval, hollow_fleet
 from granitedock.lab.scale.probe import memory_mb, quantile
 
-CONTROLS = 4
+CONTROL_PROCESSES = 4
 CHANGES = 20
-CHANGE_EVERY_S = 1.0
+CHANGE_INTERVAL_S = 1.0
 REST_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationCost:
-    """So many hollow gateways that follow `controls` control processes, with so many plans and hosts.
+    """The cost of `gateways` hollow gateways that follow `controls` control processes.
 
-    `fresh_s`: until all of a fleet that starts at once had a snapshot, from the first one's connecting;
-    `rest`: a gateway's part of a core and of a control process's, and bytes a second, while nothing changes;
-    changes of one plan each at `changes_a_second`: seconds until each gateway had them, bytes and processor
-    ms of a gateway a change, the loop's hold-up for one change and for the end of a snapshot (ms); processor
-    ms of the busiest control process a change; MiB of a control process."""
+    `fresh_s` is the time from the first gateway's connection until all gateways of a fleet that starts at
+    once have a snapshot. `fresh_control_cpu_s` is the processor time that this costs the busiest control
+    process, `snapshot_bytes` are the bytes that each gateway exchanges for its snapshot.
+
+    The `rest_` fields hold while nothing changes: the share of a core of one gateway and of the busiest
+    control process, and a gateway's bytes per second.
+
+    The `change_` fields are for changes of one plan each at `changes_a_second`: the seconds until a gateway
+    has a change (p50, p99, worst), and per change a gateway's bytes and processor ms, the time that it blocks
+    a gateway's event loop (`change_hold_ms`) and the processor ms of the busiest control process.
+    `snapshot_hold_ms` is the time that the end of a snapshot blocks the event loop. `control_memory_mb` is
+    the memory of a control process in MiB.
+    """
 
     gateways: int
     controls: int
@@ -54,8 +67,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StartMeasurement:
-    """A start of all gateways at once: each one's state when all had the first snapshot, seconds until then,
-    processor seconds of the busiest control process, bytes of a snapshot at a gateway."""
+    """A start of all gateways at once.
+
+    `states` are the gateways' states when all have the first snapshot, `elapsed_s` the seconds until then,
+    `control_cpu_s` the processor seconds of the busiest control process, and `snapshot_bytes` the bytes of a
+    snapshot per gateway.
+    """
 
     states: list[GatewayState]
     elapsed_s: float
@@ -64,14 +81,17 @@
 
     @property
     def snapshot_hold_ms(self) -> float:
-        """The p99 of the loop's hold-up for the end of a snapshot."""
+        """The p99 of the time that the end of a snapshot blocks the event loop, in ms."""
         return quantile([state.counts["replace_us"] / 1000.0 for state in self.states], 0.99)
 
 
 @dataclass(frozen=True, slots=True)
 class RestMeasurement:
-    """While nothing changes: the fleet's part of a core, a gateway's bytes a second, and the part of a core
-    of the busiest control process."""
+    """The load while nothing changes.
+
+    `fleet_core` is the whole fleet's use of processor cores, `bytes_a_second` are one gateway's bytes per
+    second, and `control_core` is the share of a core that the busiest control process uses.
+    """
 
     fleet_core: float
     bytes_a_second: float
@@ -80,8 +100,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeMeasurement:
-    """Changes a second, seconds until each gateway had each; of one change, a gateway's bytes, processor ms
-    and hold-up of its loop (ms), and processor ms of the busiest control process."""
+    """A series of changes.
+
+    `rate` is in changes per second and `delays_s` has the seconds until each gateway has each change. Per
+    change: a gateway's bytes, its processor ms, the ms that its event loop is blocked, and the processor ms
+    of the busiest control process.
+    """
 
     rate: float
     delays_s: list[float]
@@ -92,23 +116,27 @@
 
 
 class ConfigurationMeasurement:
-    """One fleet that follows control processes, measured step by step."""
+    """The measurements of one fleet that follows control processes: start, rest and changes."""
 
     def __init__(self, fleet: HollowFleet, running: list[RunningControl]) -> None:
         self.fleet = fleet
         self.running = running
 
     def watch_bytes(self) -> int:
-        """Bytes of the configuration watches of all gateways, both ways."""
+        """Return the bytes of the configuration watches of all gateways, in both directions."""
         counts = [state.counts for state in self.fleet.gateways()]
-        return sum(one.get(f"configuration_bytes_{way}", 0) for one in counts for way in ("in", "out"))
+        return sum(
+            gateway_counts.get(f"configuration_bytes_{direction}", 0)
+            for gateway_counts in counts
+            for direction in ("in", "out")
+        )
 
     def control_cpu_s(self) -> list[float]:
-        """Processor seconds that each control process has used."""
+        """Return the processor seconds that each control process has used."""
         return [control.cpu_s() for control in self.running]
 
-    def max_control_cpu_s(self, before: list[float]) -> float:
-        """The most processor seconds that one control process used since."""
+    def max_control_cpu_s_since(self, before: list[float]) -> float:
+        """Return the processor seconds that the busiest control process has used since `before`."""
         return max(control.cpu_s() - cpu_s for control, cpu_s in zip(self.running, before, strict=True))
 
     def measure_start(self, control_cpu_before: list[float]) -> StartMeasurement:
@@ -116,22 +144,22 @@
         self.fleet.wait_until(lambda state: state.version >= 1)
         states = self.fleet.gateways()
         last_snapshot_at = max(state.version_at["1"] for state in states)
-        control_cpu_s = self.max_control_cpu_s(control_cpu_before)
+        control_cpu_s = self.max_control_cpu_s_since(control_cpu_before)
         snapshot_bytes = self.watch_bytes() / self.fleet.count
         self.fleet.wait_until(lambda state: state.list_version >= 1)
         first_start = min(state.started_at for state in states)
         return StartMeasurement(states, last_snapshot_at - first_start, control_cpu_s, snapshot_bytes)
 
     def measure_rest(self) -> RestMeasurement:
-        """What is used while nothing changes."""
-        time.sleep(REST_S)  # the start's work is over
+        """Measure the load while nothing changes."""
+        time.sleep(REST_S)  # The work of the start has to end before the measurement.
         before = FleetUsage.take(self.fleet)
         bytes_before = self.watch_bytes()
         control_cpu_before = self.control_cpu_s()
         time.sleep(REST_S)
         usage = UsageInterval(before, FleetUsage.take(self.fleet))
         bytes_after = self.watch_bytes()
-        control_cpu_s = self.max_control_cpu_s(control_cpu_before)
+        control_cpu_s = self.max_control_cpu_s_since(control_cpu_before)
         return RestMeasurement(
             fleet_core=usage.cpu_s / usage.elapsed_s,
             bytes_a_second=(bytes_after - bytes_before) / usage.elapsed_s / self.fleet.count,
@@ -139,14 +167,14 @@
         )
 
     def measure_changes(self, rest: RestMeasurement) -> ChangeMeasurement:
-        """Changes one after another; what they cost beyond the fleet's rest."""
+        """Apply changes one after another and measure their cost beyond the load at rest."""
         before = FleetUsage.take(self.fleet)
         bytes_before = self.watch_bytes()
         control_cpu_before = self.control_cpu_s()
         started_at = time.monotonic()
         delays_s = apply_changes(self.running[0], self.fleet)
         rate = CHANGES / (time.monotonic() - started_at)
-        control_cpu_s = self.max_control_cpu_s(control_cpu_before)
+        control_cpu_s = self.max_control_cpu_s_since(control_cpu_before)
         usage = UsageInterval(before, FleetUsage.take(self.fleet))
         bytes_after = self.watch_bytes()
         applications = CHANGES * self.fleet.count
@@ -164,31 +192,31 @@
 
 
 def plan_change_body(base: int, number: int) -> bytes:
-    """A change of one tenant's plan, as control's HTTP takes it."""
+    """Return a change of one tenant's plan as the body of a request to the control process."""
     plan = {"Name": f"tenant-{number:05d}", "Refill": 30.0 + base % 50, "MostAtOnce": 60.0}
     return orjson.dumps({"base": base, "plans": {"upsert": [plan]}})
 
 
 def apply_changes(writer: RunningControl, fleet: HollowFleet) -> list[float]:
-    """Change one plan after another; the seconds until each gateway had each version."""
+    """Change one plan after another and return the seconds until each gateway has each version."""
     sent_at: dict[str, float] = {}
     version = writer.status()["version"]
     for number in range(CHANGES):
         sent_at[str(version + 1)] = time.monotonic()
         body = plan_change_body(version, number)
-        version = control_client.apply(writer.address, body, ANSWER_S)["version"]
-        time.sleep(CHANGE_EVERY_S)
+        version = control_client.apply(writer.address, body, ANSWER_TIMEOUT_S)["version"]
+        time.sleep(CHANGE_INTERVAL_S)
     fleet.wait_until(lambda state: state.version >= version)
     return [
-        state.version_at[number] - at
+        state.version_at[number] - change_sent_at
         for state in fleet.gateways()
-        for number, at in sent_at.items()
+        for number, change_sent_at in sent_at.items()
         if number in state.version_at
     ]
 
 
-def measure(gateways: int, plans: int, hosts: int, controls: int = CONTROLS) -> ConfigurationCost:
-    """A fleet that starts at once, rests, and follows changes."""
+def measure(gateways: int, plans: int, hosts: int, controls: int = CONTROL_PROCESSES) -> ConfigurationCost:
+    """Measure a fleet whose gateways start at once, stay idle for a while and then follow changes."""
     with (
         command_process(ENDPOINT_LIST_EMULATOR, str(hosts)) as emulator,
         control_processes(plans, controls) as running,
--- a/granitedock/lab/scale/control_processes.py
+++ b/granitedock/lab/scale/control_processes.py
@@ -1,4 +1,4 @@
-"""Control processes of a measurement: one writer and its replicas, each a process of its own."""
+"""Run the control processes of a measurement: one writer and its replicas."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 from granitedock.configuration import control_client
 from granitedock.configuration.http_records import ControlStatusRecord
-from granitedock.lab.scale.child_processes import ERROR_CHARACTERS, open_pipe, stop
+from granitedock.lab.scale.child_processes import MAX_ERROR_CHARACTERS, open_pipe, stop
 from granitedock.lab.scale.errors import MeasurementTimeoutError, ProcessError
 from granitedock.lab.scale.platform import platform_file
 from granitedock.lab.scale.probe import process_cpu_s
 
 CLUSTER = "lab"
-START_S = 60.0
-ANSWER_S = 20.0
-CHECK_EVERY_S = 0.05
+START_TIMEOUT_S = 60.0
+ANSWER_TIMEOUT_S = 20.0
+CHECK_INTERVAL_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,16 +34,16 @@
     address: str
 
     def cpu_s(self) -> float:
-        """Processor seconds that it has used."""
+        """Return the processor time that the process has used, in seconds."""
         return process_cpu_s(self.process.pid)
 
     def status(self) -> ControlStatusRecord:
-        """What it answers about itself."""
-        return control_client.status(self.address, ANSWER_S)
+        """Query the process for its status record."""
+        return control_client.status(self.address, ANSWER_TIMEOUT_S)
 
 
 def control_file_text(folder: Path, name: str, follow: list[str]) -> str:
-    """A control process's settings as TOML."""
+    """Return the settings of a control process as TOML."""
     settings: dict[str, object] = {
         "name": name,
         "cluster": CLUSTER,
@@ -55,8 +55,11 @@
 
 
 def start_control(folder: Path, name: str, follow: list[str], platform: Path | None) -> RunningControl:
-    """Start a control process and wait until it listens. `follow` are addresses to replicate from, none at
-    the writer; `platform` is a file to import. Raises ProcessError."""
+    """Start a control process and wait until it listens.
+
+    `follow` are the addresses to replicate from, none for the writer. `platform` is a platform file to
+    import, if any. Raises ProcessError if the process does not start.
+    """
     file = folder / f"{name}.toml"
     file.write_text(control_file_text(folder, name, follow))
     command = [sys.executable, "-m", "granitedock", "control", "--config", str(file)]
@@ -68,14 +71,14 @@
     address = open_pipe(process.stdout).readline().decode().strip()
     if not address:
         process.wait()
-        errors = log_path.read_text()[-ERROR_CHARACTERS:]
+        errors = log_path.read_text()[-MAX_ERROR_CHARACTERS:]
         raise ProcessError.not_started("control " + name, errors)
     return RunningControl(process, address)
 
 
 @contextmanager
 def control_processes(plans: int, count: int) -> Iterator[list[RunningControl]]:
-    """Run a writer with so many plans, and `count - 1` replicas that have them too, until the block ends."""
+    """Run a writer with `plans` plans and `count - 1` replicas in sync with it, until the block ends."""
     with tempfile.TemporaryDirectory() as folder_name:
         folder = Path(folder_name)
         platform = folder / "platform.json"
@@ -93,9 +96,12 @@
 
 
 def wait_for_version(running: list[RunningControl], version: int) -> None:
-    """Wait until all control processes have this version. Raises MeasurementTimeoutError."""
-    deadline = time.monotonic() + START_S
+    """Wait until all control processes have at least this version.
+
+    Raises MeasurementTimeoutError after `START_TIMEOUT_S` seconds.
+    """
+    deadline = time.monotonic() + START_TIMEOUT_S
     while any(control.status()["version"] < version for control in running):
         if time.monotonic() > deadline:
-            raise MeasurementTimeoutError.control_version(version, START_S)
-        time.sleep(CHECK_EVERY_S)
+            raise MeasurementTimeoutError.control_version(version, START_TIMEOUT_S)
+        time.sleep(CHECK_INTERVAL_S)
--- a/granitedock/lab/scale/errors.py
+++ b/granitedock/lab/scale/errors.py
@@ -1,7 +1,8 @@
 """The errors of the scale measurements.
 
-They are made by class methods and carry one text only, as they are pickled on the way from the measurement's
-process."""
+Class methods build the texts. Each error has one text as its only argument, because it is pickled when it
+passes from the measurement's process to the process that started it.
+"""
 
 from __future__ import annotations
 
@@ -12,93 +13,95 @@
 
 
 class ScaleError(GranitedockError, RuntimeError):
-    """A measurement or its page that could not be made; its text says which and why."""
+    """A measurement failed or its page could not be written; the text names which one and the reason."""
 
 
 class ResultsFileError(ScaleError):
-    """A file of results that cannot be used."""
+    """A results file cannot be used."""
 
     @classmethod
     def unreadable(cls, path: Path, error: OSError) -> ResultsFileError:
-        """The operating system does not give the file."""
-        return cls(f"{path}: cannot be read: {error.strerror}")
+        """Return the error for a results file that the operating system cannot read."""
+        return cls(f"{path}: cannot read the results file: {error.strerror}")
 
     @classmethod
     def malformed(cls, path: Path, error: Exception) -> ResultsFileError:
-        """The file holds something else."""
+        """Return the error for a file whose content is not a run's results."""
         return cls(f"{path}: no results of lab scale: {type(error).__name__}: {error}")
 
 
 class PageError(ScaleError):
-    """A page that cannot be filled."""
+    """A page cannot be filled."""
 
     @classmethod
     def unknown_sections(cls, file_name: str, sections: Iterable[str]) -> PageError:
-        """The page has sections that no table is made for."""
+        """Return the error for a page that has sections without a table."""
         return cls(f"{file_name}: no such section of figures: {', '.join(sections)}")
 
     @classmethod
     def unwritable(cls, path: Path, error: OSError) -> PageError:
-        """The operating system does not give the file."""
-        return cls(f"{path}: {error.strerror}")
+        """Return the error for a page that the operating system cannot read or write."""
+        return cls(f"{path}: cannot read or write the page: {error.strerror}")
 
 
 class UnknownKindError(ScaleError):
-    """A kind of measurement that does not exist."""
+    """A kind of measurement does not exist."""
 
     @classmethod
     def of(cls, kind: str, kinds: Iterable[str]) -> UnknownKindError:
-        """Names the kinds that exist."""
-        return cls(f"no such kind: {kind}; one of {', '.join(kinds)}")
+        """Return the error that lists the existing kinds."""
+        return cls(f"no such kind of measurement: {kind}; expected one of {', '.join(kinds)}")
 
 
 class MachineLimitError(ScaleError):
-    """Sizes that the machine has no room for."""
+    """The sizes exceed a limit of the machine."""
 
     @classmethod
     def descriptors(cls, needed: int, available: int) -> MachineLimitError:
-        """More descriptors than a process may have."""
-        return cls(f"sizes need {needed:,} descriptors, and a process may have {available:,}")
+        """Return the error for sizes that need more file descriptors than a process may open."""
+        return cls(f"sizes need {needed:,} descriptors, more than the {available:,} that a process may open")
 
     @classmethod
     def memory(cls, needed_mb: float, total_mb: float) -> MachineLimitError:
-        """More than half of the memory."""
-        return cls(f"sizes need some {needed_mb:,.0f} MB, and half of the memory is {total_mb / 2:,.0f}")
+        """Return the error for sizes that need more than half of the machine's memory."""
+        return cls(
+            f"sizes need about {needed_mb:,.0f} MB, more than half of the memory, {total_mb / 2:,.0f} MB"
+        )
 
     @classmethod
     def connections(cls, count: int, error: OSError) -> MachineLimitError:
-        """More connections to the counter than could be opened."""
-        return cls(f"{count} connections to the counter: {error}")
+        """Return the error for connections to the counter that could not be opened."""
+        return cls(f"cannot open {count} connections to the counter: {error}")
 
 
 class ProcessError(ScaleError):
-    """A process of a measurement that did not start, or ended early."""
+    """A process of a measurement did not start or ended early."""
 
     @classmethod
     def not_started(cls, name: str, output: str) -> ProcessError:
-        """The process printed no address; `output` is the end of what it wrote besides."""
+        """Return the error for a process that printed no address; `output` is the end of its error output."""
         return cls(f"{name} did not start: {output}")
 
     @classmethod
     def ended(cls, return_code: int) -> ProcessError:
-        """The process ended before it answered."""
-        return cls(f"a process ended early with code {return_code}")
+        """Return the error for a process that ended before it answered."""
+        return cls(f"a measurement's process ended before its answer, with exit code {return_code}")
 
 
 class MeasurementTimeoutError(ScaleError):
-    """A state that a measurement waited for and that did not come in time."""
+    """A measurement waited for a state that was not reached in time."""
 
     @classmethod
-    def gateway(cls, address: str, within_s: float) -> MeasurementTimeoutError:
-        """A gateway has taken no endpoint list in."""
-        return cls(f"the gateway at {address} did not get ready in {within_s:g} s")
+    def gateway(cls, address: str, timeout_s: float) -> MeasurementTimeoutError:
+        """Return the error for a gateway that has not applied an endpoint list."""
+        return cls(f"gateway at {address} was not ready within {timeout_s:g} s")
 
     @classmethod
-    def hollow_gateways(cls, missing: int, count: int, within_s: float) -> MeasurementTimeoutError:
-        """Some hollow gateways have not reached the state."""
-        return cls(f"{missing} of {count} hollow gateways were not there in {within_s:g} s")
+    def hollow_gateways(cls, missing: int, count: int, timeout_s: float) -> MeasurementTimeoutError:
+        """Return the error for hollow gateways that have not reached the state."""
+        return cls(f"{missing} of {count} hollow gateways did not reach the state within {timeout_s:g} s")
 
     @classmethod
-    def control_version(cls, version: int, within_s: float) -> MeasurementTimeoutError:
-        """Some control processes have an older version."""
-        return cls(f"not all control processes had version {version} in {within_s:g} s")
+    def control_version(cls, version: int, timeout_s: float) -> MeasurementTimeoutError:
+        """Return the error for control processes that still have an older version."""
+        return cls(f"not all control processes reached version {version} within {timeout_s:g} s")
--- a/granitedock/lab/scale/fleet.py
+++ b/granitedock/lab/scale/fleet.py
@@ -1,4 +1,4 @@
-"""What endpoint lists and their updates cost a whole fleet of hollow gateways on one machine."""
+"""Measure endpoint lists and their updates at a whole fleet of hollow gateways on one machine."""
 
 from __future__ import annotations
 
@@ -11,16 +11,24 @@
 
 REST_S = 5.0
 CHANGES = 8
-CHANGE_EVERY_S = 1.0
-MIN_LIVE_SHARE = 0.98  # of the fleet held live by each member: on a busy machine some are always suspected
+CHANGE_INTERVAL_S = 1.0
+# Share of the fleet that each member must see as live. On a busy machine some members are always suspected.
+MIN_LIVE_SHARE = 0.98
 
 
 @dataclass(frozen=True, slots=True)
 class FleetCost:
-    """So many hollow gateways before so many hosts: seconds until all had the full list, a gateway's MiB;
-    at rest, a gateway's part of a core and bytes a second (watch and membership); updates of one host each:
-    seconds until each gateway had them, bytes and processor ms of a gateway an update, and of discovery an
-    update. `view` says whether the gateways were members of a fleet."""
+    """The cost of endpoint lists at `gateways` hollow gateways and `hosts` hosts.
+
+    `first_list_s` is the time until all gateways have the full list, `memory_mb` a gateway's memory in MiB.
+
+    The `rest_` fields hold while nothing changes: one gateway's share of a core, the bytes per second of its
+    watch on discovery and its membership messages per second.
+
+    The `change_` fields are for updates of one host each: the seconds until a gateway has an update (p50,
+    p99, worst), and a gateway's bytes and processor ms per update. `discovery_change_cpu_ms` is discovery's
+    processor time per update. `view` is true if the gateways were members of a cluster.
+    """
 
     gateways: int
     hosts: int
@@ -40,8 +48,11 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateMeasurement:
-    """Updates one after another: the seconds until each gateway had each, the fleet's usage meanwhile, and
-    the processor seconds of the emulator."""
+    """A series of updates.
+
+    `delays_s` has the seconds until each gateway has each update, `usage` is the fleet's usage during the
+    series, and `emulator_cpu_s` the processor seconds of the discovery emulator.
+    """
 
     delays_s: list[float]
     usage: UsageInterval
@@ -49,15 +60,15 @@
 
 
 def measure_rest(fleet: HollowFleet) -> UsageInterval:
-    """What the fleet uses in `REST_S` while nothing changes."""
-    time.sleep(REST_S)  # the start's work is over
+    """Measure the fleet's usage during `REST_S` seconds in which nothing changes."""
+    time.sleep(REST_S)  # The work of the start has to end before the measurement.
     before = FleetUsage.take(fleet)
     time.sleep(REST_S)
     return UsageInterval(before, FleetUsage.take(fleet))
 
 
 def measure_updates(emulator: CommandProcess, fleet: HollowFleet, version: int) -> UpdateMeasurement:
-    """One host changes again and again, from this version of the list on."""
+    """Measure `CHANGES` updates of one host each, starting from this version of the endpoint list."""
     before = FleetUsage.take(fleet)
     emulator_cpu_before = emulator.query({})["cpu_s"]
     sent_at: dict[str, float] = {}
@@ -65,21 +76,21 @@
         version += 1
         sent_at[str(version)] = time.monotonic()
         emulator.query({"change": 1})
-        time.sleep(CHANGE_EVERY_S)
+        time.sleep(CHANGE_INTERVAL_S)
     fleet.wait_until(lambda state: state.list_version >= version)
     emulator_cpu_s = emulator.query({})["cpu_s"] - emulator_cpu_before
     usage = UsageInterval(before, FleetUsage.take(fleet))
     delays_s = [
-        state.list_at[number] - at
+        state.list_at[number] - update_sent_at
         for state in fleet.gateways()
-        for number, at in sent_at.items()
+        for number, update_sent_at in sent_at.items()
         if number in state.list_at
     ]
     return UpdateMeasurement(delays_s, usage, emulator_cpu_s)
 
 
 def measure(gateways: int, hosts: int, membership: bool) -> FleetCost:
-    """A fleet of hollow gateways that follows one discovery emulator."""
+    """Measure a fleet of hollow gateways that follows one discovery emulator."""
     with command_process(ENDPOINT_LIST_EMULATOR, str(hosts)) as emulator:
         started_at = time.monotonic()
         with hollow_fleet(gateways, emulator.announcement, membership) as fleet:
--- a/granitedock/lab/scale/gateway_process.py
+++ b/granitedock/lab/scale/gateway_process.py
@@ -1,4 +1,4 @@
-"""One real gateway process before emulated hosts, a counter and discovery, each a process of its own."""
+"""Run one real gateway process with emulated hosts, counter and discovery, each in its own process."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 from granitedock.lab.scale.load_scenarios import emulator_scenario_text
 from granitedock.lab.scale.platform import platform_settings
 
-START_S = 30.0
-CHECK_EVERY_S = 0.05
-ANSWER_S = 3.0
+START_TIMEOUT_S = 30.0
+CHECK_INTERVAL_S = 0.05
+ANSWER_TIMEOUT_S = 3.0
 COUNTER_EMULATOR = "granitedock.lab.emulators.counter"
 DISCOVERY_EMULATOR = "granitedock.lab.emulators.discovery"
 HOST_EMULATOR = "granitedock.lab.emulators.hosts"
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningGateway:
-    """A gateway that has an endpoint list: its process, its address, and the addresses of its hosts."""
+    """A gateway that has applied an endpoint list: its process id, its address and its hosts' addresses."""
 
     pid: int
     address: str
@@ -42,8 +42,11 @@
 
 @contextmanager
 def running_gateway(hosts: int, counting: bool) -> Iterator[RunningGateway]:
-    """Run a gateway with its emulators until the block ends. Raises ProcessError and
-    MeasurementTimeoutError."""
+    """Run a gateway with its emulators until the block ends.
+
+    With `counting`, the gateway calls the counter for each request. Raises ProcessError if an emulator does
+    not start and MeasurementTimeoutError if the gateway does not get ready.
+    """
     with tempfile.TemporaryDirectory() as folder_name:
         folder = Path(folder_name)
         scenario_path = folder / "scenario.toml"
@@ -72,7 +75,10 @@
 
 @contextmanager
 def gateway_process(folder: Path, platform_record: dict[str, Any]) -> Iterator[subprocess.Popen[bytes]]:
-    """Run one gateway by the platform's file until the block ends; it has an endpoint list."""
+    """Run one gateway with this platform file until the block ends.
+
+    The block starts when the gateway has applied an endpoint list.
+    """
     path = folder / "gateway.json"
     path.write_bytes(orjson.dumps(platform_record))
     with (folder / "gateway.log").open("wb") as log:
@@ -87,31 +93,37 @@
 
 
 def read_counters(address: str) -> dict[str, int]:
-    """The counters of a running gateway. Raises click.ClickException where it does not answer."""
-    lines = query_gateway(address, b"INFO", ANSWER_S).decode().split()
+    """Return the counters of a running gateway.
+
+    Raises click.ClickException if the gateway does not answer.
+    """
+    lines = query_gateway(address, b"INFO", ANSWER_TIMEOUT_S).decode().split()
     return {name: int(value) for name, _, value in (line.partition(":") for line in lines)}
 
 
 def has_endpoint_list(address: str) -> bool:
-    """Whether the gateway answers and has applied an endpoint list."""
+    """Return whether the gateway answers and has applied an endpoint list."""
     try:
         return bool(read_counters(address).get("lists"))
     except (click.ClickException, ValueError):
-        return False  # a process that does not listen yet
+        return False  # The process does not listen yet.
 
 
 def wait_until_ready(process: subprocess.Popen[bytes], address: str) -> None:
-    """Wait until the gateway has an endpoint list. Raises MeasurementTimeoutError, also where it ended."""
-    deadline = time.monotonic() + START_S
+    """Wait until the gateway has applied an endpoint list.
+
+    Raises MeasurementTimeoutError after `START_TIMEOUT_S` seconds, and at once if the process ends.
+    """
+    deadline = time.monotonic() + START_TIMEOUT_S
     while time.monotonic() < deadline and process.poll() is None:
         if has_endpoint_list(address):
             return
-        time.sleep(CHECK_EVERY_S)
-    raise MeasurementTimeoutError.gateway(address, START_S)
+        time.sleep(CHECK_INTERVAL_S)
+    raise MeasurementTimeoutError.gateway(address, START_TIMEOUT_S)
 
 
 def free_port() -> int:
-    """A port of loopback that nobody listened at just now."""
+    """Return a loopback port that is free at the time of the call."""
     with socket.create_server((LOOPBACK, 0)) as server:
         port: int = server.getsockname()[1]
         return port
--- a/granitedock/lab/scale/hollow_fleet.py
+++ b/granitedock/lab/scale/hollow_fleet.py
@@ -1,4 +1,4 @@
-"""Hundreds of hollow gateways over a few processes, and what they use together."""
+"""Run hundreds of hollow gateways in a few processes and measure the resources that they use together."""
 
 from __future__ import annotations
 
@@ -12,26 +12,29 @@
 from granitedock.lab.scale.child_processes import CommandProcess
 from granitedock.lab.scale.errors import MeasurementTimeoutError
 
-PROCESSES = 10
-FIRST_NET = 200
-NETS = 50
-WITHIN_S = 90.0
-CHECK_EVERY_S = 0.2
+MAX_PROCESSES = 10
+FIRST_LOOPBACK_NET = 200
+LOOPBACK_NETS = 50
+STATE_TIMEOUT_S = 90.0
+CHECK_INTERVAL_S = 0.2
 
 
 def membership_net() -> int:
-    """The second number of a loopback net for the membership of this process's fleets (127.N)."""
-    return FIRST_NET + os.getpid() % NETS
+    """Return N of the loopback net 127.N that the members of this process's fleets use.
+
+    It depends on the process id, so that fleets of processes that run at once use different nets.
+    """
+    return FIRST_LOOPBACK_NET + os.getpid() % LOOPBACK_NETS
 
 
 class HollowFleet:
-    """So many hollow gateways over at most `PROCESSES` processes."""
+    """`gateways` hollow gateways, spread evenly over at most `MAX_PROCESSES` processes."""
 
     def __init__(
         self, gateways: int, discovery: str, membership: bool, control: list[str], cluster: str
     ) -> None:
         self.count = gateways
-        process_count = min(PROCESSES, gateways)
+        process_count = min(MAX_PROCESSES, gateways)
         self.processes = [CommandProcess("granitedock.lab.hollow") for _ in range(process_count)]
         net = membership_net() if membership else 0
         first = 0
@@ -43,7 +46,7 @@
             process.read_answer()
 
     def statuses(self) -> list[HollowStatus]:
-        """Each process's status."""
+        """Query all processes and return the status of each one."""
         for process in self.processes:
             process.send({"status": True})
         records = [process.read_answer() for process in self.processes]
@@ -57,21 +60,25 @@
         ]
 
     def gateways(self) -> list[GatewayState]:
-        """Each gateway's state."""
+        """Return the state of every gateway."""
         return [state for status in self.statuses() for state in status.gateways]
 
-    def wait_until(self, condition: Callable[[GatewayState], bool], within_s: float = WITHIN_S) -> float:
-        """Wait until the condition is true of each gateway; the seconds waited. Raises
-        MeasurementTimeoutError."""
+    def wait_until(
+        self, condition: Callable[[GatewayState], bool], timeout_s: float = STATE_TIMEOUT_S
+    ) -> float:
+        """Wait until the condition is true for every gateway and return the wait in seconds.
+
+        Raises MeasurementTimeoutError after `timeout_s` seconds.
+        """
         started_at = time.monotonic()
         while True:
             states = self.gateways()
             missing = sum(not condition(state) for state in states)
             if not missing:
                 return time.monotonic() - started_at
-            if time.monotonic() - started_at > within_s:
-                raise MeasurementTimeoutError.hollow_gateways(missing, len(states), within_s)
-            time.sleep(CHECK_EVERY_S)
+            if time.monotonic() - started_at > timeout_s:
+                raise MeasurementTimeoutError.hollow_gateways(missing, len(states), timeout_s)
+            time.sleep(CHECK_INTERVAL_S)
 
     def stop(self) -> None:
         """Kill all processes."""
@@ -87,7 +94,10 @@
     control: tuple[str, ...] = (),
     cluster: str = "lab",
 ) -> Iterator[HollowFleet]:
-    """Run a hollow fleet until the block ends; `discovery` and `control` are addresses."""
+    """Run a hollow fleet until the block ends.
+
+    `discovery` is the address of discovery, `control` are the addresses of the control processes.
+    """
     fleet = HollowFleet(gateways, discovery, membership, list(control), cluster)
     try:
         yield fleet
@@ -97,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetUsage:
-    """Sums over the fleet at a moment (steady seconds)."""
+    """Totals over the fleet at the time `taken_at` (monotonic seconds)."""
 
     taken_at: float
     cpu_s: float
@@ -107,7 +117,7 @@
 
     @classmethod
     def take(cls, fleet: HollowFleet) -> FleetUsage:
-        """The fleet's usage now."""
+        """Return the fleet's current usage."""
         statuses = fleet.statuses()
         states = [state for status in statuses for state in status.gateways]
         return cls(
@@ -121,27 +131,27 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageInterval:
-    """What the fleet used between two moments."""
+    """The fleet's usage between two readings."""
 
     before: FleetUsage
     after: FleetUsage
 
     @property
     def elapsed_s(self) -> float:
-        """Its length."""
+        """Time between the two readings, in seconds."""
         return self.after.taken_at - self.before.taken_at
 
     @property
     def cpu_s(self) -> float:
-        """Processor seconds."""
+        """Processor time used, in seconds."""
         return self.after.cpu_s - self.before.cpu_s
 
     @property
     def watch_bytes(self) -> int:
-        """Bytes of the watches on discovery."""
+        """Bytes received on the watches of discovery."""
         return self.after.watch_bytes - self.before.watch_bytes
 
     @property
     def membership_messages(self) -> int:
-        """Datagrams of the membership sent."""
+        """Membership datagrams sent."""
         return self.after.membership_messages - self.before.membership_messages
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -79,10 +79,10 @@
 
 
 def test_hollow_gateways_over_real_sockets_all_get_the_list_and_each_change_in_a_few_bytes(monkeypatch):
-    monkeypatch.setattr(hollow_fleet, "PROCESSES", 2)
+    monkeypatch.setattr(hollow_fleet, "MAX_PROCESSES", 2)
     monkeypatch.setattr(fleet, "REST_S", 0.5)
     monkeypatch.setattr(fleet, "CHANGES", 3)
-    monkeypatch.setattr(fleet, "CHANGE_EVERY_S", 0.1)
+    monkeypatch.setattr(fleet, "CHANGE_INTERVAL_S", 0.1)
     small, large = fleet.measure(6, 20, True), fleet.measure(6, 200, False)
     assert small.gateways == large.gateways == 6
     assert large.change_bytes < 2.0 * small.change_bytes  # whatever the list's length
