--- a/granitedock/lab/scale/__init__.py
+++ b/granitedock/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale measurements: what a gateway and its peers cost per host, plan, gateway, request and change."""
+"""Scale measurements: the cost of a gateway and its peers per host, plan, gateway, request and change."""
--- a/granitedock/lab/scale/command_server.py
+++ b/granitedock/lab/scale/command_server.py
@@ -1,4 +1,4 @@
-"""The commands that a process of a measurement takes on standard input, one JSON object a line."""
+"""Serve the commands that a measurement's process reads from standard input, one JSON object per line."""
 
 from __future__ import annotations
 
@@ -16,8 +16,10 @@
 def serve_commands(
     reactor: PosixReactorBase, handle_command: Callable[[dict[str, Any]], dict[str, Any]]
 ) -> None:
-    """Handle each command on the reactor and answer it with one line of JSON on standard output. The reactor
-    stops at the end of the input."""
+    """Handle each command on the reactor and answer it with one line of JSON on standard output.
+
+    The reactor stops at the end of the input.
+    """
 
     def answer(line: bytes) -> None:
         sys.stdout.buffer.write(orjson.dumps(handle_command(orjson.loads(line))) + b"\n")
--- a/granitedock/lab/scale/documents.py
+++ b/granitedock/lab/scale/documents.py
@@ -1,4 +1,4 @@
-"""What the configuration's document costs a gateway and a control process per plan; no sockets."""
+"""Measure the configuration document per plan, at a gateway and a control process, without sockets."""
 
 from __future__ import annotations
 
@@ -21,15 +21,19 @@
 
 NOW_MS = 1e12
 CLUSTER = "lab"
-SOURCE = "made up"  # who made the changes, for the document's history
+SOURCE = "made up"  # Source of the changes in the document's history.
 
 
 @dataclass(frozen=True, slots=True)
 class DocumentCost:
-    """At so many plans: bytes of a snapshot; processor ms to make it at control, and to apply it at a
-    gateway; the longest turn of the gateway's loop for one of its lines, ms; MiB of the document at a
-    gateway; ms to open the store, to apply one change at control (with its disk), and to apply it at a
-    gateway."""
+    """The cost of a document with `plans` plans.
+
+    `snapshot_bytes` is the size of a snapshot, `make_ms` the processor time to create it at the control
+    process and `take_in_ms` that to apply it at a gateway. `longest_turn_ms` is the longest time that one of
+    its lines blocks the gateway's event loop. `memory_mb` is the document's memory at a gateway in MiB.
+    `open_ms` is the processor time to load the store. `control_change_ms` is the elapsed time to apply one
+    change at the control process, disk included, and `gateway_change_ms` that at a gateway.
+    """
 
     plans: int
     snapshot_bytes: int
@@ -44,29 +48,29 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeTimes:
-    """Elapsed ms of one change at control, with its disk, and at a gateway."""
+    """Elapsed ms to apply one change at the control process, disk included, and at a gateway."""
 
     control_ms: float
     gateway_ms: float
 
 
 def new_document() -> ReplicatedDocument:
-    """The document of a gateway that has only the platform's file."""
+    """Return the document of a gateway that has only the platform file."""
     return ReplicatedDocument(GatewayApplier(build_state_machine(platform_file()), lambda: NOW_MS))
 
 
 def apply_snapshot(document: ReplicatedDocument, lines: list[bytes]) -> float:
-    """Apply all lines of a snapshot; the elapsed ms of the longest."""
-    longest = 0.0
+    """Apply all lines of a snapshot and return the elapsed ms of the slowest line."""
+    longest_s = 0.0
     for line in lines:
         started_at = time.perf_counter()
-        apply_line(document, line)
-        longest = max(longest, time.perf_counter() - started_at)
-    return longest * 1000.0
+        apply_snapshot_line(document, line)
+        longest_s = max(longest_s, time.perf_counter() - started_at)
+    return longest_s * 1000.0
 
 
-def apply_line(document: ReplicatedDocument, line: bytes) -> None:
-    """Apply one line of a snapshot. Raises TypeError for another message."""
+def apply_snapshot_line(document: ReplicatedDocument, line: bytes) -> None:
+    """Apply one line of a snapshot. Raises TypeError if the message is not part of a snapshot."""
     message = decode(line)
     if isinstance(message, SnapshotBegins):
         document.begin_snapshot()
@@ -78,15 +82,15 @@
         raise TypeError(message)
 
 
-def document_of(lines: list[bytes]) -> ReplicatedDocument:
-    """A gateway's document that has applied this snapshot."""
+def document_from_snapshot(lines: list[bytes]) -> ReplicatedDocument:
+    """Return a gateway's document that has applied this snapshot."""
     document = new_document()
     apply_snapshot(document, lines)
     return document
 
 
 def measure_change(control: ControlNode, document: ReplicatedDocument) -> ChangeTimes:
-    """One plan's change, applied at control and then at a gateway."""
+    """Apply a change of one plan at the control process, then at a gateway, and return both times."""
     plan = {"Name": "tenant-00000", "Refill": 33, "MostAtOnce": 66}
     change = change_from_record({"base": 1, "plans": {"upsert": [plan]}}, SOURCE)
     started_at = time.perf_counter()
@@ -99,7 +103,7 @@
 
 
 def measure_open_ms(path: Path) -> float:
-    """Processor ms to load the document from its store."""
+    """Return the processor ms to load the document from its store."""
     contents: Contents[bytes] = Contents(ControlNode.make_value)
     store = DocumentStore(path, CLUSTER)
     open_ms = cpu_ms(lambda: store.load(contents), 1)
@@ -108,18 +112,18 @@
 
 
 def measure(count: int) -> DocumentCost:
-    """One document of `count` plans."""
+    """Measure one document of `count` plans."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "control.db"
         control = ControlNode(DocumentStore(path, CLUSTER), True, lambda: 0.0, lambda _followers: None)
         control.import_settings(platform_settings(count), SOURCE)
         lines = control.snapshot_lines()
         make_ms = cpu_ms(control.snapshot_lines)
-        apply_ms = cpu_ms(lambda: document_of(lines))
+        apply_ms = cpu_ms(lambda: document_from_snapshot(lines))
         longest_turn_ms = min(apply_snapshot(new_document(), lines) for _ in range(3))
         empty_bytes = allocated_bytes(new_document)
-        document_bytes = allocated_bytes(lambda: document_of(lines)) - empty_bytes
-        change_times = measure_change(control, document_of(lines))
+        document_bytes = allocated_bytes(lambda: document_from_snapshot(lines)) - empty_bytes
+        change_times = measure_change(control, document_from_snapshot(lines))
         control.store.close()
         open_ms = measure_open_ms(path)
     return DocumentCost(
--- a/granitedock/lab/scale/endpoint_list_emulator.py
+++ b/granitedock/lab/scale/endpoint_list_emulator.py
@@ -1,12 +1,14 @@
-"""A discovery emulator at fleet size: thousands of hosts, hundreds of watches, full lists and updates.
+"""Emulate discovery at fleet size: thousands of hosts, hundreds of watches, full lists and updates.
 
-The wire is that of `lab/emulators/discovery.py`. A new watch gets the full list; later updates go out as
-lists that name only what changed (`"reset": false`). A silent emulator leaves its watches open and writes
+The protocol is that of `lab/emulators/discovery.py`. A new watch receives the full list; each later update is
+a list of only the changed hosts (`"reset": false`). A silent emulator keeps its watches open and writes
 nothing.
 
-Run as `python -m granitedock.lab.scale.endpoint_list_emulator HOSTS`: prints its address as one JSON line,
-takes one JSON command a line on standard input (`{"change": N}`, `{"silent": true}`) and answers each with
-one JSON line: the list's generation, watches open and processor seconds used."""
+Run as `python -m granitedock.lab.scale.endpoint_list_emulator HOSTS`. The process prints its address as one
+JSON line, reads one JSON command per line from standard input (`{"change": N}`, `{"silent": true}`) and
+answers each with one JSON line: the list's generation, the number of open watches and the processor seconds
+used.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +29,8 @@
     from twisted.internet.posixbase import PosixReactorBase
 
 HEARTBEAT_S = 1.0
-UPDATE_STRIDE = 131  # hosts between the first ones of two updates, so that each update has other hosts
+# Distance between the first hosts of two updates, so that successive updates change different hosts.
+UPDATE_STRIDE = 131
 
 
 class EndpointListEmulator:
@@ -44,16 +47,16 @@
         self.port: IListeningPort | None = None
 
     def listen(self) -> str:
-        """Listen on a free port of loopback; returns the address."""
+        """Listen on a free loopback port and return the address."""
         self.port, number = listen_on_loopback(self.reactor, 0, lambda: WatchConnection(self))
         self.reactor.callLater(HEARTBEAT_S, self.write_heartbeat)
         return f"{LOOPBACK}:{number}"
 
     def record_written(self, line: bytes) -> None:
-        """A list is written to a new watch: nothing is recorded here."""
+        """Ignore that a list was written to a new watch; this emulator keeps no record."""
 
     def write_heartbeat(self) -> None:
-        """Write an empty line to each watch, each `HEARTBEAT_S`."""
+        """Write an empty line to each watch every `HEARTBEAT_S` seconds."""
         self.write_to_all(b"\n")
         self.reactor.callLater(HEARTBEAT_S, self.write_heartbeat)
 
@@ -65,7 +68,7 @@
             watch.write(line)
 
     def update_hosts(self, count: int) -> None:
-        """So many hosts begin to drain, or end it; one update with just these goes to each watch."""
+        """Start draining `count` hosts, or end it where they drain, and send this update to each watch."""
         self.generation += 1
         numbers = [(self.generation * UPDATE_STRIDE + n) % self.hosts for n in range(count)]
         self.draining.symmetric_difference_update(numbers)
@@ -73,16 +76,16 @@
         self.write_to_all(self.encode_list(False, numbers) + b"\n")
 
     def encode_list(self, complete: bool, numbers: range | list[int]) -> bytes:
-        """The hosts of these numbers as a list of the present generation."""
+        """Encode the hosts with these numbers as a list of the current generation."""
         instances = [host_record(number, self.lifecycle(number)) for number in numbers]
         return orjson.dumps({"generation": self.generation, "reset": complete, "instances": instances})
 
     def lifecycle(self, number: int) -> str:
-        """A host's lifecycle on the wire."""
+        """Return a host's lifecycle as it is sent."""
         return TERMINATING if number in self.draining else IN_SERVICE
 
     def handle_command(self, command: dict[str, Any]) -> dict[str, Any]:
-        """Carry one command out; the emulator's state afterwards."""
+        """Execute one command and return the emulator's state after it."""
         if "change" in command:
             self.update_hosts(command["change"])
         if "silent" in command:
--- a/granitedock/lab/scale/growth.py
+++ b/granitedock/lab/scale/growth.py
@@ -1,4 +1,4 @@
-"""How a measured cost grows with a count: a straight line by least squares, and the growth's form."""
+"""Fit how a measured cost grows with a count: a least-squares line, and the form of the growth."""
 
 from __future__ import annotations
 
@@ -6,26 +6,31 @@
 from dataclasses import dataclass
 from math import log
 
-FLAT_BELOW = 0.2  # a growth exponent below it counts as flat
-LINEAR_BELOW = 1.25  # and up to this one as linear
+FLAT_BELOW_EXPONENT = 0.2  # Growth with a smaller exponent is classed as flat.
+LINEAR_BELOW_EXPONENT = 1.25  # Growth with a smaller exponent that is not flat is classed as linear.
 
 
 @dataclass(frozen=True, slots=True)
 class LinearFit:
-    """A straight line by least squares: cost = intercept + slope x count."""
+    """A least-squares line: cost = intercept + slope x count."""
 
     slope: float
     intercept: float
 
     def at(self, count: float) -> float:
-        """The line's cost at this count."""
+        """Return the cost that the line gives for this count."""
         return self.intercept + self.slope * count
 
 
 def fit_line(measurements: Sequence[object], count: str, cost: str) -> LinearFit:
-    """The line through the field `cost` by the field `count`: flat where there is one measurement, nan where
-    there is none."""
-    points = [(float(getattr(one, count)), float(getattr(one, cost))) for one in measurements]
+    """Fit a line to the field `cost` over the field `count`.
+
+    The line is flat if there is only one measurement, and nan if there is none.
+    """
+    points = [
+        (float(getattr(measurement, count)), float(getattr(measurement, cost)))
+        for measurement in measurements
+    ]
     if not points:
         return LinearFit(float("nan"), float("nan"))
     mean_count = sum(x for x, _ in points) / len(points)
@@ -38,7 +43,7 @@
 
 
 def growth_exponent(measurements: Sequence[object], count: str, cost: str) -> float:
-    """By which power of the count the cost grows from the first measurement to the last."""
+    """Return the power of the count by which the cost grows from the first to the last measurement."""
     first = measurements[0]
     last = measurements[-1]
     cost_ratio = getattr(last, cost) / getattr(first, cost)
@@ -47,10 +52,13 @@
 
 
 def growth_form(measurements: Sequence[object], count: str, cost: str) -> str:
-    """`flat`, `linear` or `more than linear` by the growth exponent; `not told` where there is none."""
+    """Classify the growth as `flat`, `linear` or `more than linear` by its exponent.
+
+    Returns `not told` if there is no exponent: fewer than two measurements, or a cost that is not positive.
+    """
     if len(measurements) < 2 or getattr(measurements[0], cost) <= 0 or getattr(measurements[-1], cost) <= 0:
         return "not told"
     power = growth_exponent(measurements, count, cost)
-    if power < FLAT_BELOW:
+    if power < FLAT_BELOW_EXPONENT:
         return "flat"
-    return "linear" if power < LINEAR_BELOW else "more than linear"
+    return "linear" if power < LINEAR_BELOW_EXPONENT else "more than linear"
--- a/granitedock/lab/scale/hosts.py
+++ b/granitedock/lab/scale/hosts.py
@@ -1,4 +1,4 @@
-"""What one gateway pays per host: the endpoint list, an update of it, the periodic work and memory."""
+"""Measure one gateway's cost per host: the endpoint list, an update of it, periodic work and memory."""
 
 from __future__ import annotations
 
@@ -21,10 +21,13 @@
 
 @dataclass(frozen=True, slots=True)
 class HostCost:
-    """At so many hosts: bytes of a full list and of an update of one host, processor ms, MiB.
+    """The cost of `hosts` hosts at one gateway.
 
-    `read_ms` decodes the full list and `take_in_ms` applies it; `change_ms` decodes and applies an update;
-    `sweep_ms` is one periodic maintenance, `look_round_ms` one refresh of the load balancer."""
+    `list_bytes` is the size of a full list and `change_bytes` that of an update of one host. The times are
+    processor ms: `read_ms` to decode the full list, `take_in_ms` to apply it, `change_ms` to decode and apply
+    an update, `sweep_ms` for one periodic maintenance and `look_round_ms` for one refresh of the load
+    balancer. `memory_mb` is in MiB.
+    """
 
     hosts: int
     list_bytes: int
@@ -38,20 +41,20 @@
 
 
 class DiscardingEffects:
-    """I/O and event log of a state machine whose effects nobody carries out."""
+    """I/O and event log of a state machine that discard all effects."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
 
     def event(self, event: str, /, **figures: Any) -> None:
-        """Drop the line."""
+        """Discard the event."""
 
     def __getattr__(self, name: str) -> Callable[..., None]:
         return lambda *_: None
 
 
 def build_state_machine(platform_record: dict[str, Any]) -> GatewayStateMachine:
-    """A gateway's state machine by the platform's file, before any input."""
+    """Build the state machine of a gateway with this platform file, before any input."""
     effects = DiscardingEffects()
     limits = Limits.from_platform_file(platform_record)
     parameters = GatewayParameters(
@@ -61,14 +64,14 @@
 
 
 def state_machine_with(endpoints: EndpointListUpdate) -> GatewayStateMachine:
-    """A gateway's state machine that has applied this endpoint list."""
+    """Build the state machine of a gateway that has applied this endpoint list."""
     state_machine = build_state_machine(platform_file())
     state_machine.endpoints.update(endpoints)
     return state_machine
 
 
 def measure(count: int) -> HostCost:
-    """One gateway that applies a full list of `count` hosts and then one update of it."""
+    """Measure one gateway that applies a full list of `count` hosts and then an update of one host."""
     list_line = orjson.dumps(full_list_record(count))
     update_line = orjson.dumps({"generation": 2, "reset": False, "instances": [host_record(0, TERMINATING)]})
     state_machine = build_state_machine(platform_file())
--- a/granitedock/lab/scale/load_scenarios.py
+++ b/granitedock/lab/scale/load_scenarios.py
@@ -1,16 +1,16 @@
-"""Scenario files of the measurements under load: so many hosts of a fixed service time, and their clients."""
+"""Scenario files for the measurements under load: hosts with a fixed service time, and their clients."""
 
 from __future__ import annotations
 
 from granitedock.lab.scenario import Scenario, parse
 
-MAX_ZONE_HOSTS = 500  # of one zone in a scenario
+MAX_ZONE_HOSTS = 500  # The most hosts that a scenario can have in one zone.
 SERVICE_MS = 2.0
 CUSTOMERS = 40
 
 
 def zone_lines(hosts: int) -> list[str]:
-    """So many hosts, in zones of a scenario's file."""
+    """Return the lines of a scenario file for `hosts` hosts, divided into zones."""
     lines = []
     for zone, first in enumerate(range(0, hosts, MAX_ZONE_HOSTS)):
         lines.append(f'[[fleet.zones]]\nname = "z{zone}"\nhosts = {min(MAX_ZONE_HOSTS, hosts - first)}')
@@ -19,7 +19,10 @@
 
 
 def load_scenario(hosts: int, rate: float, gateways: int, seconds: float) -> Scenario:
-    """So many hosts, and customers whose plan never rejects, at `rate` requests a second together."""
+    """Return a scenario of `hosts` hosts and customers that together send `rate` requests per second.
+
+    The customers' plan rejects no request.
+    """
     lines = [f"length_s = {seconds}\n[fleet]\ngateways = {gateways}"]
     lines.append('[[plans]]\nname = "p"\nrate = 1000000\nburst = 1000000')
     lines += zone_lines(hosts)
@@ -30,6 +33,6 @@
 
 
 def emulator_scenario_text(hosts: int) -> str:
-    """The same hosts as a scenario file, for the emulators' processes."""
+    """Return the scenario file with the same hosts for the emulator processes."""
     client = '[[clients]]\ncustomer = 1\nproduct = "read"\nplan = "p"\nrate = 1'
     return "\n".join(["[fleet]\ngateways = 1", *zone_lines(hosts), client])
--- a/granitedock/lab/scale/plans.py
+++ b/granitedock/lab/scale/plans.py
@@ -1,4 +1,4 @@
-"""What one gateway pays per plan: the platform's file, memory, and a customer's quota account."""
+"""Measure one gateway's cost per plan: the platform file, memory, and a customer's quota account."""
 
 from __future__ import annotations
 
@@ -20,8 +20,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanCost:
-    """At so many plans: bytes of the platform's file, processor ms to read and check it, and to decode its
-    plans, MiB of the plans, and bytes of one customer's quota account."""
+    """The cost of a platform file with `plans` plans.
+
+    `file_bytes` is the file's size, `read_ms` the processor ms to read and validate it and `decode_ms` those
+    to decode its plans. `memory_mb` is the memory of the plans in MiB, and `book_bytes` the memory of one
+    customer's quota account.
+    """
 
     plans: int
     file_bytes: int
@@ -32,7 +36,7 @@
 
 
 def measure(count: int) -> PlanCost:
-    """One gateway's reading of a platform file of `count` plans."""
+    """Measure how one gateway reads a platform file of `count` plans."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "gateway.json"
         path.write_bytes(orjson.dumps(platform_file(count)))
--- a/granitedock/lab/scale/platform.py
+++ b/granitedock/lab/scale/platform.py
@@ -1,4 +1,4 @@
-"""Synthetic deployments of any size, in the platform's own form: its file, its plans, its endpoint list."""
+"""Generate deployments of any size in the platform's formats: its file, its plans, its endpoint list."""
 
 from __future__ import annotations
 
@@ -10,31 +10,37 @@
 
 ZONES = 5
 CELLS = 360
-CEILING_EVERY = 10  # one plan in so many has a ceiling
+PLANS_PER_CEILING = 10  # One plan out of this many has a ceiling.
 IN_SERVICE = "in_service"
 TERMINATING = "terminating"
 
 
 def plan_records(count: int) -> list[dict[str, Any]]:
-    """So many plans, each of a tenant's own rate and burst; one in `CEILING_EVERY` has a ceiling."""
+    """Return `count` plans of one tenant each, with different rates and bursts.
+
+    One plan in `PLANS_PER_CEILING` has a ceiling.
+    """
     return [
         {
             "Name": f"tenant-{number:05d}",
             "Refill": 10.0 + number % 90,
             "MostAtOnce": 20.0 + number % 180,
-            "CeilingRate": 40.0 + number % 90 if number % CEILING_EVERY == 0 else 0,
-            "CeilingBurst": 80.0 if number % CEILING_EVERY == 0 else 0,
-            "Tolerance": 8.0 if number % CEILING_EVERY == 0 else 0,
+            "CeilingRate": 40.0 + number % 90 if number % PLANS_PER_CEILING == 0 else 0,
+            "CeilingBurst": 80.0 if number % PLANS_PER_CEILING == 0 else 0,
+            "Tolerance": 8.0 if number % PLANS_PER_CEILING == 0 else 0,
         }
         for number in range(count)
     ]
 
 
 def platform_settings(
-    plans: int = 1, gateways: int = 2, counting: bool = True, me: int = 0
+    plans: int = 1, gateways: int = 2, counting: bool = True, gateway_index: int = 0
 ) -> dict[str, Any]:
-    """The object `settings` of the platform's file of gateway `me`, with a plan "p" that rejects nothing."""
-    settings: dict[str, Any] = gateway_settings(parse(MINIMAL_SCENARIO), me)
+    """Return the `settings` object of gateway `gateway_index` in its platform file.
+
+    Besides `plans` generated plans there is a plan "p" that rejects no request.
+    """
+    settings: dict[str, Any] = gateway_settings(parse(MINIMAL_SCENARIO), gateway_index)
     settings["Balancers"] = gateways
     settings["Tariffs"] = [{"Name": "p", "Refill": 1e6, "MostAtOnce": 1e6}, *plan_records(plans)]
     settings["Specifics"] = settings["Specifics"] | {"Counter": counting, "MailPerS": 1000}
@@ -42,7 +48,7 @@
 
 
 def platform_file(plans: int = 1, **fields: object) -> dict[str, Any]:
-    """The file that the platform starts a gateway with; `fields` replace or add to its own."""
+    """Return the platform file that a gateway is started with; `fields` replace or extend its fields."""
     return {
         "name": "g0",
         "listen": "127.0.0.1:6379",
@@ -54,7 +60,7 @@
 
 
 def host_record(number: int, lifecycle: str = IN_SERVICE) -> dict[str, Any]:
-    """One host in discovery's form."""
+    """Return one host in the format of discovery."""
     return {
         "instanceId": f"host-{number:05d}",
         "hostPort": f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:8080",
@@ -68,5 +74,5 @@
 
 
 def full_list_record(count: int) -> dict[str, Any]:
-    """The full list of so many hosts in discovery's form, its first generation."""
+    """Return the full list of `count` hosts in the format of discovery, with generation 1."""
     return {"generation": 1, "reset": True, "instances": [host_record(number) for number in range(count)]}
--- a/granitedock/lab/scale/probe.py
+++ b/granitedock/lab/scale/probe.py
@@ -1,4 +1,4 @@
-"""Helpers of the measurements: processor time, memory, quantiles, and a process of its own for each."""
+"""Measure processor time, memory and quantiles, and run a measurement in a fresh process."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from typing import ParamSpec, TypeVar
 
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 MIB = 1024.0 * 1024.0
-USER_TICKS_FIELD = 11  # of /proc/PID/stat, behind the command's name
+USER_TICKS_FIELD = 11  # Index in /proc/PID/stat, counted after the command's name.
 SYSTEM_TICKS_FIELD = 12
 
 Parameters = ParamSpec("Parameters")
@@ -23,23 +23,23 @@
 
 
 def cpu_ms(action: Callable[[], object], calls: int = 3) -> float:
-    """The least processor time of this process for one call of `action`, in ms."""
-    least = float("inf")
+    """Call `action` `calls` times and return the least processor time of a call, in ms."""
+    least_s = float("inf")
     for _ in range(calls):
         started_at = time.process_time()
         action()
-        least = min(least, time.process_time() - started_at)
-    return least * 1000.0
+        least_s = min(least_s, time.process_time() - started_at)
+    return least_s * 1000.0
 
 
 def memory_mb(pid: int | str = "self") -> float:
-    """Resident memory of a process, in MiB."""
+    """Return the resident memory of a process, in MiB."""
     resident_pages = int(Path(f"/proc/{pid}/statm").read_bytes().split()[1])
     return resident_pages * PAGE_BYTES / MIB
 
 
 def allocated_bytes(make: Callable[[], object]) -> float:
-    """Bytes of Python objects that `make` leaves behind, with its result."""
+    """Return the bytes of the Python objects that still exist after `make`, its result included."""
     gc.collect()
     tracemalloc.start()
     try:
@@ -53,13 +53,13 @@
 
 
 def process_cpu_s(pid: int) -> float:
-    """Processor time that a process has used, user and system, in seconds."""
+    """Return the processor time that a process has used, user and system, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_bytes().rpartition(b")")[2].split()
-    return (int(fields[USER_TICKS_FIELD]) + int(fields[SYSTEM_TICKS_FIELD])) / TICKS_A_SECOND
+    return (int(fields[USER_TICKS_FIELD]) + int(fields[SYSTEM_TICKS_FIELD])) / TICKS_PER_SECOND
 
 
 def quantile(values: Sequence[float], fraction: float) -> float:
-    """The value that this fraction of the values does not exceed; nan without values."""
+    """Return the value that this fraction of the values does not exceed, or nan without values."""
     if not values:
         return float("nan")
     ordered = sorted(values)
@@ -69,6 +69,9 @@
 def run_in_fresh_process(
     measure: Callable[Parameters, Measurement], *args: Parameters.args, **kwargs: Parameters.kwargs
 ) -> Measurement:
-    """The result of `measure` in a process of its own, so that no measurement sees another's memory."""
+    """Run `measure` in a new process and return its result.
+
+    No measurement is affected by the memory of another one.
+    """
     with ProcessPoolExecutor(1, get_context("spawn")) as pool:
         return pool.submit(measure, *args, **kwargs).result()
--- a/granitedock/lab/scale/requests.py
+++ b/granitedock/lab/scale/requests.py
@@ -1,7 +1,7 @@
-"""What one gateway pays per request, and what it adds to the time of an answer: a real process on loopback.
+"""Measure one gateway's cost per request and the latency that it adds, with real processes on loopback.
 
-The gateway and its emulators are processes of their own; the load comes from the measuring process. The same
-load goes to the hosts directly for the time that the gateway adds.
+The gateway and its emulators are separate processes; the measuring process generates the load. The latency
+that the gateway adds is the difference to the same load sent directly to the hosts.
 """
 
 from __future__ import annotations
@@ -23,8 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestCost:
-    """One gateway at `rate` requests a second: its processor time a request (us), the answers' times (ms),
-    and those of the same load on the hosts directly; connections to hosts and MiB at the end."""
+    """The cost of one gateway at `rate` requests per second.
+
+    `cpu_us` is the processor time per request (us). The latencies are in ms: those through the gateway, and
+    as `direct_` those of the same load sent directly to the hosts. `host_connections` and `memory_mb` (MiB)
+    are read at the end of the load.
+    """
 
     hosts: int
     counting: bool
@@ -44,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayLoad:
-    """A load through the gateway: the records of its settled part, and what the gateway used meanwhile."""
+    """A load through the gateway: the requests sent after it settled, and the gateway's usage."""
 
     records: list[RequestRecord]
     cpu_s: float
@@ -53,7 +57,7 @@
 
 
 def latencies(records: list[RequestRecord], earliest_s: float) -> list[float]:
-    """The answers' times in ms, of the requests sent from then on and served."""
+    """Return the latencies, in ms, of the served requests that were sent at `earliest_s` or later."""
     return [
         record.latency_ms
         for record in records
@@ -62,7 +66,7 @@
 
 
 def load_gateway(scenario: Scenario, gateway: RunningGateway, seconds: float) -> GatewayLoad:
-    """The scenario's load on the gateway, for so long after it has settled."""
+    """Send the scenario's load to the gateway and measure it for `seconds` after it has settled."""
     load = LoadGenerator(scenario, [gateway.address])
     load.start()
     time.sleep(SETTLE_S)
@@ -76,7 +80,10 @@
 
 
 def load_hosts(rate: float, addresses: list[str], seconds: float) -> list[float]:
-    """The same rate on these hosts directly, for so long after it has settled; the answers' times in ms."""
+    """Send the load directly to these hosts and return its latencies in ms.
+
+    Only requests of the `seconds` after `DIRECT_SETTLE_S` count.
+    """
     length_s = seconds + DIRECT_SETTLE_S
     load = LoadGenerator(load_scenario(1, rate, len(addresses), length_s), addresses)
     load.start()
@@ -85,7 +92,7 @@
 
 
 def measure(hosts: int, counting: bool, rate: float, seconds: float) -> RequestCost:
-    """One gateway before so many hosts, at `rate` requests a second."""
+    """Measure one gateway with `hosts` hosts at `rate` requests per second."""
     scenario = load_scenario(hosts, rate, 1, SETTLE_S + seconds)
     with running_gateway(hosts, counting) as gateway:
         through = load_gateway(scenario, gateway, seconds)
--- a/granitedock/lab/scale/results.py
+++ b/granitedock/lab/scale/results.py
@@ -1,4 +1,4 @@
-"""The record of one run of the scale measurements, and its JSON form."""
+"""The results of one run of the scale measurements, and their JSON format."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 Cost = (
     HostCost | PlanCost | ViewCost | RequestCost | CallCost | FleetCost | DocumentCost | ConfigurationCost
-)  # one measurement of any kind
+)  # One measurement of any kind.
 
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """Where the figures were taken, and the load averages before and after."""
+    """The machine of the measurements, and its load averages before and after them."""
 
     cores: int
     python: str
@@ -36,8 +36,10 @@
 
 @dataclass(slots=True)
 class Results:
-    """All measurements of one run, by kind, each by rising count. The names of the fields, and of those of
-    the costs, are the keys of the stored JSON."""
+    """All measurements of one run by kind, each kind in ascending order of its count.
+
+    The field names of this class and of the costs are the keys of the stored JSON.
+    """
 
     quick: bool
     machine: Machine
@@ -49,16 +51,16 @@
     fleets: list[FleetCost] = field(default_factory=list)
     documents: list[DocumentCost] = field(default_factory=list)
     configuration: list[ConfigurationCost] = field(default_factory=list)
-    not_taken: list[str] = field(default_factory=list)  # measurements that failed, and why
-    taken_later: list[str] = field(default_factory=list)  # kinds measured again by themselves, in a later run
+    not_taken: list[str] = field(default_factory=list)  # Failed measurements with the reason.
+    taken_later: list[str] = field(default_factory=list)  # Kinds that were measured again in a later run.
 
     def measurements(self, kind: str) -> Sequence[Cost]:
-        """The measurements of a kind, one of `COST_TYPES`."""
-        found: Sequence[Cost] = getattr(self, kind)
-        return found
+        """Return the measurements of a kind, which is a key of `COST_TYPES`."""
+        costs: Sequence[Cost] = getattr(self, kind)
+        return costs
 
     def write(self, path: Path) -> None:
-        """Write the run as JSON, replacing what the file held."""
+        """Write the results as JSON, replacing the file's content."""
         path.write_bytes(orjson.dumps(asdict(self), option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE))
 
 
@@ -75,7 +77,10 @@
 
 
 def read_results(path: Path) -> Results:
-    """Results that were written before. Raises ResultsFileError."""
+    """Read results from a file that `Results.write` created.
+
+    Raises ResultsFileError if the file cannot be read or has another format.
+    """
     try:
         return decode_results(orjson.loads(path.read_bytes()))
     except OSError as error:
@@ -85,9 +90,10 @@
 
 
 def decode_results(record: dict[str, Any]) -> Results:
-    """Results from their JSON object. Raises TypeError or KeyError for another form."""
+    """Decode results from their JSON object. Raises TypeError or KeyError for another format."""
     machine = Machine(**record.pop("machine"))
     costs: dict[str, Any] = {
-        kind: [cost_type(**one) for one in record.pop(kind)] for kind, cost_type in COST_TYPES.items()
+        kind: [cost_type(**cost_record) for cost_record in record.pop(kind)]
+        for kind, cost_type in COST_TYPES.items()
     }
     return Results(machine=machine, **costs, **record)
--- a/granitedock/lab/scale/view.py
+++ b/granitedock/lab/scale/view.py
@@ -1,4 +1,4 @@
-"""What the membership protocol costs a gateway by the fleet's size, on the simulated wire."""
+"""Measure a gateway's cost of the membership protocol by cluster size, on a simulated network."""
 
 from __future__ import annotations
 
@@ -14,8 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewCost:
-    """A gateway's part at rest, at so many gateways: datagrams and bytes sent a second, processor ms a second
-    (with the simulated wire's own)."""
+    """One gateway's part of the cost at rest, in a cluster of `gateways` gateways.
+
+    Datagrams and bytes sent, and processor ms, each per second. The processor time includes that of the
+    simulated network.
+    """
 
     gateways: int
     messages_a_second: float
@@ -24,23 +27,23 @@
 
 
 def measure(count: int, seconds: float) -> ViewCost:
-    """`count` gateways that know each other, for so many simulated seconds."""
-    world = MembershipSimulation(
+    """Measure `count` gateways that have already joined one cluster, for `seconds` of simulated time."""
+    simulation = MembershipSimulation(
         count, seed=SEED, network=NetworkConditions(measure_bytes=True), already_joined=True
     )
-    world.run(SETTLE_MS)
-    for node in world.nodes:
+    simulation.run(SETTLE_MS)
+    for node in simulation.nodes:
         node.sent = 0
         node.sent_bytes = 0
     started_at = time.process_time()
-    world.run(seconds * 1000.0)
+    simulation.run(seconds * 1000.0)
     cpu_ms = (time.process_time() - started_at) * 1000.0
-    share = 1.0 / (count * seconds)
-    messages = sum(node.sent for node in world.nodes)
-    volume = sum(node.sent_bytes for node in world.nodes)
+    per_gateway_second = 1.0 / (count * seconds)
+    messages = sum(node.sent for node in simulation.nodes)
+    sent_bytes = sum(node.sent_bytes for node in simulation.nodes)
     return ViewCost(
         gateways=count,
-        messages_a_second=messages * share,
-        bytes_a_second=volume * share,
-        cpu_ms_a_second=cpu_ms * share,
+        messages_a_second=messages * per_gateway_second,
+        bytes_a_second=sent_bytes * per_gateway_second,
+        cpu_ms_a_second=cpu_ms * per_gateway_second,
     )
