--- a/granitedock/lab/scale/control_figures.py
+++ b/granitedock/lab/scale/control_figures.py
@@ -1,4 +1,4 @@
-"""The figures of the control processes and the configuration service at the operators' size."""
+"""Compute the figures of the control processes and the configuration service at the operators' size."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from granitedock.lab.scale.configuration import ConfigurationCost
 from granitedock.lab.scale.figures import (
     MISSING,
-    MS_A_SECOND_PER_PERCENT,
+    MS_PER_SECOND_PER_PERCENT,
     CapacityFigure,
     CapacityModel,
     FigureKind,
@@ -16,18 +16,20 @@
 from granitedock.lab.scale.sizes import OperatorSize
 from granitedock.lab.scale.tables import format_value
 
-RATE_FACTOR = 10.0  # times the day's rate of changes, at which the configuration service is to hold
+# The configuration service has to stay within its budgets at this multiple of the day's rate of changes.
+CHANGE_RATE_MULTIPLE = 10.0
 MECHANISM = "`configuration/`, off in `run`"
-CHANGE_P99_S = 2.0  # budgets of the configuration service
-BYTES_A_SECOND = 2000.0
-CORE_PERCENT = 0.3
-DOCUMENT_MB = 10.0
-CHANGE_HOLD_MS = 2.0
-CONTROL_CORE_PERCENT = 50.0
+# Budgets of the configuration service.
+CHANGE_P99_BUDGET_S = 2.0
+BUDGET_BYTES_PER_SECOND = 2000.0
+CORE_BUDGET_PERCENT = 0.3
+DOCUMENT_BUDGET_MB = 10.0
+CHANGE_HOLD_BUDGET_MS = 2.0
+CONTROL_CORE_BUDGET_PERCENT = 50.0
 
 
 def control_figures(model: CapacityModel) -> list[CapacityFigure]:
-    """Without the configuration service, and with it where it was measured."""
+    """Return the figures without the configuration service, and those with it if it was measured."""
     size = model.size
     without_service = CapacityFigure(
         name="a change in force while gateways run, with the configuration service off",
@@ -35,7 +37,7 @@
         total=inf,
         unit="s",
         source="code",
-        kind=FigureKind.RECKONED,
+        kind=FigureKind.CALCULATED,
         mechanism=f"{MISSING} in `run`: a change needs a new file and a restart of each gateway",
         budget=size.change_within_s,
     )
@@ -53,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MeasuredCase:
-    """The largest measured fleet that follows control processes."""
+    """The largest measured fleet that follows control processes, and the model of its run."""
 
     model: CapacityModel
     cost: ConfigurationCost
@@ -65,17 +67,17 @@
 
     @property
     def change_rate(self) -> float:
-        """Changes a second that the service is to bear."""
-        return RATE_FACTOR * self.size.changes_a_second
+        """Changes per second that the configuration service has to sustain."""
+        return CHANGE_RATE_MULTIPLE * self.size.changes_a_second
 
     @property
     def change_rate_text(self) -> str:
-        """The same in words."""
-        return f"{RATE_FACTOR:g} times {format_value(self.size.changes_a_day)} a day"
+        """The rate of changes as text."""
+        return f"{CHANGE_RATE_MULTIPLE:g} times {format_value(self.size.changes_a_day)} a day"
 
     @property
     def setting(self) -> str:
-        """The measured sizes in words."""
+        """The measured sizes as text."""
         cost = self.cost
         return (
             f"{cost.gateways} hollow gateways, {format_value(cost.plans)} plans, "
@@ -84,7 +86,7 @@
 
 
 def propagation_figures(case: MeasuredCase) -> list[CapacityFigure]:
-    """How long a change takes to be in force everywhere."""
+    """Return the figures of the time until a change is in force at all gateways."""
     return [
         CapacityFigure(
             name="a change in force everywhere, p99",
@@ -94,7 +96,7 @@
             source="configuration",
             kind=FigureKind.MEASURED,
             mechanism=MECHANISM,
-            budget=CHANGE_P99_S,
+            budget=CHANGE_P99_BUDGET_S,
         ),
         CapacityFigure(
             name="a change in force everywhere, worst",
@@ -110,7 +112,7 @@
 
 
 def gateway_cost_figures(case: MeasuredCase) -> list[CapacityFigure]:
-    """A gateway's bytes, processor time and memory for the configuration."""
+    """Return the figures of a gateway's bytes, processor time and memory for the configuration."""
     cost = case.cost
     plans = case.size.plans
     return [
@@ -123,17 +125,17 @@
             source="configuration",
             kind=FigureKind.MEASURED,
             mechanism=MECHANISM,
-            budget=BYTES_A_SECOND,
+            budget=BUDGET_BYTES_PER_SECOND,
         ),
         CapacityFigure(
             name="a gateway's processor for configuration",
             calculation=f"{format_value(cost.change_cpu_ms)} ms x {case.change_rate_text}",
-            total=cost.change_cpu_ms * case.change_rate / MS_A_SECOND_PER_PERCENT,
+            total=cost.change_cpu_ms * case.change_rate / MS_PER_SECOND_PER_PERCENT,
             unit="% of a core",
             source="configuration",
             kind=FigureKind.MEASURED,
             mechanism=MECHANISM,
-            budget=CORE_PERCENT,
+            budget=CORE_BUDGET_PERCENT,
         ),
         CapacityFigure(
             name="the document at a gateway, memory",
@@ -143,13 +145,16 @@
             source="documents",
             kind=FigureKind.MEASURED,
             mechanism=MECHANISM,
-            budget=DOCUMENT_MB,
+            budget=DOCUMENT_BUDGET_MB,
         ),
     ]
 
 
 def event_loop_figures(case: MeasuredCase) -> list[CapacityFigure]:
-    """How long a change and a snapshot hold a gateway's event loop, and a start of all gateways at once."""
+    """Return the figures of how long a gateway's event loop is blocked, and of a simultaneous start.
+
+    A change and the end of a snapshot block the event loop. A simultaneous start is that of all gateways.
+    """
     return [
         CapacityFigure(
             name="the loop's hold-up for a change",
@@ -159,7 +164,7 @@
             source="configuration",
             kind=FigureKind.MEASURED,
             mechanism=MECHANISM,
-            budget=CHANGE_HOLD_MS,
+            budget=CHANGE_HOLD_BUDGET_MS,
         ),
         CapacityFigure(
             name="the loop's hold-up for the end of a whole snapshot",
@@ -184,7 +189,7 @@
 
 
 def control_process_figures(case: MeasuredCase) -> list[CapacityFigure]:
-    """A control process's processor time and memory."""
+    """Return the figures of a control process's processor time and memory."""
     cost = case.cost
     return [
         CapacityFigure(
@@ -195,7 +200,7 @@
             source="configuration",
             kind=FigureKind.MEASURED,
             mechanism=MECHANISM,
-            budget=CONTROL_CORE_PERCENT,
+            budget=CONTROL_CORE_BUDGET_PERCENT,
         ),
         CapacityFigure(
             name="a control process's memory",
--- a/granitedock/lab/scale/events.py
+++ b/granitedock/lab/scale/events.py
@@ -1,22 +1,23 @@
-"""The day's events at the operators' size: the messages of each, the peak, and the time to recover."""
+"""Describe a day's events at the operators' size: their messages, peak load and recovery time."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from math import nan
 
-from granitedock.lab.scale.figures import BYTES_A_MEGABYTE
+from granitedock.lab.scale.figures import BYTES_PER_MEGABYTE
 from granitedock.lab.scale.growth import fit_line
 from granitedock.lab.scale.results import Results
-from granitedock.lab.scale.sizes import UPDATES_A_RESTART, OperatorSize
+from granitedock.lab.scale.sizes import UPDATES_PER_RESTART, OperatorSize
 from granitedock.lab.scale.tables import format_value
 
-EVENT_HEADS = ("event", "who sends what to whom", "the peak", "until all is well", "not measured")
+EVENT_HEADERS = ("event", "who sends what to whom", "the peak", "until all is well", "not measured")
 RACK_GATEWAYS = 25
 PARTITION_S = 3600.0
 RELEASE_S = 3600.0
-CONSECUTIVE_FAILURES = 3  # until a gateway ejects a host (`policy/outlier_ejection.py`)
-MAX_RECONNECT_S = 1.5  # of a follower (`configuration/follower.py`, `follower_transport.py`)
+CONSECUTIVE_FAILURES = 3  # A gateway ejects a host after this many (`policy/outlier_ejection.py`).
+# The longest wait of a follower before it reconnects (`configuration/follower.py`, `follower_transport.py`).
+MAX_RECONNECT_S = 1.5
 CONNECT_S = 1.0
 
 
@@ -31,12 +32,12 @@
     unmeasured: str
 
     def cells(self) -> tuple[str, ...]:
-        """The texts of the columns `EVENT_HEADS`."""
+        """Return the texts of the columns `EVENT_HEADERS`."""
         return self.name, self.messages, self.peak, self.recovery, self.unmeasured
 
 
 class EventCosts:
-    """The measured costs that several events share; nan for what was not measured."""
+    """The measured costs that several events use; a cost that was not measured is nan."""
 
     def __init__(self, results: Results, size: OperatorSize) -> None:
         self.size = size
@@ -54,12 +55,12 @@
 
 
 def format_megabytes(count: float, each: float) -> str:
-    """So many times `each` bytes, in MB."""
-    return f"{format_value(count * each / BYTES_A_MEGABYTE)} MB"
+    """Format `count` times `each` bytes in MB."""
+    return f"{format_value(count * each / BYTES_PER_MEGABYTE)} MB"
 
 
 def day_events(results: Results, size: OperatorSize) -> list[DayEvent]:
-    """Each event at this size."""
+    """Return all events at this size."""
     costs = EventCosts(results, size)
     return [
         host_failure(costs),
@@ -72,7 +73,7 @@
 
 
 def host_failure(costs: EventCosts) -> DayEvent:
-    """One host fails."""
+    """Describe the failure of one host."""
     size = costs.size
     rate = size.requests_a_second / size.hosts
     return DayEvent(
@@ -88,10 +89,10 @@
 
 
 def host_restarts(costs: EventCosts) -> DayEvent:
-    """The day's restarts of hosts, and a release of all."""
+    """Describe a day's restarts of hosts, and a release on all hosts."""
     size = costs.size
-    updates = UPDATES_A_RESTART * size.restarts_a_day * size.gateways
-    updates_a_second = UPDATES_A_RESTART * size.hosts / RELEASE_S
+    updates = UPDATES_PER_RESTART * size.restarts_a_day * size.gateways
+    updates_a_second = UPDATES_PER_RESTART * size.hosts / RELEASE_S
     return DayEvent(
         name=f"{size.restarts_a_day:g} restarts a day; a whole release",
         messages=f"three lists each, to {size.gateways} gateways: "
@@ -103,7 +104,7 @@
 
 
 def rack_loss(costs: EventCosts) -> DayEvent:
-    """A rack of gateways is lost and comes back."""
+    """Describe the loss of a rack of gateways and its return."""
     return DayEvent(
         name=f"a rack of {RACK_GATEWAYS} gateways, or its switch, and back",
         messages=f"whole lists {format_megabytes(RACK_GATEWAYS, costs.list_bytes)} from discovery, "
@@ -116,7 +117,7 @@
 
 
 def zone_loss(costs: EventCosts) -> DayEvent:
-    """A zone is lost and comes back with hosts that warm up."""
+    """Describe the loss of a zone and its return with hosts that warm up."""
     size = costs.size
     hosts = size.hosts / size.zones
     other_gateways = size.gateways - size.gateways / size.zones
@@ -133,7 +134,7 @@
 
 
 def region_partition(costs: EventCosts) -> DayEvent:
-    """The regions are partitioned for `PARTITION_S`, and the partition heals."""
+    """Describe a network partition between the regions that heals after `PARTITION_S` seconds."""
     size = costs.size
     changes = size.changes_a_second * PARTITION_S
     gateways = size.gateways / size.regions
@@ -150,7 +151,7 @@
 
 
 def simultaneous_start(costs: EventCosts) -> DayEvent:
-    """All gateways start at once."""
+    """Describe a simultaneous start of all gateways."""
     gateways = costs.size.gateways
     return DayEvent(
         name=f"all {gateways} gateways start at once",
--- a/granitedock/lab/scale/figures.py
+++ b/granitedock/lab/scale/figures.py
@@ -1,4 +1,4 @@
-"""One figure of a role's table in docs/CAPACITY.md, and the model that the figures are derived from."""
+"""Define a figure of a role's table in docs/CAPACITY.md, and the model that the figures are derived from."""
 
 from __future__ import annotations
 
@@ -13,24 +13,26 @@
 
 MISSING = "**missing**"
 KIB = 1024.0
-BYTES_A_MEGABYTE = 1e6
-MS_A_SECOND_PER_PERCENT = 10.0  # processor time, ms a second, that is 1 % of a core
-US_A_SECOND_PER_PERCENT = 1e4
-SEGMENT_BYTES = 52.0  # headers of IP and TCP with time stamps, each way
-FIGURE_HEADS = ("figure", "slope x count", "at the size", "kind", "source", "budget", "factor", "mechanism")
+BYTES_PER_MEGABYTE = 1e6
+MS_PER_SECOND_PER_PERCENT = 10.0  # Processor ms per second that equal 1 % of a core.
+US_PER_SECOND_PER_PERCENT = 1e4
+SEGMENT_HEADER_BYTES = (
+    52.0  # IP and TCP headers of a segment, with the timestamp option; each direction has one.
+)
+FIGURE_HEADERS = ("figure", "slope x count", "at the size", "kind", "source", "budget", "factor", "mechanism")
 
 
 class FigureKind(Enum):
-    """How a figure was obtained; the values are the words of the page."""
+    """How a figure is obtained; the values are the texts on the page."""
 
     MEASURED = "measured"
     SIMULATED = "simulated"
-    RECKONED = "reckoned"
+    CALCULATED = "reckoned"
 
 
 @dataclass(frozen=True, slots=True)
 class CapacityFigure:
-    """One line of a role's table. `total` and `budget` are in `unit`; the budget is nan where none is set."""
+    """One line of a role's table. `total` and `budget` are in `unit`; the budget is nan if none is set."""
 
     name: str
     calculation: str
@@ -43,11 +45,11 @@
 
     @property
     def factor(self) -> float:
-        """Total over budget: above 1 is over budget, nan without a budget."""
+        """The total divided by the budget: above 1 exceeds the budget, nan without a budget."""
         return self.total / self.budget
 
     def cells(self) -> tuple[str, ...]:
-        """The texts of the table's columns, in the order of `FIGURE_HEADS`."""
+        """Return the texts of the table's columns, in the order of `FIGURE_HEADERS`."""
         has_budget = not isnan(self.budget)
         return (
             self.name,
@@ -62,33 +64,33 @@
 
 
 def format_amount(value: float, unit: str) -> str:
-    """A value with its unit; an infinite one never happens."""
+    """Format a value with its unit; an infinite value, such as a time that is never reached, is `never`."""
     return "never" if isinf(value) else f"{format_value(float(value))} {unit}"
 
 
 def format_factor(factor: float) -> str:
-    """By how many times a budget is exceeded."""
+    """Format the factor by which a budget is exceeded."""
     return "without end" if isinf(factor) else f"{format_value(factor)}x"
 
 
 def format_product(each: float, unit: str, count: float, counted: str) -> str:
-    """A figure's calculation: cost of each one, times the count of what is `counted`."""
+    """Format a figure's calculation: the cost of each item, times the count of the items `counted`."""
     return f"{format_value(float(each))} {unit} x {format_value(float(count))} {counted}"
 
 
 class CapacityModel:
-    """One run's results, extrapolated to the operators' size."""
+    """The results of one run, extrapolated to the operators' size."""
 
     def __init__(self, results: Results, size: OperatorSize) -> None:
         self.results = results
         self.size = size
 
     def fit(self, kind: str, count: str, cost: str) -> LinearFit:
-        """The line through the field `cost` by the field `count` of a kind's measurements."""
+        """Fit a line to the field `cost` over the field `count` of a kind's measurements."""
         return fit_line(self.results.measurements(kind), count, cost)
 
     def value_at(self, kind: str, count: str, cost: str, number: float) -> float:
-        """The measured value at this count where there is one, else the fitted line's."""
+        """Return the value measured at the count `number`, or that of the fitted line without such a one."""
         for measurement in self.results.measurements(kind):
             if getattr(measurement, count) == number:
                 return float(getattr(measurement, cost))
--- a/granitedock/lab/scale/gateway_figures.py
+++ b/granitedock/lab/scale/gateway_figures.py
@@ -1,4 +1,4 @@
-"""The figures of a gateway at the operators' size."""
+"""Compute the figures of a gateway at the operators' size."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 from granitedock.lab.scale.figures import (
     KIB,
-    MS_A_SECOND_PER_PERCENT,
+    MS_PER_SECOND_PER_PERCENT,
     CapacityFigure,
     CapacityModel,
     FigureKind,
     format_product,
 )
 from granitedock.lab.scale.request_figures import request_figures
-from granitedock.lab.scale.sizes import UPDATES_A_RESTART
+from granitedock.lab.scale.sizes import UPDATES_PER_RESTART
 from granitedock.lab.scale.tables import format_value
 
 RELEASE_S = 3600.0
-WATCH_LINE_BYTES = 6.0  # an empty line as a chunk
-MAINTENANCE_A_SECOND = 10.0
-REFRESHES_A_SECOND = 1.0
-ACCOUNT_LIFE_S = 40.0  # how long an idle quota account is kept at most, where no ceiling holds it
+WATCH_LINE_BYTES = 6.0  # An empty line, sent as an HTTP chunk.
+MAINTENANCES_PER_SECOND = 10.0
+REFRESHES_PER_SECOND = 1.0
+MAX_IDLE_ACCOUNT_S = 40.0  # The longest time that an idle quota account without a ceiling is kept.
 
 
 def gateway_figures(model: CapacityModel) -> list[CapacityFigure]:
-    """All figures of a gateway."""
+    """Return all figures of a gateway."""
     return [
         *endpoint_list_figures(model),
         *endpoint_update_figures(model),
@@ -36,12 +36,12 @@
 
 
 def endpoint_list_figures(model: CapacityModel) -> list[CapacityFigure]:
-    """Memory and periodic work of the list of hosts."""
+    """Return the figures of the endpoint list's memory and periodic work."""
     size = model.size
     memory = model.fit("hosts", "hosts", "memory_mb")
     maintenance_ms = model.value_at("hosts", "hosts", "sweep_ms", size.hosts)
     refresh_ms = model.value_at("hosts", "hosts", "look_round_ms", size.hosts)
-    periodic_ms = refresh_ms * REFRESHES_A_SECOND + maintenance_ms * MAINTENANCE_A_SECOND
+    periodic_ms = refresh_ms * REFRESHES_PER_SECOND + maintenance_ms * MAINTENANCES_PER_SECOND
     return [
         CapacityFigure(
             name="list of hosts, memory",
@@ -55,9 +55,9 @@
         ),
         CapacityFigure(
             name="list of hosts, look round and sweep",
-            calculation=f"{format_value(refresh_ms)} ms x {REFRESHES_A_SECOND:g}/s + "
-            f"{format_value(maintenance_ms)} ms x {MAINTENANCE_A_SECOND:g}/s",
-            total=periodic_ms / MS_A_SECOND_PER_PERCENT,
+            calculation=f"{format_value(refresh_ms)} ms x {REFRESHES_PER_SECOND:g}/s + "
+            f"{format_value(maintenance_ms)} ms x {MAINTENANCES_PER_SECOND:g}/s",
+            total=periodic_ms / MS_PER_SECOND_PER_PERCENT,
             unit="% of a core",
             source="hosts",
             kind=FigureKind.MEASURED,
@@ -68,14 +68,14 @@
 
 
 def endpoint_update_figures(model: CapacityModel) -> list[CapacityFigure]:
-    """Endpoint updates: on an ordinary day, in a release, the full list, and the watch's bytes."""
+    """Return the figures of endpoint updates on an ordinary day and in a release, full list and watch."""
     size = model.size
     update_ms = model.value_at("hosts", "hosts", "change_ms", size.hosts)
     return [
         CapacityFigure(
             name="changes of hosts",
             calculation=format_product(update_ms, "ms", size.endpoint_updates_a_day, "changes a day"),
-            total=update_ms * size.endpoint_updates_a_second / MS_A_SECOND_PER_PERCENT,
+            total=update_ms * size.endpoint_updates_a_second / MS_PER_SECOND_PER_PERCENT,
             unit="% of a core",
             source="hosts",
             kind=FigureKind.MEASURED,
@@ -84,9 +84,9 @@
         ),
         CapacityFigure(
             name=f"changes of hosts in a release of all within {RELEASE_S / 60:g} minutes",
-            calculation=f"{format_value(update_ms)} ms x {format_value(UPDATES_A_RESTART)} lists x "
+            calculation=f"{format_value(update_ms)} ms x {format_value(UPDATES_PER_RESTART)} lists x "
             f"{format_value(size.hosts)} hosts",
-            total=update_ms * UPDATES_A_RESTART * size.hosts / RELEASE_S / MS_A_SECOND_PER_PERCENT,
+            total=update_ms * UPDATES_PER_RESTART * size.hosts / RELEASE_S / MS_PER_SECOND_PER_PERCENT,
             unit="% of a core",
             source="hosts",
             kind=FigureKind.MEASURED,
@@ -100,7 +100,7 @@
 
 
 def full_list_figure(model: CapacityModel) -> CapacityFigure:
-    """One turn of the event loop for a full list."""
+    """Return the figure of the one turn of the event loop that a full list takes."""
     hosts = model.size.hosts
     apply_ms = model.value_at("hosts", "hosts", "take_in_ms", hosts)
     full_list_ms = apply_ms + model.value_at("hosts", "hosts", "read_ms", hosts)
@@ -116,7 +116,7 @@
 
 
 def watch_bytes_figure(model: CapacityModel) -> CapacityFigure:
-    """Bytes of a gateway's watch on discovery: heartbeats and updates."""
+    """Return the figure of the bytes of a gateway's watch on discovery: heartbeats and updates."""
     size = model.size
     fleets = model.results.fleets
     update_bytes = fleets[-1].change_bytes if fleets else nan
@@ -134,11 +134,11 @@
 
 
 def plan_figures(model: CapacityModel) -> list[CapacityFigure]:
-    """Memory of the plans and of the quota accounts in use."""
+    """Return the figures of the memory of the plans and of the quota accounts in use."""
     size = model.size
     memory = model.fit("plans", "plans", "memory_mb")
     account_bytes = model.value_at("plans", "plans", "book_bytes", size.plans)
-    accounts = size.requests_a_gateway * ACCOUNT_LIFE_S
+    accounts = size.requests_a_gateway * MAX_IDLE_ACCOUNT_S
     return [
         CapacityFigure(
             name="plans, memory",
@@ -158,7 +158,7 @@
             total=account_bytes * accounts / KIB**2,
             unit="MB",
             source="plans",
-            kind=FigureKind.RECKONED,
+            kind=FigureKind.CALCULATED,
             mechanism="`Gateway.book`, dropped at rest",
             budget=size.control_memory_mb,
         ),
@@ -166,7 +166,7 @@
 
 
 def platform_file_figures(model: CapacityModel) -> list[CapacityFigure]:
-    """The platform's file: processor time and bytes if it were read whole at each change."""
+    """Return the figures of the platform file if it were read completely at each change."""
     size = model.size
     read_ms = model.value_at("plans", "plans", "read_ms", size.plans)
     file_bytes = model.value_at("plans", "plans", "file_bytes", size.plans)
@@ -174,7 +174,7 @@
         CapacityFigure(
             name="the platform's file, read whole at each change",
             calculation=format_product(read_ms, "ms", size.changes_a_day, "a day"),
-            total=read_ms * size.changes_a_second / MS_A_SECOND_PER_PERCENT,
+            total=read_ms * size.changes_a_second / MS_PER_SECOND_PER_PERCENT,
             unit="% of a core",
             source="plans",
             kind=FigureKind.MEASURED,
@@ -204,7 +204,7 @@
 
 
 def membership_figures(model: CapacityModel) -> list[CapacityFigure]:
-    """Bytes and processor time of the membership protocol."""
+    """Return the figures of the membership protocol's bytes and processor time."""
     size = model.size
     sent_bytes = model.value_at("view", "gateways", "bytes_a_second", size.gateways)
     cpu_ms = model.value_at("view", "gateways", "cpu_ms_a_second", size.gateways)
@@ -224,7 +224,7 @@
         CapacityFigure(
             name="view of the fleet, processor",
             calculation=format_product(cpu_ms, "ms/s", 1, "gateway"),
-            total=cpu_ms / MS_A_SECOND_PER_PERCENT,
+            total=cpu_ms / MS_PER_SECOND_PER_PERCENT,
             unit="% of a core",
             source="view",
             kind=FigureKind.SIMULATED,
--- a/granitedock/lab/scale/plots.py
+++ b/granitedock/lab/scale/plots.py
@@ -1,4 +1,4 @@
-"""Plots of the scale measurements, for docs/plots/."""
+"""Draw the plots of the scale measurements for docs/plots/."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from granitedock.lab.scale.results import Cost, Results  # noqa: E402 - the backend is chosen before
 
 FIGURE_INCHES = (8.0, 5.0)
-DOTS_AN_INCH = 90
+DOTS_PER_INCH = 90
 
 
 @dataclass(frozen=True, slots=True)
 class Plot:
-    """One plot: some costs of a kind by its count, with the unit of the costs' axis."""
+    """One plot: costs of a kind over its count; `unit` is the unit of the costs' axis."""
 
     name: str
     kind: str
@@ -38,23 +38,25 @@
 
 
 def draw_plot(path: Path, plot: Plot, measurements: Sequence[Cost]) -> None:
-    """Costs by count, both axes logarithmic, so that a straight line of slope one is linear growth."""
+    """Draw costs over the count. Both axes are logarithmic: a straight line of slope one is linear growth."""
     figure, axes = pyplot.subplots(figsize=FIGURE_INCHES)
     for cost in plot.costs:
         points = [
-            (getattr(one, plot.count), getattr(one, cost)) for one in measurements if getattr(one, cost) > 0
+            (getattr(measurement, plot.count), getattr(measurement, cost))
+            for measurement in measurements
+            if getattr(measurement, cost) > 0
         ]
         axes.plot(*zip(*points, strict=True), marker="o", label=cost.replace("_", " "))
     axes.set(xscale="log", yscale="log", xlabel=plot.count.replace("_", " "), ylabel=plot.unit)
     axes.grid(True, which="both", alpha=0.3)
     axes.legend()
     figure.tight_layout()
-    figure.savefig(path, dpi=DOTS_AN_INCH)
+    figure.savefig(path, dpi=DOTS_PER_INCH)
     pyplot.close(figure)
 
 
 def draw_plots(results: Results, folder: Path) -> list[Path]:
-    """Draw all plots that the results have at least two measurements for; the files written."""
+    """Draw each plot that has at least two measurements and return the files written."""
     folder.mkdir(parents=True, exist_ok=True)
     paths = []
     for plot in PLOTS:
--- a/granitedock/lab/scale/request_figures.py
+++ b/granitedock/lab/scale/request_figures.py
@@ -1,12 +1,12 @@
-"""The figures of a gateway's requests, and of the counter calls that they make, at the operators' size."""
+"""Compute the figures of a gateway's requests and their counter calls at the operators' size."""
 
 from __future__ import annotations
 
 from math import nan
 
 from granitedock.lab.scale.figures import (
-    SEGMENT_BYTES,
-    US_A_SECOND_PER_PERCENT,
+    SEGMENT_HEADER_BYTES,
+    US_PER_SECOND_PER_PERCENT,
     CapacityFigure,
     CapacityModel,
     FigureKind,
@@ -16,10 +16,12 @@
 
 
 def request_figures(model: CapacityModel) -> list[CapacityFigure]:
-    """Processor time and latency of requests, and the counter calls that they make; none without a measured
-    load with counting."""
+    """Return the figures of processor time and latency of requests, and of their counter calls.
+
+    The list is empty if no load with counting was measured.
+    """
     size = model.size
-    with_counting = [one for one in model.results.requests if one.counting]
+    with_counting = [cost for cost in model.results.requests if cost.counting]
     if not with_counting:
         return []
     cost = with_counting[-1]
@@ -28,7 +30,7 @@
         CapacityFigure(
             name="requests, processor",
             calculation=format_product(cost.cpu_us, "us", rate, "requests/s"),
-            total=cost.cpu_us * rate / US_A_SECOND_PER_PERCENT,
+            total=cost.cpu_us * rate / US_PER_SECOND_PER_PERCENT,
             unit="% of a core",
             source="requests",
             kind=FigureKind.MEASURED,
@@ -52,18 +54,18 @@
 
 
 def counter_call_figures(model: CapacityModel) -> list[CapacityFigure]:
-    """Processor time and bytes of the calls to the counter, if they count as control traffic."""
+    """Return the processor time and bytes of the calls to the counter, if they count as control traffic."""
     size = model.size
     rate = size.requests_a_gateway
     counting_us = mean_counting_us(model)
     call = model.results.calls[-1]
-    call_bytes = call.call_bytes + call.answer_bytes + 2.0 * SEGMENT_BYTES
+    call_bytes = call.call_bytes + call.answer_bytes + 2.0 * SEGMENT_HEADER_BYTES
     return [
         CapacityFigure(
             name="calls to the counter, processor, if they are control",
             calculation=f"{format_product(counting_us, 'us', rate, 'calls/s')} "
             "(with less without counting, mean over hosts)",
-            total=counting_us * rate / US_A_SECOND_PER_PERCENT,
+            total=counting_us * rate / US_PER_SECOND_PER_PERCENT,
             unit="% of a core",
             source="requests",
             kind=FigureKind.MEASURED,
@@ -76,7 +78,7 @@
             total=call_bytes * rate,
             unit="B/s",
             source="calls",
-            kind=FigureKind.RECKONED,
+            kind=FigureKind.CALCULATED,
             mechanism="one call a request",
             budget=size.control_bytes_a_second,
         ),
@@ -84,8 +86,10 @@
 
 
 def mean_counting_us(model: CapacityModel) -> float:
-    """Processor time that counting adds to a request, us, the mean over all counts of hosts; nan where only
-    one of the two was measured."""
+    """Return the processor time that counting adds to a request, in us, as the mean over all host counts.
+
+    Returns nan unless loads both with and without counting were measured.
+    """
     counted = [cost.cpu_us for cost in model.results.requests if cost.counting]
     uncounted = [cost.cpu_us for cost in model.results.requests if not cost.counting]
     if not counted or not uncounted:
--- a/granitedock/lab/scale/role_figures.py
+++ b/granitedock/lab/scale/role_figures.py
@@ -1,14 +1,14 @@
-"""The figures of the counter, discovery, hosts and clients at the operators' size."""
+"""Compute the figures of the counter, discovery, hosts and clients at the operators' size."""
 
 from __future__ import annotations
 
 from math import nan
 
 from granitedock.lab.scale.figures import (
-    BYTES_A_MEGABYTE,
+    BYTES_PER_MEGABYTE,
     MISSING,
-    MS_A_SECOND_PER_PERCENT,
-    SEGMENT_BYTES,
+    MS_PER_SECOND_PER_PERCENT,
+    SEGMENT_HEADER_BYTES,
     CapacityFigure,
     CapacityModel,
     FigureKind,
@@ -17,18 +17,18 @@
 from granitedock.lab.scale.fleet import FleetCost
 from granitedock.lab.scale.tables import format_value
 
-COUNTER_CONNECTIONS = 4  # of a gateway, as `service/limits.py` has it
-COUNTER_WINDOWS = 3  # a counter's name lives so many windows
-REQUEST_BYTES = 160.0  # of the laboratory's load; the operators name none
+COUNTER_CONNECTIONS = 4  # The most connections of one gateway, as in `service/limits.py`.
+COUNTER_WINDOWS = 3  # The windows after which a counter's name expires.
+REQUEST_BYTES = 160.0  # A request of the laboratory's load; the operators give no size.
 RESPONSE_BYTES = 60.0
-MAX_HOST_CONNECTIONS = 400.0  # of a gateway with 1,024 descriptors, as `service/limits.py` has it
+MAX_HOST_CONNECTIONS = 400.0  # The limit in `service/limits.py` for a gateway with 1,024 descriptors.
 
 
 def counter_figures(model: CapacityModel) -> list[CapacityFigure]:
-    """Calls, connections, bytes and names at one counter."""
+    """Return the figures of calls, connections, bytes and names at one counter."""
     size = model.size
     calls = size.requests_a_second
-    best = max((one.calls_a_second for one in model.results.calls), default=nan)
+    max_rate = max((cost.calls_a_second for cost in model.results.calls), default=nan)
     return [
         CapacityFigure(
             name="calls a second to one counter",
@@ -38,7 +38,7 @@
             source="calls",
             kind=FigureKind.MEASURED,
             mechanism=f"{MISSING}: names spread over several counters",
-            budget=best,
+            budget=max_rate,
         ),
         CapacityFigure(
             name="connections",
@@ -46,7 +46,7 @@
             total=size.gateways * COUNTER_CONNECTIONS,
             unit="connections",
             source="limits",
-            kind=FigureKind.RECKONED,
+            kind=FigureKind.CALCULATED,
             mechanism="`counter_links`, twice as many while they are replaced",
         ),
         counter_bytes_figure(model),
@@ -58,30 +58,33 @@
             total=float(COUNTER_WINDOWS) * size.plans,
             unit="names",
             source="limits",
-            kind=FigureKind.RECKONED,
+            kind=FigureKind.CALCULATED,
             mechanism="a name lives three windows",
         ),
     ]
 
 
 def counter_bytes_figure(model: CapacityModel) -> CapacityFigure:
-    """Bytes of all calls to the counter, with the network's headers."""
+    """Return the figure of the bytes of all calls to the counter, including network headers."""
     calls = model.size.requests_a_second
     call = model.results.calls[-1]
-    bytes_a_call = call.call_bytes + call.answer_bytes + 2.0 * SEGMENT_BYTES
+    bytes_a_call = call.call_bytes + call.answer_bytes + 2.0 * SEGMENT_HEADER_BYTES
     return CapacityFigure(
         name="bytes in and out",
         calculation=format_product(bytes_a_call, "B", calls, "calls/s"),
-        total=bytes_a_call * calls / BYTES_A_MEGABYTE,
+        total=bytes_a_call * calls / BYTES_PER_MEGABYTE,
         unit="MB/s",
         source="calls",
-        kind=FigureKind.RECKONED,
+        kind=FigureKind.CALCULATED,
         mechanism="one call a request",
     )
 
 
 def discovery_figures(model: CapacityModel) -> list[CapacityFigure]:
-    """Watches and updates, and a start of all gateways at once; none without a measured fleet."""
+    """Return the figures of watches, updates and a simultaneous start of all gateways.
+
+    The list is empty if no fleet was measured.
+    """
     if not model.results.fleets:
         return []
     cost = model.results.fleets[-1]
@@ -89,7 +92,7 @@
 
 
 def watch_figures(model: CapacityModel, cost: FleetCost) -> list[CapacityFigure]:
-    """The watches of all gateways, and what endpoint updates to them cost."""
+    """Return the figures of the watches of all gateways and of the endpoint updates sent to them."""
     size = model.size
     update_ms = cost.discovery_change_cpu_ms / cost.gateways
     updates = size.endpoint_updates_a_second
@@ -106,7 +109,7 @@
         CapacityFigure(
             name="changes out, processor",
             calculation=f"{format_value(update_ms)} ms x {size.gateways} watches x {format_value(updates)}/s",
-            total=update_ms * size.gateways * updates / MS_A_SECOND_PER_PERCENT,
+            total=update_ms * size.gateways * updates / MS_PER_SECOND_PER_PERCENT,
             unit="% of a core",
             source="hollow",
             kind=FigureKind.MEASURED,
@@ -116,14 +119,14 @@
 
 
 def simultaneous_start_figures(model: CapacityModel, cost: FleetCost) -> list[CapacityFigure]:
-    """Bytes and time until all gateways have the list, when all start at once."""
+    """Return the bytes, and the time until all gateways have the list, when all start at once."""
     size = model.size
     list_bytes = model.value_at("hosts", "hosts", "list_bytes", size.hosts)
     return [
         CapacityFigure(
             name="bytes out when all gateways start at once",
             calculation=format_product(list_bytes, "B", size.gateways, "whole lists"),
-            total=list_bytes * size.gateways / BYTES_A_MEGABYTE,
+            total=list_bytes * size.gateways / BYTES_PER_MEGABYTE,
             unit="MB",
             source="hosts",
             kind=FigureKind.MEASURED,
@@ -144,9 +147,9 @@
 
 
 def host_figures(model: CapacityModel) -> list[CapacityFigure]:
-    """Requests and connections at one host."""
+    """Return the figures of requests and connections at one host."""
     size = model.size
-    with_counting = [one for one in model.results.requests if one.counting]
+    with_counting = [cost for cost in model.results.requests if cost.counting]
     connections = float(with_counting[-1].host_connections) if with_counting else nan
     gateways_a_host = f"{size.gateways} gateways / {format_value(size.hosts)} hosts"
     return [
@@ -156,7 +159,7 @@
             total=size.requests_a_second / size.hosts,
             unit="requests/s",
             source="size",
-            kind=FigureKind.RECKONED,
+            kind=FigureKind.CALCULATED,
             mechanism="hosts drawn by registered size",
         ),
         CapacityFigure(
@@ -174,14 +177,14 @@
             total=MAX_HOST_CONNECTIONS * size.gateways / size.hosts,
             unit="connections",
             source="limits",
-            kind=FigureKind.RECKONED,
+            kind=FigureKind.CALCULATED,
             mechanism="`host_links`",
         ),
     ]
 
 
 def client_figures(model: CapacityModel) -> list[CapacityFigure]:
-    """Messages and bytes of the clients' side."""
+    """Return the figures of messages and bytes between clients and gateways."""
     rate = model.size.requests_a_gateway
     return [
         CapacityFigure(
@@ -190,7 +193,7 @@
             total=2.0,
             unit="messages",
             source="rule 1",
-            kind=FigureKind.RECKONED,
+            kind=FigureKind.CALCULATED,
             mechanism="nothing of control reaches a client",
         ),
         CapacityFigure(
@@ -199,7 +202,7 @@
             total=2.0 * (REQUEST_BYTES + RESPONSE_BYTES) * rate,
             unit="B/s",
             source="laboratory's load",
-            kind=FigureKind.RECKONED,
+            kind=FigureKind.CALCULATED,
             mechanism="read from the client, sent to the host, and back",
         ),
     ]
--- a/granitedock/lab/scale/sizes.py
+++ b/granitedock/lab/scale/sizes.py
@@ -1,6 +1,7 @@
-"""The operators' size in two years, and the sizes at which slopes are measured.
+"""Define the operators' size in two years, and the sizes at which slopes are measured.
 
-Counts and budgets are the operators' own figures (docs/CAPACITY.md); nothing here is measured.
+The counts and budgets of the operators' size are the operators' own figures (docs/CAPACITY.md), not results
+of a measurement.
 """
 
 from __future__ import annotations
@@ -8,26 +9,29 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-SECONDS_A_DAY = 86_400.0
-UPDATES_A_RESTART = 3  # endpoint updates that a host's restart makes: draining, gone, back
+SECONDS_PER_DAY = 86_400.0
+UPDATES_PER_RESTART = 3  # Endpoint updates of a host's restart: it drains, is removed and is added again.
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorSize:
-    """Counts of the deployment, rates per second unless the name says otherwise, and budgets of a gateway."""
+    """The operators' deployment: its counts and rates, and the budgets of a gateway.
+
+    Rates are per second unless the name gives another unit.
+    """
 
     gateways: int = 500
     hosts: int = 7_900
     services: int = 360
     requests_a_second: float = 80_000.0
     routes: int = 12_000
-    plans: int = 21_000  # one a tenant
+    plans: int = 21_000  # One plan per tenant.
     regions: int = 2
     zones: int = 5
     added_p99_ms: float = 5.8
     changes_a_day: float = 1_100.0
     change_within_s: float = 10.0
-    control_core: float = 0.017  # of one core, a gateway
+    control_core: float = 0.017  # Share of one core, per gateway.
     control_memory_mb: float = 64.0
     control_bytes_a_second: float = 13_000.0
     control_machines: int = 4
@@ -36,32 +40,32 @@
 
     @property
     def requests_a_gateway(self) -> float:
-        """Requests a second at one gateway."""
+        """Requests per second at one gateway."""
         return self.requests_a_second / self.gateways
 
     @property
     def changes_a_second(self) -> float:
-        """Changes of the configuration a second, the day's mean."""
-        return self.changes_a_day / SECONDS_A_DAY
+        """Configuration changes per second, as the mean of a day."""
+        return self.changes_a_day / SECONDS_PER_DAY
 
     @property
     def endpoint_updates_a_day(self) -> float:
-        """Endpoint updates that the day's restarts of hosts make."""
-        return self.restarts_a_day * UPDATES_A_RESTART
+        """Endpoint updates per day that result from restarts of hosts."""
+        return self.restarts_a_day * UPDATES_PER_RESTART
 
     @property
     def endpoint_updates_a_second(self) -> float:
-        """The same a second, the day's mean."""
-        return self.endpoint_updates_a_day / SECONDS_A_DAY
+        """Endpoint updates per second, as the mean of a day."""
+        return self.endpoint_updates_a_day / SECONDS_PER_DAY
 
     @property
     def control_core_percent(self) -> float:
-        """A gateway's budget of processor time for control, % of a core."""
+        """A gateway's budget of processor time for control traffic, in % of a core."""
         return 100.0 * self.control_core
 
 
 class ConfigurationCase(NamedTuple):
-    """Sizes of one measurement of the configuration service."""
+    """The sizes of one measurement of the configuration service."""
 
     gateways: int
     plans: int
@@ -71,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """At which counts each measurement is taken."""
+    """The counts at which each measurement is taken."""
 
     hosts: tuple[int, ...]
     plans: tuple[int, ...]
--- a/granitedock/lab/scale/tables.py
+++ b/granitedock/lab/scale/tables.py
@@ -1,4 +1,4 @@
-"""The measurements as Markdown tables, and their places in the page that shows them."""
+"""Format the measurements as Markdown tables and insert them into the page that shows them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def format_value(value: object) -> str:
-    """A cell's text; a number has the digits that are significant."""
+    """Format a cell; a number is shown with its significant digits."""
     if isinstance(value, bool):
         return "yes" if value else "no"
     if not isinstance(value, float):
@@ -30,46 +30,49 @@
     return f"{value:.3g}" if size else "0"
 
 
-def markdown_table(heads: Iterable[str], rows: Iterable[Iterable[object]]) -> str:
-    """A Markdown table with its closing line feed."""
-    heads = list(heads)
-    lines = [f"| {' | '.join(heads)} |", f"|{' --- |' * len(heads)}"]
+def markdown_table(headers: Iterable[str], rows: Iterable[Iterable[object]]) -> str:
+    """Return a Markdown table that ends with a line feed."""
+    headers = list(headers)
+    lines = [f"| {' | '.join(headers)} |", f"|{' --- |' * len(headers)}"]
     lines += [f"| {' | '.join(map(format_value, row))} |" for row in rows]
     return "\n".join(lines) + "\n"
 
 
-def column_head(field_name: str) -> str:
-    """A field's name as a table's head."""
+def column_header(field_name: str) -> str:
+    """Return the table header of a field."""
     return field_name.replace("_a_second", "/s").replace("_", " ")
 
 
 def measurement_table(measurements: Sequence[Cost]) -> str:
-    """All fields of the measurements, a line each, followed by how each grows with the first field."""
+    """Return a table with one line per measurement, followed by each field's growth with the first field.
+
+    The growth is left out if there are fewer than two measurements or two with the same count.
+    """
     if not measurements:
         return "Not measured in this run.\n"
     first = measurements[0]
-    names = [one.name for one in fields(first)]
-    rows = [[getattr(one, name) for name in names] for one in measurements]
-    table = markdown_table(map(column_head, names), rows)
+    names = [cost_field.name for cost_field in fields(first)]
+    rows = [[getattr(measurement, name) for name in names] for measurement in measurements]
+    table = markdown_table(map(column_header, names), rows)
     count = names[0]
-    distinct_counts = {getattr(one, count) for one in measurements}
+    distinct_counts = {getattr(measurement, count) for measurement in measurements}
     if len(distinct_counts) != len(measurements) or len(measurements) < 2:
         return table
     growth = [
-        f"{column_head(name)}: {growth_form(measurements, count, name)}"
+        f"{column_header(name)}: {growth_form(measurements, count, name)}"
         for name in names[1:]
         if is_number(getattr(first, name))
     ]
-    return f"{table}\nBy {column_head(count)}: {'; '.join(growth)}.\n"
+    return f"{table}\nBy {column_header(count)}: {'; '.join(growth)}.\n"
 
 
 def is_number(value: object) -> bool:
-    """Whether this is a number and no flag."""
+    """Return whether the value is a number and not a bool."""
     return isinstance(value, int | float) and not isinstance(value, bool)
 
 
 def machine_text(results: Results) -> str:
-    """Where and when the measurements were taken, and which are missing."""
+    """Describe the machine and its load, the failed measurements and those that were repeated later."""
     machine = results.machine
     text = (
         f"{machine.cores} cores, Python {machine.python}; load {machine.load_before:.1f} before and "
@@ -83,7 +86,7 @@
 
 
 def measurement_sections(results: Results) -> dict[str, str]:
-    """The page's sections of measurements by name."""
+    """Return the page's sections of measurements by name."""
     sections = {"machine": machine_text(results)}
     for kind in SECTION_KINDS:
         sections[kind] = measurement_table(results.measurements(kind))
@@ -91,8 +94,10 @@
 
 
 def fill_page(page: str, sections: dict[str, str], file_name: str) -> str:
-    """The page with the text of each `<!-- scale:NAME -->` section replaced. Raises PageError, naming the
-    page's file, for a section that is not in `sections`."""
+    """Return the page with the text of each `<!-- scale:NAME -->` section replaced.
+
+    Raises PageError, which names the page's file, for a section that is not in `sections`.
+    """
     missing = sorted({name for _, name, _ in SECTION.findall(page)} - sections.keys())
     if missing:
         raise PageError.unknown_sections(file_name, missing)
