--- a/granitedock/lab/scale/figures.py
+++ b/granitedock/lab/scale/figures.py
@@ -16,9 +16,8 @@
 BYTES_PER_MEGABYTE = 1e6
 MS_PER_SECOND_PER_PERCENT = 10.0  # Processor ms per second that equal 1 % of a core.
 US_PER_SECOND_PER_PERCENT = 1e4
-SEGMENT_HEADER_BYTES = (
-    52.0  # IP and TCP headers of a segment, with the timestamp option; each direction has one.
-)
+# IP and TCP headers of a segment, with the timestamp option. Each direction sends one segment.
+SEGMENT_HEADER_BYTES = 52.0
 FIGURE_HEADERS = ("figure", "slope x count", "at the size", "kind", "source", "budget", "factor", "mechanism")
 
 
@@ -90,7 +89,7 @@
         return fit_line(self.results.measurements(kind), count, cost)
 
     def value_at(self, kind: str, count: str, cost: str, number: float) -> float:
-        """Return the value measured at the count `number`, or that of the fitted line without such a one."""
+        """Return the value measured at the count `number`, or the fitted line's value if there is none."""
         for measurement in self.results.measurements(kind):
             if getattr(measurement, count) == number:
                 return float(getattr(measurement, cost))
--- a/granitedock/lab/scale/results.py
+++ b/granitedock/lab/scale/results.py
@@ -52,7 +52,7 @@
     documents: list[DocumentCost] = field(default_factory=list)
     configuration: list[ConfigurationCost] = field(default_factory=list)
     not_taken: list[str] = field(default_factory=list)  # Failed measurements with the reason.
-    taken_later: list[str] = field(default_factory=list)  # Kinds that were measured again in a later run.
+    taken_later: list[str] = field(default_factory=list)  # Kinds measured again on their own, in a later run.
 
     def measurements(self, kind: str) -> Sequence[Cost]:
         """Return the measurements of a kind, which is a key of `COST_TYPES`."""
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -1,4 +1,4 @@
-"""The form of the slopes at small sizes, by counts of messages, bytes and steps; and the page's tables."""
+"""Check how costs grow at small sizes, in messages, bytes and Python calls, and check the page's tables."""
 
 import sys
 from dataclasses import replace
@@ -6,7 +6,7 @@
 
 import pytest
 
-from granitedock import platform_file as told
+from granitedock import platform_file as platform_file_module
 from granitedock.lab.scale import calls, command, documents, fleet, hollow_fleet, hosts, plans, requests, view
 from granitedock.lab.scale.capacity import capacity_sections, over_budget, role_figures
 from granitedock.lab.scale.errors import ScaleError
@@ -19,77 +19,100 @@
 from granitedock.service.discovery_protocol import parse_endpoint_list
 
 
-def steps(act):
-    """Calls of Python functions that `act` makes."""
-    made = 0
+def count_function_calls(action):
+    """Run `action` and return the number of Python function calls that it makes."""
+    call_count = 0
 
-    def count(frame, event, what):
-        nonlocal made
-        made += event == "call"
+    def count_call(frame, event, argument):
+        nonlocal call_count
+        call_count += event == "call"
 
-    sys.setprofile(count)
+    sys.setprofile(count_call)
     try:
-        act()
+        action()
     finally:
         sys.setprofile(None)
-    return made
+    return call_count
 
 
-def test_a_list_of_hosts_grows_in_line_and_a_change_of_it_has_the_same_size_at_any_count():
-    rows = [hosts.measure(count) for count in (50, 200, 800)]
-    assert growth_form(rows, "hosts", "list_bytes") == "linear"
-    assert growth_form(rows, "hosts", "change_bytes") == "flat"
-    assert growth_form(rows, "hosts", "memory_mb") == "linear"
-    taken = [
-        steps(lambda count=count: hosts.state_machine_with(parse_endpoint_list(full_list_record(count))))
+def test_endpoint_list_costs_grow_linearly_and_an_update_has_a_constant_size():
+    """Guard against a full list that costs more than linear time, and updates that grow with the list.
+
+    Either happens if the gateway goes over all hosts for each host, or an update repeats the whole list.
+    """
+    costs = [hosts.measure(count) for count in (50, 200, 800)]
+    assert growth_form(costs, "hosts", "list_bytes") == "linear"
+    assert growth_form(costs, "hosts", "change_bytes") == "flat"
+    assert growth_form(costs, "hosts", "memory_mb") == "linear"
+    calls_per_host = [
+        count_function_calls(
+            lambda count=count: hosts.state_machine_with(parse_endpoint_list(full_list_record(count)))
+        )
         / count
         for count in (200, 800)
     ]
-    assert taken[1] < 1.5 * taken[0]
+    assert calls_per_host[1] < 1.5 * calls_per_host[0]
 
 
-def test_the_platforms_file_takes_steps_and_memory_in_line_with_its_plans():
-    rows = [plans.measure(count) for count in (200, 400, 800)]
-    assert growth_form(rows, "plans", "file_bytes") == "linear"
-    assert growth_form(rows, "plans", "memory_mb") == "linear"
+def test_platform_file_calls_and_memory_grow_linearly_with_its_plans():
+    """Guard against a validation that costs more than linear time, as when each plan visits all others."""
+    costs = [plans.measure(count) for count in (200, 400, 800)]
+    assert growth_form(costs, "plans", "file_bytes") == "linear"
+    assert growth_form(costs, "plans", "memory_mb") == "linear"
     files = {count: platform_file(count) for count in (200, 800)}
-    checked = [steps(lambda file=file: told.validation_errors(file)) / count for count, file in files.items()]
-    assert checked[1] < 1.2 * checked[0]
+    calls_per_plan = [
+        count_function_calls(lambda file=file: platform_file_module.validation_errors(file)) / count
+        for count, file in files.items()
+    ]
+    assert calls_per_plan[1] < 1.2 * calls_per_plan[0]
 
 
-def test_a_change_of_the_document_has_the_same_size_at_any_count_and_a_snapshot_grows_in_line():
-    rows = [documents.measure(count) for count in (200, 800)]
-    assert growth_form(rows, "plans", "snapshot_bytes") == "linear"
-    assert growth_form(rows, "plans", "memory_mb") == "linear"
+def test_snapshot_bytes_and_document_memory_grow_linearly_with_the_plans():
+    """Guard against a document whose snapshot or memory grows faster than its plans."""
+    costs = [documents.measure(count) for count in (200, 800)]
+    assert growth_form(costs, "plans", "snapshot_bytes") == "linear"
+    assert growth_form(costs, "plans", "memory_mb") == "linear"
 
 
-def test_names_that_stand_twice_are_looked_for_in_one_pass_over_the_plans():
-    """Guards the platform's file of 21,000 plans, read in 0.06 s, against 3.8 s by a pass for each name."""
+def test_duplicate_plan_names_are_detected_in_one_pass_over_the_plans():
+    """Guard against a search for duplicate names that passes over all plans once for each name.
+
+    A platform file of 21,000 plans is then read in 3.8 s instead of 0.06 s.
+    """
     files = {count: platform_file(count) for count in (1_000, 8_000)}
-    took = {count: cpu_ms(lambda file=file: told.validation_errors(file), 5) for count, file in files.items()}
-    assert took[8_000] < 24 * took[1_000]  # 8 in line, 64 by a pass for each name
+    processor_ms = {
+        count: cpu_ms(lambda file=file: platform_file_module.validation_errors(file), 5)
+        for count, file in files.items()
+    }
+    # The factor is 8 for linear growth, and 64 with one pass for each name.
+    assert processor_ms[8_000] < 24 * processor_ms[1_000]
     files[1_000]["settings"]["Tariffs"][7]["Name"] = "tenant-00100"
-    assert told.validation_errors(files[1_000]) == ["settings.Tariffs[].Name: 'tenant-00100' stands twice"]
+    assert platform_file_module.validation_errors(files[1_000]) == [
+        "settings.Tariffs[].Name: 'tenant-00100' stands twice"
+    ]
 
 
-def test_the_views_load_of_a_gateway_does_not_grow_with_the_fleet():
-    rows = [view.measure(count, 2.0) for count in (40, 120)]
-    assert growth_form(rows, "gateways", "messages_a_second") == "flat"
-    assert growth_form(rows, "gateways", "bytes_a_second") == "flat"
+def test_membership_load_per_gateway_does_not_grow_with_the_cluster():
+    """Guard against a membership protocol in which each gateway's messages or bytes grow with the cluster."""
+    costs = [view.measure(count, 2.0) for count in (40, 120)]
+    assert growth_form(costs, "gateways", "messages_a_second") == "flat"
+    assert growth_form(costs, "gateways", "bytes_a_second") == "flat"
 
 
-def test_hollow_gateways_over_real_sockets_all_get_the_list_and_each_change_in_a_few_bytes(monkeypatch):
+def test_hollow_gateways_on_real_sockets_get_the_list_and_small_updates(monkeypatch):
+    """Guard against updates that grow with the list, as when discovery sends all hosts for each change."""
     monkeypatch.setattr(hollow_fleet, "MAX_PROCESSES", 2)
     monkeypatch.setattr(fleet, "REST_S", 0.5)
     monkeypatch.setattr(fleet, "CHANGES", 3)
     monkeypatch.setattr(fleet, "CHANGE_INTERVAL_S", 0.1)
     small, large = fleet.measure(6, 20, True), fleet.measure(6, 200, False)
     assert small.gateways == large.gateways == 6
-    assert large.change_bytes < 2.0 * small.change_bytes  # whatever the list's length
+    assert large.change_bytes < 2.0 * small.change_bytes  # The list's length does not matter.
     assert large.change_bytes < 1000.0
 
 
-def test_sizes_beyond_the_machine_start_nothing(monkeypatch):
+def test_sizes_that_exceed_the_machine_are_rejected(monkeypatch):
+    """Guard against a run that exhausts the machine's descriptors or memory."""
     with pytest.raises(ScaleError, match="descriptors"):
         command.check_sizes(replace(FULL, counter_connections=(10**9,)))
     with pytest.raises(ScaleError, match="MB"):
@@ -98,9 +121,10 @@
         )
 
 
-def test_slopes_are_read_off_and_a_page_is_filled_by_name():
-    rows = [plans.PlanCost(count, 10 * count + 5, 1.0, 1.0, 1.0, 1.0) for count in (1, 2, 5)]
-    line = fit_line(rows, "plans", "file_bytes")
+def test_line_is_fitted_and_page_sections_are_filled_by_name():
+    """Guard against a wrong slope, text outside its section, and a section that no table fills."""
+    costs = [plans.PlanCost(count, 10 * count + 5, 1.0, 1.0, 1.0, 1.0) for count in (1, 2, 5)]
+    line = fit_line(costs, "plans", "file_bytes")
     assert (round(line.slope, 6), round(line.intercept, 6)) == (10, 5)
     page = "a\n<!-- scale:hosts -->\nold\n<!-- /scale -->\nb\n"
     assert fill_page(page, {"hosts": "new"}, "p.md") == "a\n<!-- scale:hosts -->\n\nnew\n<!-- /scale -->\nb\n"
@@ -108,15 +132,16 @@
         fill_page(page, {}, "p.md")
 
 
-def test_results_that_are_none_are_named_with_their_file(tmp_path):
+def test_malformed_results_are_rejected_with_the_file_name(tmp_path):
+    """Guard against a results file of another format that fails without naming the file."""
     path = tmp_path / "scale.json"
     path.write_text('{"machine": {}}')
     with pytest.raises(ScaleError, match=r"scale\.json: no results of lab scale"):
         read_results(path)
 
 
-def made_up_results():
-    """A run's record with plain figures: no measurement."""
+def synthetic_results():
+    """Return the results of a run with round values that are not measured."""
     cost = requests.RequestCost(20, True, 160.0, 9, 0, 600.0, 3.0, 5.0, 6.0, 2.0, 3.0, 4.0, 30, 38.0)
     return Results(
         True,
@@ -129,20 +154,25 @@
     )
 
 
-def test_a_change_in_force_is_what_is_missing_first_and_figures_are_slope_by_count(tmp_path):
-    results = made_up_results()
-    over = over_budget(role_figures(results, OperatorSize()))
-    assert over[0].name.startswith("a change in force") and isinf(over[0].factor)
-    assert any(row.name.startswith("calls a second to one counter") and row.factor == 2.0 for row in over)
-    made = capacity_sections(results, OperatorSize())
-    assert "| never |" in made["role-control"]
-    assert "100.0 us x 160.0 calls/s" in made["role-gateway"]
-    assert "7,900 hosts | 7.9 MB" in made["role-gateway"]
+def test_missing_configuration_service_is_first_over_budget_and_figures_are_slope_by_count(tmp_path):
+    """Guard against tables that hide an exceeded budget or miscalculate a figure, and lost results."""
+    results = synthetic_results()
+    exceeded = over_budget(role_figures(results, OperatorSize()))
+    assert exceeded[0].name.startswith("a change in force") and isinf(exceeded[0].factor)
+    assert any(
+        figure.name.startswith("calls a second to one counter") and figure.factor == 2.0
+        for figure in exceeded
+    )
+    sections = capacity_sections(results, OperatorSize())
+    assert "| never |" in sections["role-control"]
+    assert "100.0 us x 160.0 calls/s" in sections["role-gateway"]
+    assert "7,900 hosts | 7.9 MB" in sections["role-gateway"]
     results.write(tmp_path / "scale.json")
     assert read_results(tmp_path / "scale.json") == results
 
 
-def test_the_operators_size_is_told_a_gateway_and_a_second():
+def test_operator_size_gives_rates_per_gateway_and_per_second():
+    """Guard against rates that are divided by the wrong count or period."""
     size = OperatorSize()
     assert size.requests_a_gateway == 160.0
     assert round(size.changes_a_second, 4) == 0.0127
