--- a/granitedock/lab/scale/hollow_fleet.py
+++ b/granitedock/lab/scale/hollow_fleet.py
@@ -22,7 +22,7 @@
 def membership_net() -> int:
     """Return N of the loopback net 127.N that the members of this process's fleets use.
 
-    It depends on the process id, so that fleets of processes that run at once use different nets.
+    It depends on the process id, so that fleets of processes that run at once rarely share a net.
     """
     return FIRST_LOOPBACK_NET + os.getpid() % LOOPBACK_NETS
 
