--- a/granitedock/lab/load/__init__.py
+++ b/granitedock/lab/load/__init__.py
@@ -1,1 +1,1 @@
-"""Open-loop load on gateways, and the checks of the platform's rules on what came of it."""
+"""Open-loop load on gateways, and checks of the platform's rules on the outcome."""
--- a/granitedock/lab/load/client_connection.py
+++ b/granitedock/lab/load/client_connection.py
@@ -1,4 +1,4 @@
-"""The load generator's connections to gateways, and how a client words its requests."""
+"""The load generator's connections to gateways, and the encoding of client requests."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from granitedock.policy.types import Idempotency
 from granitedock.service.resp import ErrorReply, encode_command
 
-READ_CLASSES = {one.name for one in REQUEST_CLASSES if one.idempotency == Idempotency.IDEMPOTENT}
-KEYED_CLASSES = {one.name for one in REQUEST_CLASSES if one.idempotency == Idempotency.KEYED}
-REJECTION = b"BUSY"  # how the error line of a rejected request begins
+READ_CLASSES = {entry.name for entry in REQUEST_CLASSES if entry.idempotency == Idempotency.IDEMPOTENT}
+KEYED_CLASSES = {entry.name for entry in REQUEST_CLASSES if entry.idempotency == Idempotency.KEYED}
+REJECTION_PREFIX = b"BUSY"  # first word of the error line of a rejected request
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request on a connection, and whether it was sent on one before."""
+    """A request that waits on a connection; `resent` is set if it was sent on an earlier connection."""
 
     record: RequestRecord
     clients: Clients
@@ -33,25 +33,25 @@
 
 
 class Load(Protocol):
-    """What a connection needs of the load generator."""
+    """The part of the load generator that a connection uses."""
 
     connections: list[list[ClientConnection]]  # by gateway
-    connecting: list[int]  # connections on their way, by gateway
+    connecting: list[int]  # connections being opened, by gateway
     unexpected_answers: int
     running: bool
 
     def now_s(self) -> float:
-        """Seconds since the load began."""
+        """Return the seconds since the start of the load."""
 
     def connect(self, gateway: int, resend: list[PendingRequest] | None = None) -> None:
-        """Open a further connection to a gateway, on which these are sent first."""
+        """Open a further connection to a gateway, and send the requests in `resend` on it first."""
 
     def reconnect_later(self, gateway: int) -> None:
-        """Connect again after a short while, if there is no connection by then."""
+        """Connect again after a short delay, unless there is a connection by then."""
 
 
 class ClientConnection(RespConnection):
-    """One connection to a gateway; answers come in the order of the requests."""
+    """One connection to a gateway, on which answers arrive in the order of the requests."""
 
     def __init__(self, load: Load, gateway: int, resend: list[PendingRequest]) -> None:
         super().__init__()
@@ -61,7 +61,7 @@
         self.pending: deque[PendingRequest] = deque()
 
     def connectionMade(self) -> None:
-        """It is open: what another connection left unanswered goes first."""
+        """Register the connection, and send the requests that another connection left unanswered."""
         self.transport.setTcpNoDelay(True)
         self.load.connections[self.gateway].append(self)
         self.load.connecting[self.gateway] -= 1
@@ -69,34 +69,39 @@
             self.send_request(pending)
 
     def send_request(self, pending: PendingRequest) -> None:
-        """Send a request, with the time that is left to it."""
+        """Send a request with the time that remains until its deadline."""
         self.pending.append(pending)
         record = pending.record
         left_ms = record.deadline_ms - (self.load.now_s() - record.sent_at_s) * 1000.0
         self.send(encode_request(record, pending.clients, left_ms))
 
     def value_received(self, value: Any, parts: list[bytes]) -> None:  # noqa: ARG002  the receiver's signature
-        """Note the answer to the first request that waits. One to none breaks rule 1, and is not hidden."""
+        """Record the answer to the oldest pending request.
+
+        An answer without a pending request violates rule 1, so it is counted rather than ignored.
+        """
         if not self.pending:
             self.load.unexpected_answers += 1
             return
         record = self.pending.popleft().record
         record.latency_ms = (self.load.now_s() - record.sent_at_s) * 1000.0
         if type(value) is ErrorReply:
-            rejected = value.text.startswith(REJECTION)
+            rejected = value.text.startswith(REJECTION_PREFIX)
             record.outcome = RequestOutcome.REJECTED if rejected else RequestOutcome.FAILED
         else:
             record.outcome = RequestOutcome.DONE
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002  Twisted's signature
-        """What it had not answered is sent once more at once, on a new connection, as clients do: it may have
-        crossed the gateway's closing of one at rest."""
+        """Send the unanswered requests again at once, one time each, on a new connection.
+
+        Clients do the same, as a request may have been in flight while the gateway closed an idle connection.
+        """
         connections = self.load.connections[self.gateway]
         connections.remove(self)
         resend: list[PendingRequest] = []
         for pending in self.pending:
             if not self.load.running:
-                continue  # the load ended it, after its deadline: it stays open
+                continue  # the load closed the connection after the deadline, so the outcome stays OPEN
             record = pending.record
             if pending.resent or (self.load.now_s() - record.sent_at_s) * 1000.0 > record.deadline_ms:
                 record.outcome = RequestOutcome.LOST
@@ -109,7 +114,7 @@
 
 
 class GatewayConnector(ClientFactory):
-    """Connects to a gateway."""
+    """Opens a connection to a gateway."""
 
     noisy = False
 
@@ -119,11 +124,11 @@
         self.resend = resend
 
     def buildProtocol(self, addr: IAddress | None) -> ClientConnection:  # noqa: ARG002  Twisted's signature
-        """The gateway took the connection."""
+        """Return the protocol of a connection that the gateway accepted."""
         return ClientConnection(self.load, self.gateway, self.resend)
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:  # noqa: ARG002  Twisted's signature
-        """The gateway cannot be reached: what was to be sent again is lost."""
+        """Mark the requests to be sent again as lost, as the gateway cannot be reached."""
         for pending in self.resend:
             pending.record.outcome = RequestOutcome.LOST
             pending.record.gateway_ended = True
@@ -133,7 +138,7 @@
 
 
 def encode_request(record: RequestRecord, clients: Clients, left_ms: float) -> bytes:
-    """A request as a client words it; `left_ms` is the time that is left to its deadline."""
+    """Return a request as a client encodes it; `left_ms` is the time until its deadline."""
     keyed = clients.request_class in KEYED_CLASSES
     terms = b"c=%b,t=%b,d=%d,units=%g,spread=%d,first=%d%b" % (
         clients.request_class.encode(),
@@ -144,5 +149,5 @@
         clients.subset_start,
         b",k=%016x" % record.request_id if keyed else b"",
     )
-    word = b"API.READ" if clients.request_class in READ_CLASSES else b"API.WRITE"
-    return encode_command(word, b"%016x" % clients.customer, b"%016x" % record.request_id, terms)
+    command = b"API.READ" if clients.request_class in READ_CLASSES else b"API.WRITE"
+    return encode_command(command, b"%016x" % clients.customer, b"%016x" % record.request_id, terms)
--- a/granitedock/lab/load/generator.py
+++ b/granitedock/lab/load/generator.py
@@ -1,9 +1,9 @@
-"""Open-loop load on gateways: requests come at drawn times, however slow the answers are.
+"""Open-loop load on gateways: requests are sent at random times, however slow the answers are.
 
-As the platform's front does, each request goes to one gateway of its customer's subset, drawn from those that
-it has a connection to; a gateway that ends is noticed by its connection and left out until it is back. A busy
-connection gets company, up to a few for each gateway. Every request leaves one record. Nothing here decides
-for the gateways; the answers are read by the service's own framing.
+As the platform's front does, each request goes to one gateway of its customer's subset, drawn at random from
+those with an open connection. A gateway whose connections have ended is left out until it accepts one again.
+If a connection is busy, a further one to the same gateway is opened, up to a limit. Each request has exactly
+one record. The generator takes no decision for the gateways, and parses answers with the service's framing.
 """
 
 from __future__ import annotations
@@ -22,31 +22,32 @@
 
 RECONNECT_S = 0.1
 CONNECT_TIMEOUT_S = 2
-BUSY_AT = 16  # requests that wait on a connection before another is opened
-MAX_CONNECTIONS = 8  # to one gateway
+BUSY_PENDING_REQUESTS = 16  # a further connection is opened once so many requests wait on each
+MAX_CONNECTIONS_PER_GATEWAY = 8
 POLL_S = 0.02
-GRACE_S = 0.05  # beyond the last deadline
+STOP_GRACE_S = 0.05  # wait beyond the last deadline
 
 
 @dataclass(slots=True)
 class Pause:
-    """From when to when a gateway was stopped by SIGSTOP, on the steady clock."""
+    """The interval in which a gateway was stopped by SIGSTOP, on the monotonic clock."""
 
     began_s: float
     ended_s: float
 
 
 class LoadTimeoutError(GranitedockError, TimeoutError):
-    """Gateways that run took no connection."""
+    """Running gateways did not accept a connection in time."""
 
     def __init__(self, addresses: list[str]) -> None:
-        super().__init__(f"not all of {', '.join(addresses)} took a connection")
+        super().__init__(f"not every gateway of {', '.join(addresses)} accepted a connection in time")
 
 
 class LoadGenerator:
-    """The scenario's clients against gateways at these addresses, from `start` to `stop`.
+    """Runs the scenario's clients against gateways at these addresses, from `start` to `stop`.
 
-    `start`, `stop` and `run` are called from any thread but the reactor's; all else runs in the reactor's.
+    `start`, `stop` and `run` are called from any thread except the reactor's; all other methods run in the
+    reactor's thread.
     """
 
     def __init__(
@@ -56,7 +57,7 @@
         count_running: Callable[[], int] | None = None,
         pauses_of: Callable[[int], list[Pause]] = lambda _: [],
     ) -> None:
-        """`count_running` gives how many gateways run now (default: all), `pauses_of` when one was paused."""
+        """`count_running` returns how many gateways run now (default: all), `pauses_of` the pauses of one."""
         self.scenario = scenario
         self.addresses = addresses
         self.pauses_of = pauses_of
@@ -69,42 +70,48 @@
         self.unexpected_answers = 0
 
     def now_s(self) -> float:
-        """Seconds since the load began."""
+        """Return the seconds since the start of the load."""
         return time.monotonic() - self.began_s
 
     def start(self, within_s: float = 20.0) -> None:
-        """Connect to all gateways that run, then let the requests come. Raises LoadTimeoutError."""
+        """Connect to all running gateways, then start the requests.
+
+        Raises LoadTimeoutError if a running gateway has accepted no connection within `within_s`.
+        """
         on_reactor(self.connect_to_all)
-        ends = time.monotonic() + within_s
+        deadline_s = time.monotonic() + within_s
         while on_reactor(self.count_connected) < self.count_running():
-            if time.monotonic() > ends:
+            if time.monotonic() > deadline_s:
                 raise LoadTimeoutError(self.addresses)
             time.sleep(POLL_S)
         on_reactor(self.begin)
 
     def stop(self) -> list[RequestRecord]:
-        """Send no more; wait for what is open as long as its own deadline, and return every record."""
+        """Stop sending, and return all records.
+
+        Open requests are awaited until the longest of their deadlines has passed.
+        """
         on_reactor(self.end)
-        waiting = [record for record in self.records if record.outcome == RequestOutcome.OPEN]
-        longest_s = max((record.deadline_ms for record in waiting), default=0.0) / 1000.0
-        ends = time.monotonic() + longest_s + GRACE_S
-        while time.monotonic() < ends and self.has_open_requests():
+        open_requests = [record for record in self.records if record.outcome == RequestOutcome.OPEN]
+        longest_s = max((record.deadline_ms for record in open_requests), default=0.0) / 1000.0
+        deadline_s = time.monotonic() + longest_s + STOP_GRACE_S
+        while time.monotonic() < deadline_s and self.has_open_requests():
             time.sleep(POLL_S)
         on_reactor(self.close)
         return self.records
 
     def run(self, seconds: float) -> list[RequestRecord]:
-        """Start, let it last so long, and stop; returns every record."""
+        """Start the load, stop it after `seconds`, and return all records."""
         self.start()
         time.sleep(seconds)
         return self.stop()
 
     def has_open_requests(self) -> bool:
-        """Whether a request waits for its answer."""
+        """Return whether a request waits for its answer."""
         return any(record.outcome == RequestOutcome.OPEN for record in self.records)
 
     def count_connected(self) -> int:
-        """The gateways to which there is a connection."""
+        """Return the number of gateways with an open connection."""
         return sum(map(bool, self.connections))
 
     def connect_to_all(self) -> None:
@@ -114,23 +121,23 @@
             self.connect(gateway)
 
     def begin(self) -> None:
-        """The load's clock begins, and the requests come."""
+        """Start the load's clock and the requests of all clients."""
         self.began_s = time.monotonic()
         for number, clients in enumerate(self.scenario.clients):
             random = Random(f"{self.scenario.seed}:{number}")
             self.send_due(clients, random, self.now_s())
 
     def end(self) -> None:
-        """No more requests."""
+        """Stop sending requests."""
         self.running = False
 
     def close(self) -> None:
         """Reset all connections."""
-        for connection in [one for connections in self.connections for one in connections]:
+        for connection in [connection for connections in self.connections for connection in connections]:
             connection.transport.abortConnection()
 
     def call_later(self, after_s: float, function: Callable[[], object]) -> None:
-        """Call a function then, unless the load has ended meanwhile."""
+        """Call a function after `after_s`, unless the load has ended by then."""
 
         def call() -> None:
             if self.running:
@@ -140,14 +147,14 @@
             REACTOR.callLater(max(0.0, after_s), call)
 
     def connect(self, gateway: int, resend: list[PendingRequest] | None = None) -> None:
-        """Open a further connection to a gateway, on which these are sent first."""
+        """Open a further connection to a gateway, and send the requests in `resend` on it first."""
         self.connecting[gateway] += 1
         host, _, port = self.addresses[gateway].rpartition(":")
         connector = GatewayConnector(self, gateway, resend or [])
         REACTOR.connectTCP(host, int(port), connector, timeout=CONNECT_TIMEOUT_S)
 
     def reconnect_later(self, gateway: int) -> None:
-        """Connect again after a short while, if there is no connection by then."""
+        """Connect again after a short delay, unless there is a connection by then."""
 
         def reconnect() -> None:
             if not self.connections[gateway] and not self.connecting[gateway]:
@@ -156,16 +163,22 @@
         self.call_later(RECONNECT_S, reconnect)
 
     def connection_to(self, gateway: int) -> ClientConnection:
-        """The connection on which the fewest wait; where that is many, one more is opened beside it."""
+        """Return the connection with the fewest pending requests, and open a further one if it is busy."""
         connections = self.connections[gateway]
-        least = min(connections, key=lambda connection: len(connection.pending))
-        if len(least.pending) >= BUSY_AT and len(connections) + self.connecting[gateway] < MAX_CONNECTIONS:
+        least_pending = min(connections, key=lambda connection: len(connection.pending))
+        if (
+            len(least_pending.pending) >= BUSY_PENDING_REQUESTS
+            and len(connections) + self.connecting[gateway] < MAX_CONNECTIONS_PER_GATEWAY
+        ):
             self.connect(gateway)
-        return least
+        return least_pending
 
     def send_due(self, clients: Clients, random: Random, due_s: float) -> None:
-        """Send what is due now, and draw the next time: in advance, so that a loop that runs late sends what
-        it owes at once instead of less."""
+        """Send the requests scheduled for `due_s`, and schedule the next.
+
+        The next time counts from `due_s` and not from now, so that a late event loop catches up at once
+        instead of sending fewer requests.
+        """
         bursts = clients.shape == "bursts"
         for _ in range(clients.burst_size if bursts else 1):
             self.send_request(clients, random)
@@ -173,7 +186,10 @@
         self.call_later(next_s - self.now_s(), lambda: self.send_due(clients, random, next_s))
 
     def send_request(self, clients: Clients, random: Random) -> None:
-        """Send one request to a gateway of the customer's subset that is up."""
+        """Send one request to a random gateway of the customer's subset that is up.
+
+        The request is lost if none is.
+        """
         count = len(self.addresses)
         subset = [(clients.subset_start + n) % count for n in range(clients.subset_size)]
         up = [gateway for gateway in subset if self.connections[gateway]]
--- a/granitedock/lab/load/observations.py
+++ b/granitedock/lab/load/observations.py
@@ -1,6 +1,7 @@
-"""What was seen of a run from the outside: clients' requests, what hosts received, what lists were written.
+"""Observations of a run from outside the gateways.
 
-Times are seconds on one clock, which begins with the load.
+They comprise the requests of clients, the attempts that hosts received and the endpoint lists that were
+written. All times are in seconds on one clock, which starts with the load.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 
 
 class RequestOutcome(StrEnum):
-    """What came of a client's request. The values are the words of stored runs and of reports."""
+    """The outcome of a client's request; the values are written in stored runs and in reports."""
 
     DONE = "done"
     REJECTED = "deferred"
     FAILED = "errored"
-    LOST = "lost"  # its connection ended, and nothing came
-    OPEN = "open"  # it waits
+    LOST = "lost"  # the connection ended without an answer
+    OPEN = "open"  # the request waits for its answer
 
 
 ANSWERED = (RequestOutcome.DONE, RequestOutcome.REJECTED, RequestOutcome.FAILED)
@@ -28,10 +29,10 @@
 
 @dataclass(slots=True)
 class HostAttempt:
-    """One attempt as a host received it: in flight until it was answered or its connection ended.
+    """One attempt as a host received it; it is in flight until it is answered or its connection ends.
 
-    `reply` is what the host did with it (None while it is in flight); `BUSY` proves that it never ran.
-    `peer_port` is the port at the other end of the connection it came on.
+    `reply` is the host's reaction, None while the attempt is in flight; `BUSY` proves that the request never
+    ran. `peer_port` is the remote port of the connection on which the attempt arrived.
     """
 
     request_id: int
@@ -44,10 +45,11 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A request as its client saw it.
+    """A request as its client observed it.
 
-    `gateway` is the one it was sent to, `paused_s` how much of its time that gateway was stopped, and
-    `gateway_ended` whether it ended or was cut off meanwhile, so that no answer is owed.
+    `gateway` is the gateway that it was sent to, and `paused_s` how long that gateway was stopped while the
+    request waited. `gateway_ended` is set if the gateway ended or was cut off in that time, so that no answer
+    is required.
     """
 
     request_id: int
@@ -63,13 +65,13 @@
     gateway_ended: bool = False
 
     def answered_at_s(self) -> float:
-        """When its answer came; infinity if none did."""
+        """Return the time of the answer, or infinity if there is none."""
         return self.sent_at_s + self.latency_ms / 1000.0 if self.outcome in ANSWERED else inf
 
 
 @dataclass(frozen=True, slots=True)
 class WrittenList:
-    """An endpoint list as it was written to a gateway: when, and the hosts that drain or are gone by it."""
+    """An endpoint list written to a gateway: its time, and the hosts that it lists as draining or removed."""
 
     written_at_s: float
     unavailable: frozenset[str]
@@ -77,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ceiling:
-    """The ceiling of one customer: units a second, at once, and the slack beyond."""
+    """The ceiling of one customer: `rate` in units per second, `burst` and the `slack` beyond it in units."""
 
     rate: float
     burst: float
@@ -86,8 +88,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartTerms:
-    """How a host warms up: the share of its capacity that it begins with, how long it takes, and the multiple
-    of its capacity, over so long, that overloads it meanwhile."""
+    """The terms of a host's slow start.
+
+    The host begins with `initial_share` of its capacity and is warm after `warm_up_s`. Until then, requests
+    of more than `overload_factor` times its capacity over `overload_after_s` overload it.
+    """
 
     initial_share: float = 0.2
     warm_up_s: float = 1.0
@@ -97,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostStart:
-    """A host that started at `at_s`; `warm_rate` is the requests a second that it serves when warm."""
+    """The start of a host at `at_s`; `warm_rate` is the requests per second that it serves when warm."""
 
     host: str
     at_s: float
@@ -105,21 +110,24 @@
     terms: SlowStartTerms = SlowStartTerms()
 
     def capacity(self, from_s: float, to_s: float) -> float:
-        """Requests that it can serve in this time; its share grows evenly until it is warm."""
+        """Return the requests that the host can serve in this span.
+
+        The share of its capacity grows linearly until the host is warm.
+        """
         return self.warm_rate * (self.warm_seconds(to_s) - self.warm_seconds(from_s))
 
     def warm_seconds(self, until_s: float) -> float:
-        """The seconds of a warm host that it has been worth from its start until then."""
+        """Return how many seconds of a warm host its service from its start to `until_s` is equivalent to."""
         age = max(0.0, until_s - self.at_s)
         warming = min(age, self.terms.warm_up_s)
         share = self.terms.initial_share
-        worth = share * warming + (1.0 - share) * warming * warming / (2.0 * self.terms.warm_up_s)
-        return worth + max(0.0, age - self.terms.warm_up_s)
+        equivalent_s = share * warming + (1.0 - share) * warming * warming / (2.0 * self.terms.warm_up_s)
+        return equivalent_s + max(0.0, age - self.terms.warm_up_s)
 
 
 @dataclass(frozen=True, slots=True)
 class IdempotencyTerms:
-    """Whether a request class may be sent again, and for how long hosts recognise a repeat, in ms."""
+    """Whether a request class may be sent again, and its idempotency window in ms."""
 
     kind: Idempotency = Idempotency.IDEMPOTENT
     window_ms: float = 0.0
@@ -127,11 +135,11 @@
 
 @dataclass(slots=True)
 class Observations:
-    """All that was seen of a run from the outside."""
+    """All observations of a run from outside the gateways."""
 
     requests: list[ClientRequest]
     attempts: list[HostAttempt]
-    unexpected_answers: int = 0  # answers to no request
+    unexpected_answers: int = 0  # answers that belong to no request
     lists: dict[int, list[WrittenList]] = field(default_factory=dict)  # by gateway
     ceilings: dict[int, Ceiling] = field(default_factory=dict)  # by customer
     starts: list[HostStart] = field(default_factory=list)
--- a/granitedock/lab/load/request_record.py
+++ b/granitedock/lab/load/request_record.py
@@ -1,4 +1,4 @@
-"""What the load generator notes of one request."""
+"""The record that the load generator keeps of one request."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request, as its client saw it.
+    """One request as its client observed it.
 
-    `sent_at_s` counts from when the load began; `gateway` is the one it was sent to (NO_GATEWAY: none was
-    up); `deadline_ms` and `latency_ms` count from then. `request_id` is its id in this load. `gateway_ended`:
-    no gateway was there to send it to again after its connection had ended, so that nobody owes it an answer.
+    `sent_at_s` counts from the start of the load, `deadline_ms` and `latency_ms` from the sending. `gateway`
+    is the gateway that the request was sent to, or NO_GATEWAY if none was up. `request_id` is unique within
+    the load. `gateway_ended` is set if the connection ended and no gateway was available to send the request
+    to again, so that no answer is required.
     """
 
     sent_at_s: float
@@ -32,7 +33,7 @@
 
 
 def served_units(records: Iterable[RequestRecord], customer: int, from_s: float, to_s: float) -> float:
-    """The customer's units that were served, of the requests sent in this time."""
+    """Return the served units of the customer's requests that were sent from `from_s` to before `to_s`."""
     return sum(
         record.units
         for record in records
--- a/granitedock/lab/load/rule_checks.py
+++ b/granitedock/lab/load/rule_checks.py
@@ -1,8 +1,9 @@
-"""The five rules, checked from the outside: by what clients were answered, hosts received and lists said.
+"""Checks of the five rules from outside the gateways.
 
-Nothing here asks a gateway: a rule holds or not by the observations of both sides. Pure functions over
-observations; `rule_violations` gives a line for each violation, beginning with its rule. The slack is the
-platform's on sockets: every time is 50 ms longer, a ceiling wider by what its rate gives in 150.
+The checks use the answers that clients received, the attempts that hosts received and the endpoint lists that
+were written; no gateway is queried. All functions are pure functions of the observations, and
+`rule_violations` returns one line per violation that begins with the rule. The slack is that of the platform
+on sockets: each time limit is extended by 50 ms, and each ceiling by what its rate yields in 150 ms.
 """
 
 from __future__ import annotations
@@ -27,125 +28,143 @@
 
 SLACK_S = 0.05
 CEILING_SLACK_S = 0.15
-GRACE_S = 1.0  # for which a gateway may still send to a host that was listed as draining
+GRACE_S = 1.0  # a gateway may send to a host for this long after the host was listed as draining
 CLOCK_ERROR_S = 0.001
-CHANCE_ROOTS = 3  # a slow start's limit is widened by so many roots of itself, and by so many requests
+# Random arrivals may exceed a slow-start limit N by this multiple of sqrt(N), plus as many requests.
+CHANCE_DEVIATIONS = 3
 ROUNDING_UNITS = 1e-9
 
-Attempts = Sequence[HostAttempt]  # of one request, in the order in which hosts received them
+Attempts = Sequence[HostAttempt]  # attempts of one request, in the order in which hosts received them
 
 
 class Span(NamedTuple):
-    """From when to when, in seconds."""
+    """An interval of time, in seconds."""
 
     from_s: float
     to_s: float
 
 
 class Arrival(NamedTuple):
-    """When a request first came to a host, and its units."""
+    """The time at which a host first received a request, and the units of the request."""
 
     at_s: float
     units: float
 
 
 def rule_violations(observed: Observations) -> list[str]:
-    """Every violation of a rule, a line each; empty if all rules were kept."""
+    """Return one line per violation of a rule; the list is empty if all rules hold."""
     attempts: dict[int, list[HostAttempt]] = defaultdict(list)
     for attempt in sorted(observed.attempts, key=lambda attempt: attempt.received_at_s):
         attempts[attempt.request_id].append(attempt)
     count = observed.unexpected_answers
-    found = [f"rule 1: {count} answers to no task"] if count else []
+    violations = [f"rule 1: {count} answers to no task"] if count else []
     for request in observed.requests:
-        own = attempts.get(request.request_id, [])
+        request_attempts = attempts.get(request.request_id, [])
         terms = observed.request_classes.get(request.request_class, IdempotencyTerms())
-        found += check_answer(request, own)
-        found += check_duplicate_effects(request, own, terms)
-    found += check_draining_hosts(observed, attempts)
+        violations += check_answer(request, request_attempts)
+        violations += check_duplicate_effects(request, request_attempts, terms)
+    violations += check_draining_hosts(observed, attempts)
     for start in observed.starts:
-        arrivals = (one.received_at_s for one in observed.attempts if one.host == start.host)
-        found += check_slow_start(start, arrivals)
+        arrivals = (attempt.received_at_s for attempt in observed.attempts if attempt.host == start.host)
+        violations += check_slow_start(start, arrivals)
     for customer, ceiling in observed.ceilings.items():
-        firsts = [
+        first_arrivals = [
             Arrival(attempts[request.request_id][0].received_at_s, request.units)
             for request in observed.requests
             if request.customer == customer and request.request_id in attempts
         ]
-        found += check_ceiling(customer, ceiling, sorted(firsts))
-    return found
+        violations += check_ceiling(customer, ceiling, sorted(first_arrivals))
+    return violations
 
 
 def check_answer(request: ClientRequest, attempts: Attempts) -> list[str]:
-    """Rule 1: an answer before the client's deadline, and nothing sent to a host after it."""
-    who = f"task {request.request_id} at gateway/{request.gateway}"
+    """Check rule 1: an answer comes before the deadline, and no attempt reaches a host after it."""
+    label = f"task {request.request_id} at gateway/{request.gateway}"
     answered_at_s = request.answered_at_s()
     late_ms = request.latency_ms - request.deadline_ms - 1000.0 * (request.paused_s + SLACK_S)
-    found = []
+    violations = []
     if answered_at_s < inf and late_ms > 0:
-        found.append(f"rule 1: {who} was answered {late_ms + 1000 * SLACK_S:.0f} ms late")
+        violations.append(f"rule 1: {label} was answered {late_ms + 1000 * SLACK_S:.0f} ms late")
     elif answered_at_s == inf and not request.gateway_ended:
-        found.append(f"rule 1: {who} was never answered ({request.outcome})")
+        violations.append(f"rule 1: {label} was never answered ({request.outcome})")
     for attempt in attempts:
         if attempt.received_at_s > answered_at_s + SLACK_S:
             after_ms = 1000 * (attempt.received_at_s - answered_at_s)
-            found.append(f"rule 1: {who} was sent to {attempt.host} {after_ms:.0f} ms after its answer")
-    return found
+            violations.append(
+                f"rule 1: {label} was sent to {attempt.host} {after_ms:.0f} ms after its answer"
+            )
+    return violations
 
 
 def check_duplicate_effects(request: ClientRequest, attempts: Attempts, terms: IdempotencyTerms) -> list[str]:
-    """Rule 2: never two attempts in flight; no further attempt, nor a rejection, where an earlier one may
-    have run and the request class forbids it, or the hosts no longer know the idempotency key."""
-    found = []
-    who = f"task {request.request_id} ({request.request_class})"
+    """Check rule 2: a request never has two attempts in flight, and its effect is never duplicated.
+
+    Once an attempt may have run, there is no further attempt and no rejection if the request class forbids
+    it, or if the idempotency window has ended and hosts no longer recognise the idempotency key.
+    """
+    violations = []
+    label = f"task {request.request_id} ({request.request_class})"
     for before, after in zip(attempts, attempts[1:]):
         if after.received_at_s < before.ended_at_s - CLOCK_ERROR_S:
-            found.append(f"rule 2: {who} was out at {before.host} and {after.host} at once")
-    ran = next((attempt for attempt in attempts if attempt.reply != ReplyKind.BUSY), None)
-    if ran is None or terms.kind == Idempotency.IDEMPOTENT:
-        return found
+            violations.append(f"rule 2: {label} was out at {before.host} and {after.host} at once")
+    possible_run = next((attempt for attempt in attempts if attempt.reply != ReplyKind.BUSY), None)
+    if possible_run is None or terms.kind == Idempotency.IDEMPOTENT:
+        return violations
     keyed = terms.kind == Idempotency.KEYED
-    known_until_s = ran.received_at_s + terms.window_ms / 1000.0 + SLACK_S if keyed else -inf
+    key_known_until_s = possible_run.received_at_s + terms.window_ms / 1000.0 + SLACK_S if keyed else -inf
     for attempt in attempts:
-        if attempt is not ran and attempt.received_at_s > max(ran.received_at_s, known_until_s):
-            found.append(f"rule 2: {who} may have run at {ran.host} and was sent to {attempt.host}")
-    if request.outcome == RequestOutcome.REJECTED and request.answered_at_s() > known_until_s:
-        found.append(f"rule 2: {who} may have run at {ran.host} and was deferred")
-    return found
+        if attempt is not possible_run and attempt.received_at_s > max(
+            possible_run.received_at_s, key_known_until_s
+        ):
+            violations.append(
+                f"rule 2: {label} may have run at {possible_run.host} and was sent to {attempt.host}"
+            )
+    if request.outcome == RequestOutcome.REJECTED and request.answered_at_s() > key_known_until_s:
+        violations.append(f"rule 2: {label} may have run at {possible_run.host} and was deferred")
+    return violations
 
 
 def check_draining_hosts(observed: Observations, attempts: dict[int, list[HostAttempt]]) -> list[str]:
-    """Rule 3: nothing new to a host later than the grace after its gateway was notified that it drains."""
-    found = []
+    """Check rule 3: no gateway sends new attempts to a draining host.
+
+    The limit is the grace period after the gateway was notified that the host drains.
+    """
+    violations = []
     gateways = {request.request_id: request.gateway for request in observed.requests}
     spans = {gateway: unavailable_spans(lists) for gateway, lists in observed.lists.items()}
-    for request_id, own in attempts.items():
+    for request_id, request_attempts in attempts.items():
         gateway = gateways.get(request_id, -1)
-        for attempt in own:
+        for attempt in request_attempts:
             for span in spans.get(gateway, {}).get(attempt.host, ()):
                 if span.from_s + GRACE_S + SLACK_S < attempt.received_at_s < span.to_s:
                     late_ms = 1000 * (attempt.received_at_s - span.from_s)
-                    who = f"task {request_id} of gateway/{gateway}"
-                    found.append(f"rule 3: {who} came to {attempt.host} {late_ms:.0f} ms after its drain")
-    return found
+                    label = f"task {request_id} of gateway/{gateway}"
+                    violations.append(
+                        f"rule 3: {label} came to {attempt.host} {late_ms:.0f} ms after its drain"
+                    )
+    return violations
 
 
 def unavailable_spans(lists: Iterable[WrittenList]) -> dict[str, list[Span]]:
-    """For each host, from when to when the lists said that it drains or is gone."""
+    """Return, by host, the spans in which the lists showed it as draining or removed."""
     spans: dict[str, list[Span]] = {}
-    begun: dict[str, float] = {}
+    unavailable_since_s: dict[str, float] = {}
     for written in lists:
-        for name in [name for name in begun if name not in written.unavailable]:
-            spans.setdefault(name, []).append(Span(begun.pop(name), written.written_at_s))
+        for name in [name for name in unavailable_since_s if name not in written.unavailable]:
+            spans.setdefault(name, []).append(Span(unavailable_since_s.pop(name), written.written_at_s))
         for name in written.unavailable:
-            begun.setdefault(name, written.written_at_s)
-    for name, from_s in begun.items():
+            unavailable_since_s.setdefault(name, written.written_at_s)
+    for name, from_s in unavailable_since_s.items():
         spans.setdefault(name, []).append(Span(from_s, inf))
     return spans
 
 
 def check_slow_start(start: HostStart, arrivals: Iterable[float]) -> list[str]:
-    """Rule 4: while a host warms up, it gets in no time of the stated length more than the stated multiple of
-    its capacity, N, with three roots of N and three for chance."""
+    """Check rule 4: a host that warms up is not overloaded.
+
+    In any span of `overload_after_s` the host receives at most N requests, `overload_factor` times its
+    capacity, plus three times the square root of N and three more for random arrivals.
+    """
     times = sorted(at_s for at_s in arrivals if at_s >= start.at_s)
     terms = start.terms
     first = 0
@@ -154,21 +173,23 @@
             first += 1
         if times[first] > start.at_s + terms.warm_up_s:
             return []
-        most = terms.overload_factor * start.capacity(times[first], times[first] + terms.overload_after_s)
+        limit = terms.overload_factor * start.capacity(times[first], times[first] + terms.overload_after_s)
         count = last - first + 1
-        if count > most + CHANCE_ROOTS * sqrt(most) + CHANCE_ROOTS:
-            return [f"rule 4: {start.host} got {count} tasks cold, of {most:.1f} that it bears"]
+        if count > limit + CHANCE_DEVIATIONS * sqrt(limit) + CHANCE_DEVIATIONS:
+            return [f"rule 4: {start.host} got {count} tasks cold, of {limit:.1f} that it bears"]
     return []
 
 
 def check_ceiling(customer: int, ceiling: Ceiling, arrivals: Iterable[Arrival]) -> list[str]:
-    """Rule 5: what all gateways forward for a customer stays under its ceiling and the slack. `arrivals` are
-    the first attempts of the customer's requests, in order."""
-    full = ceiling.burst + ceiling.slack + ceiling.rate * CEILING_SLACK_S
-    level = full
+    """Check rule 5: the units that all gateways forward for a customer stay within its ceiling and slack.
+
+    `arrivals` are the first attempts of the customer's requests, in order of time.
+    """
+    capacity = ceiling.burst + ceiling.slack + ceiling.rate * CEILING_SLACK_S
+    level = capacity
     before_s = 0.0
     for at_s, units in arrivals:
-        level = min(full, level + ceiling.rate * (at_s - before_s)) - units
+        level = min(capacity, level + ceiling.rate * (at_s - before_s)) - units
         before_s = at_s
         if level < -ROUNDING_UNITS:
             return [f"rule 5: customer {customer} is {-level:.1f} units over its ceiling at {at_s:.2f} s"]
--- a/granitedock/lab/load/verification.py
+++ b/granitedock/lab/load/verification.py
@@ -1,4 +1,4 @@
-"""The observations of a run of load, on a test cluster or on gateways that run anyway, held to the rules."""
+"""Checks a run of load, on a test cluster or on gateways that run already, against the rules."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def cluster_load(cluster: GatewayCluster) -> LoadGenerator:
-    """The clients of a cluster's scenario against its gateways."""
+    """Return a load generator that runs the clients of a cluster's scenario against its gateways."""
     return LoadGenerator(
         cluster.scenario,
         [f"{cluster.gateway_host(gateway)}:{CLIENTS_PORT}" for gateway in range(cluster.count)],
@@ -37,21 +37,27 @@
 
 
 def violations(load: LoadGenerator, cluster: GatewayCluster | None = None) -> list[str]:
-    """What is wrong by the rules, a line each: rule 1 by the clients alone, all five with the cluster's side.
-    To be called from any thread but the reactor's."""
+    """Return one line per violation of a rule.
+
+    The clients' observations alone allow checking rule 1; with those of a cluster all five rules are checked.
+    It may be called from any thread except the reactor's.
+    """
     if cluster is None:
         return rule_violations(client_observations(load))
     return rule_violations(on_reactor(cluster_observations, load, cluster))
 
 
 def paused_seconds(pauses: list[Pause], from_s: float, to_s: float) -> float:
-    """How much of this time a process was stopped."""
+    """Return how long a process was stopped between `from_s` and `to_s`."""
     return sum(max(0.0, min(to_s, pause.ended_s) - max(from_s, pause.began_s)) for pause in pauses)
 
 
 def client_request(load: LoadGenerator, record: RequestRecord) -> ClientRequest:
-    """A request as its client saw it. A process that is stopped can answer nobody: such time is not counted,
-    and what came in it is due once it runs."""
+    """Return a request as its client observed it.
+
+    A stopped process cannot answer, so the time for which the gateway was paused is not counted against it;
+    requests that arrive during a pause are to be answered once the process runs again.
+    """
     sent_s = load.began_s + record.sent_at_s
     until_s = sent_s + (record.latency_ms or record.deadline_ms) / 1000.0
     paused_s = 0.0
@@ -73,52 +79,60 @@
 
 
 def client_observations(load: LoadGenerator) -> Observations:
-    """The clients' side of a run."""
+    """Return the clients' observations of a run."""
     requests = [client_request(load, record) for record in load.records]
     return Observations(requests, [], load.unexpected_answers)
 
 
 def cluster_observations(load: LoadGenerator, cluster: GatewayCluster) -> Observations:
-    """Both sides of a run on a cluster; times by the load's clock. In the reactor's thread."""
-    found = client_observations(load)
-    found.ceilings = ceilings(load)
-    observe_hosts(found, load, cluster)
+    """Return the observations of clients and cluster, with times on the load's clock.
+
+    It must run in the reactor's thread.
+    """
+    observed = client_observations(load)
+    observed.ceilings = ceilings(load)
+    observe_hosts(observed, load, cluster)
     for gateway, discovery in enumerate(cluster.discoveries):
-        found.lists[gateway] = [
+        observed.lists[gateway] = [
             WrittenList(written.written_at_s - load.began_s, written.unavailable)
             for written in discovery.written_lists
         ]
-    found.request_classes = {
-        one.name: IdempotencyTerms(one.idempotency, IDEMPOTENCY_WINDOW_MS) for one in REQUEST_CLASSES
+    observed.request_classes = {
+        entry.name: IdempotencyTerms(entry.idempotency, IDEMPOTENCY_WINDOW_MS) for entry in REQUEST_CLASSES
     }
-    return found
+    return observed
 
 
 def ceilings(load: LoadGenerator) -> dict[int, Ceiling]:
-    """The ceilings of the scenario's customers that have one."""
+    """Return the ceilings of the scenario's customers that have one, by customer."""
     plans = {plan.name: plan for plan in load.scenario.plans}
-    found = {}
+    ceilings_by_customer = {}
     for clients in load.scenario.clients:
         plan = plans[clients.plan]
         if plan.ceiling_rate:
-            found[clients.customer] = Ceiling(plan.ceiling_rate, plan.ceiling_burst, plan.ceiling_slack)
-    return found
+            ceilings_by_customer[clients.customer] = Ceiling(
+                plan.ceiling_rate, plan.ceiling_burst, plan.ceiling_slack
+            )
+    return ceilings_by_customer
+
 
+def observe_hosts(observed: Observations, load: LoadGenerator, cluster: GatewayCluster) -> None:
+    """Add the attempts that hosts received, and the starts of hosts.
 
-def observe_hosts(found: Observations, load: LoadGenerator, cluster: GatewayCluster) -> None:
-    """Add what the hosts received, and when they started. A gateway abandons an attempt by ending its
-    connection, which a host behind a cut notices only later: the proxies know when that was."""
+    A gateway abandons an attempt by closing its connection. A host behind a cut link sees that only later, so
+    the time is taken from the proxies.
+    """
     unheard_ends = {
         port: at_s
         for proxy in cluster.tcp_proxies
-        if proxy.party.startswith(Party.HOSTS)  # a test may name the link to one host
+        if proxy.party.startswith(Party.HOSTS)  # a test may name the link to a single host
         for port, at_s in proxy.unheard_ends.items()
     }
     for host in cluster.hosts:
         for attempt in host.attempts:
             unheard_s = unheard_ends.get(attempt.peer_port, inf)
             ended_s = min(attempt.ended_at_s, unheard_s if unheard_s >= attempt.received_at_s else inf)
-            found.attempts.append(
+            observed.attempts.append(
                 replace(
                     attempt,
                     received_at_s=attempt.received_at_s - load.began_s,
@@ -127,4 +141,4 @@
             )
         rate = host.zone.slots * 1000.0 / host.zone.service.mean_ms
         for at_s in host.starts:
-            found.starts.append(HostStart(host.name, at_s - load.began_s, rate, SLOW_START))
+            observed.starts.append(HostStart(host.name, at_s - load.began_s, rate, SLOW_START))
