--- a/granitedock/lab/load/observations.py
+++ b/granitedock/lab/load/observations.py
@@ -121,8 +121,8 @@
         age = max(0.0, until_s - self.at_s)
         warming = min(age, self.terms.warm_up_s)
         share = self.terms.initial_share
-        equivalent_s = share * warming + (1.0 - share) * warming * warming / (2.0 * self.terms.warm_up_s)
-        return equivalent_s + max(0.0, age - self.terms.warm_up_s)
+        worth = share * warming + (1.0 - share) * warming * warming / (2.0 * self.terms.warm_up_s)
+        return worth + max(0.0, age - self.terms.warm_up_s)
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitedock/lab/simulators/errors.py
+++ b/granitedock/lab/simulators/errors.py
@@ -6,11 +6,11 @@
 
 
 class SimulationError(GranitedockError):
-    """A simulation was asked for what its state does not allow."""
+    """An operation is not possible in the current state of the simulation."""
 
 
 class NotRunningError(SimulationError):
-    """A gateway was used while its process does not run."""
+    """A gateway was used while its process was not running."""
 
     def __init__(self, number: int) -> None:
-        super().__init__(f"gateway {number} does not run")
+        super().__init__(f"gateway {number}: expected a running process, got none")
--- a/granitedock/lab/simulators/minimal_scenario.py
+++ b/granitedock/lab/simulators/minimal_scenario.py
@@ -1,4 +1,4 @@
-"""The least scenario that a gateway's settings can be made of."""
+"""The smallest scenario from which a gateway's settings can be generated."""
 
 MINIMAL_SCENARIO = """
 [fleet]
--- a/granitedock/lab/simulators/plan_change_simulation.py
+++ b/granitedock/lab/simulators/plan_change_simulation.py
@@ -1,8 +1,8 @@
-"""A plan that changes while many gateways serve it, each hearing of it at a time of its own: by simulation.
+"""A simulation of a plan that changes while many gateways serve it, each applying it at a different time.
 
-The gateways are those of the quota simulation. A change acts on each by the program's own
-`granitedock.configuration.gateway_applier`; what is measured is what a customer gets over the change, against
-the bound that `usage_bound` states. Times are ms of the simulated clock.
+The gateways are those of the quota simulation. Each applies a change with the real
+`granitedock.configuration.gateway_applier`. The simulation measures the usage of a customer over the change,
+against the bound that `usage_bound` states. Times are ms of the simulated clock.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanChange:
-    """A new plan; the gateways apply it in even steps of time from the first moment to the last."""
+    """A new plan, which the gateways apply at evenly spaced times within the rollout."""
 
     plan: Plan
     first_applied_ms: float
@@ -31,52 +31,52 @@
 
     @property
     def rollout_ms(self) -> float:
-        """How long some gateways have applied it and others have not."""
+        """The time during which some gateways have applied the change and others have not."""
         return self.last_applied_ms - self.first_applied_ms
 
 
 @dataclass(slots=True)
 class AdmissionTerms:
-    """The plans and classes by which a gateway admits requests (the applier's `RequestAdmission`)."""
+    """The plans and classes by which a gateway admits requests: the applier's `RequestAdmission`."""
 
     plans: dict[str, Plan]
     request_classes: dict[str, RequestClass]
 
     def replace_request_classes(self, request_classes: dict[str, RequestClass]) -> None:
-        """Admit requests by these classes from now on."""
+        """Replace the classes by which requests are admitted."""
         self.request_classes = request_classes
 
 
 @dataclass(frozen=True, slots=True)
 class ConfiguredState:
-    """What the applier acts on, in place of a gateway's state machine (its `GatewayState`)."""
+    """The applier's `GatewayState`, in place of a gateway's state machine."""
 
     policy: Gateway
     requests: AdmissionTerms
 
 
 class ConfiguredGateway(SimulatedGateway):
-    """A gateway of the simulation whose plans change in service."""
+    """A gateway of the simulation whose plans change while it serves requests."""
 
     def __init__(self, simulation: QuotaSimulation, node: SimulatedNode) -> None:
         super().__init__(simulation, node)
-        classes = {one.name: one for one in self.policy.load_balancer.request_classes}
+        classes = {entry.name: entry for entry in self.policy.load_balancer.request_classes}
         plans = {load.plan.name: load.plan for load in simulation.loads.values()}
         self.admission = AdmissionTerms(plans, classes)
         state = ConfiguredState(self.policy, self.admission)
         self.applier = GatewayApplier(state, simulation.unix_ms)
 
     def plan_of(self, load: OfferedLoad) -> Plan:
-        """The plan of that name as this gateway has it."""
+        """Return the plan of the load's name in this gateway's version."""
         return self.admission.plans[load.plan.name]
 
     def apply_plan(self, plan: Plan) -> None:
-        """Put a changed plan in force."""
+        """Apply a changed plan."""
         self.applier.apply_plans({plan.name: plan}, [])
 
 
 class PlanChangeSimulation(QuotaSimulation):
-    """`count` gateways that apply each change one after another, in an order drawn by the seed."""
+    """Simulates `count` gateways that apply each change in turn, in an order drawn from the seed."""
 
     def __init__(
         self, count: int, loads: list[OfferedLoad], changes: list[PlanChange], seed: int = 1
@@ -90,11 +90,11 @@
                 self.schedule(change.first_applied_ms + turn * step_ms, self.apply_plan, number, change.plan)
 
     def make_gateway(self, node: SimulatedNode) -> ConfiguredGateway:
-        """A gateway whose plans can change."""
+        """Return a gateway whose plans can change."""
         return ConfiguredGateway(self, node)
 
     def apply_plan(self, number: int, plan: Plan) -> None:
-        """Put a changed plan in force at one gateway."""
+        """Apply a changed plan at one gateway."""
         gateway = self.gateways[number]
         assert isinstance(gateway, ConfiguredGateway)
         gateway.apply_plan(plan)
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SpanParts:
-    """Seconds of a span of time before a change, while gateways apply it, and after it."""
+    """The seconds of a span that lie before a change, in its rollout, and after it."""
 
     before_s: float
     rollout_s: float
@@ -110,7 +110,7 @@
 
     @classmethod
     def of(cls, change: PlanChange, start_ms: float, end_ms: float) -> SpanParts:
-        """The parts of the span from `start_ms` to `end_ms`, which ends after the change's first moment."""
+        """Return the parts of a span; `end_ms` must be later than the start of the rollout."""
         first = change.first_applied_ms
         last = change.last_applied_ms
         return cls(
@@ -121,11 +121,12 @@
 
 
 def usage_bound(before: Plan, after: Plan, same_window: bool, span: SpanParts) -> float:
-    """The most units that a customer may get in a span of time over a change from `before` to `after`.
+    """Return the most units that a customer may use in a span over a change from `before` to `after`.
 
-    With the same window all totals go on, so each gateway's limit is one on the sum, and the more generous of
-    both plans holds while versions differ. With another window those who have applied the change and those
-    who have not count apart meanwhile, so both rates add up; the burst is had once, the larger of both.
+    If the window stays the same, all totals continue, so each gateway's limit applies to the sum, and the
+    more generous of both plans holds while versions differ. If the window changes, the gateways that have
+    applied the change and those that have not count separately during the rollout, so both rates add up. The
+    burst, the larger of both, is available only once.
     """
     old_rate = before.rate * 1000.0
     new_rate = after.rate * 1000.0
@@ -135,14 +136,14 @@
 
 
 def worst_usage_share(load: OfferedLoad, change: PlanChange, same_window: bool, end_ms: float) -> float:
-    """The most that the customer got, as a part of `usage_bound`, over all spans that touch the change."""
+    """Return the highest usage as a share of `usage_bound`, over all spans that touch the rollout."""
     times = sorted(request.sent_at for request in load.completed)
     first_end = int(change.first_applied_ms)
-    worst = 0.0
+    highest_share = 0.0
     for start in range(0, int(min(change.last_applied_ms, end_ms)), SPAN_STEP_MS):
         first = bisect_left(times, start)
         for end in range(max(start, first_end) + SPAN_STEP_MS, int(end_ms) + 1, SPAN_STEP_MS):
             units = bisect_left(times, end) - first
             bound = usage_bound(load.plan, change.plan, same_window, SpanParts.of(change, start, end))
-            worst = max(worst, units / bound)
-    return worst
+            highest_share = max(highest_share, units / bound)
+    return highest_share
--- a/granitedock/lab/simulators/quota_simulation.py
+++ b/granitedock/lab/simulators/quota_simulation.py
@@ -1,9 +1,10 @@
 """Rate limiting and load balancing of many gateways against a simulated counter and simulated hosts.
 
-Each gateway runs the program's own policy, with membership, quota sharing and outlier detection where they
-are on. Simulated are the hosts, the counter with its latency, and clients that offer each customer's requests
-to the gateways of its subset. So what is admitted beside an allowance can be measured for hundreds of
-gateways and thousands of customers, under any partition between gateways and from the counter.
+Each gateway runs the real policy, with membership, quota sharing and outlier detection where they are
+enabled. The hosts, the counter with its latency, and the clients, which send each customer's requests to the
+gateways of its subset, are simulated. This makes it possible to measure the usage that is admitted beyond a
+quota for hundreds of gateways and thousands of customers, under any partition between gateways and from the
+counter.
 """
 
 from __future__ import annotations
@@ -13,7 +14,11 @@
 from random import Random
 
 from granitedock.lab.scenario import parse
-from granitedock.lab.simulators.membership_simulation import EPOCH, MembershipSimulation, SimulatedNode
+from granitedock.lab.simulators.membership_simulation import (
+    EPOCH_UNIX_MS,
+    MembershipSimulation,
+    SimulatedNode,
+)
 from granitedock.lab.simulators.minimal_scenario import MINIMAL_SCENARIO
 from granitedock.lab.simulators.offered_load import OfferedLoad
 from granitedock.lab.simulators.simulated_counter import SimulatedCounter
@@ -28,10 +33,11 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayFeatures:
-    """What is on at every gateway.
+    """The features that are enabled at every gateway.
 
-    `share_quotas`: uncounted usage is sent to others and reserves are held; `use_membership`: even shares
-    follow the members that may be serving; `detect_outliers`: observations of hosts are sent to others.
+    With `share_quotas` gateways send each other their uncounted usage and keep reserves. With
+    `use_membership` quotas are divided evenly among the members that may be serving. With `detect_outliers`
+    gateways send each other their observations of hosts.
     """
 
     share_quotas: bool = True
@@ -40,13 +46,13 @@
 
 
 class QuotaSimulation(MembershipSimulation):
-    """`count` gateways that serve the offered loads.
+    """Simulates `count` gateways that serve the offered loads.
 
-    `host_faults` has the outcome of every attempt at a host that fails; TIMEOUT is a host that never answers.
-    `unreachable` has gateways' numbers with the hosts that they cannot connect to.
+    `host_faults` maps each failing host to the outcome of its attempts; TIMEOUT is a host that never answers.
+    `unreachable` contains pairs of a gateway's number and a host that the gateway cannot connect to.
     """
 
-    payload_types: PayloadTypes = {kind.kind: kind for kind in (QUOTA_PAYLOAD, HOST_PAYLOAD)}
+    payload_types: PayloadTypes = {payload.kind: payload for payload in (QUOTA_PAYLOAD, HOST_PAYLOAD)}
 
     def __init__(
         self,
@@ -62,7 +68,7 @@
         self.host_faults: dict[str, Outcome] = {}
         self.unreachable: set[tuple[int, str]] = set()
         self.attempts: Counter[str] = Counter()  # by host
-        self.failed_attempts: Counter[str] = Counter()  # by host, of those with a fault
+        self.failed_attempts: Counter[str] = Counter()  # by host, of hosts with a fault only
         self.scenario = parse(MINIMAL_SCENARIO)
         self.loads = {load.customer: load for load in loads}
         self.gateways: dict[int, SimulatedGateway] = {}
@@ -73,21 +79,21 @@
             self.offer_next(load)
 
     def unix_ms(self) -> float:
-        """The simulated time as Unix ms."""
-        return EPOCH + self.now
+        """Return the simulated time as Unix ms."""
+        return EPOCH_UNIX_MS + self.now
 
     def make_gateway(self, node: SimulatedNode) -> SimulatedGateway:
-        """The gateway of a process that has just started."""
+        """Return the gateway of a process that has just started."""
         return SimulatedGateway(self, node)
 
     def start(self, number: int, seeds: tuple[str, ...] | None = None) -> None:
-        """Start a gateway's process, and its services."""
+        """Start a gateway's process and its services."""
         super().start(number, seeds)
         gateway = self.gateways[number] = self.make_gateway(self.nodes[number])
         gateway.start_broadcasts()
 
     def receive(self, node: SimulatedNode, message: Message) -> None:
-        """A datagram reaches a running process: to its membership, then to the service that it is for."""
+        """Deliver a datagram to a running process: to its membership, then to the service that it is for."""
         super().receive(node, message)
         self.gateways[node.number].receive(message)
 
@@ -97,12 +103,12 @@
             self.counter.disconnected_since.setdefault(number, self.now)
 
     def heal(self) -> None:
-        """Unblock all links, those to the counter too."""
+        """Unblock all links, including those to the counter."""
         super().heal()
         self.counter.disconnected_since.clear()
 
     def offer_next(self, load: OfferedLoad) -> None:
-        """The next request of this customer, to a gateway of its subset that runs."""
+        """Send a request of this customer to a serving gateway of its subset, and schedule the next."""
         self.schedule(self.arrivals.expovariate(load.rate) * 1000.0, self.offer_next, load)
         count = len(self.nodes)
         subset = [(load.subset_start + offset) % count for offset in range(load.subset_size)]
@@ -111,5 +117,5 @@
             self.gateways[self.arrivals.choice(serving)].handle_request(load, 1.0)
 
     def is_serving(self, node: SimulatedNode) -> bool:
-        """Whether the process runs and is not paused."""
+        """Return whether the process runs and is not paused."""
         return node.local_member is not None and self.now >= node.paused_until
--- a/granitedock/lab/simulators/simulated_gateway.py
+++ b/granitedock/lab/simulators/simulated_gateway.py
@@ -1,4 +1,4 @@
-"""One gateway of a simulation: the program's own policy, with simulated hosts and counter calls."""
+"""One gateway of a simulation: the real policy, with simulated hosts and counter calls."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from granitedock import platform_settings
 from granitedock.lab.gateway_settings import gateway_settings
-from granitedock.lab.simulators.membership_simulation import EPOCH, SimulatedNode
+from granitedock.lab.simulators.membership_simulation import EPOCH_UNIX_MS, SimulatedNode
 from granitedock.lab.simulators.offered_load import CompletedRequest, OfferedLoad
 from granitedock.membership.messages import Message
 from granitedock.outlier_detection.detector import OutlierDetector
@@ -30,24 +30,24 @@
 if TYPE_CHECKING:
     from granitedock.lab.simulators.quota_simulation import QuotaSimulation
 
-SERVICE_MS = 5.0  # of every attempt that is answered
-COUNTER_LATENCY_MS = (1.0, 3.0)  # one way, the least and the greatest
-DISCONNECT_NOTICED_MS = 1000.0  # until then calls over a cut connection are lost
-RECONNECT_MS = 250.0  # then a call fails after so long
-DEADLINE_MS = 800.0  # from a request's arrival
-OBSERVATIONS_A_DATAGRAM = 10
+SERVICE_MS = 5.0  # service time of every answered attempt
+COUNTER_LATENCY_MS = (1.0, 3.0)  # minimum and maximum, one way
+DISCONNECT_DETECTION_MS = 1000.0  # calls over a cut connection are lost until it is detected
+RECONNECT_MS = 250.0  # after the detection each call fails after this time
+DEADLINE_MS = 800.0  # counted from the arrival of a request
+MAX_OBSERVATIONS_PER_DATAGRAM = 10
 ZONES = "ab"
 
 
 def make_hosts(count: int) -> dict[str, Host]:
-    """Hosts in alternating zones, by name."""
+    """Return hosts in alternating zones, by name."""
     return {f"h{number}": Host(name=f"h{number}", zone=ZONES[number % 2]) for number in range(count)}
 
 
 class SimulatedGateway:
     """The policy of one gateway, and its effect handler (`granitedock.policy.ports.EffectHandler`).
 
-    It belongs to one run of its node's process; what comes for it after that run is dropped.
+    It belongs to one run of its node's process; inputs that arrive after the end of that run are dropped.
     """
 
     def __init__(self, simulation: QuotaSimulation, node: SimulatedNode) -> None:
@@ -77,7 +77,7 @@
         self.policy.rate_limiter.membership = self if features.use_membership else None
 
     def make_detector(self) -> OutlierDetector:
-        """Attach outlier detection to the policy."""
+        """Attach an outlier detector to the policy, and return it."""
         member = self.local_member.membership.local
         self.live_names = [member.name]
         detector = OutlierDetector(
@@ -88,31 +88,31 @@
         return detector
 
     def is_running(self) -> bool:
-        """Whether this run of the process goes on."""
+        """Return whether this run of the process has not ended."""
         return self.node.local_member is self.local_member
 
     def is_paused(self) -> bool:
-        """Whether the process is paused now."""
+        """Return whether the process is paused now."""
         return self.simulation.now < self.node.paused_until
 
     def advance_clock(self) -> None:
-        """Bring the policy to the simulation's time."""
+        """Advance the policy's clock to the simulated time."""
         self.policy.advance_clock(self.simulation.unix_ms())
 
     # The policy's `MembershipPort`.
 
     def active_members(self, subset_start: int, subset_size: int) -> int:
-        """How many gateways of the subset may be serving."""
+        """Return the number of gateways of the subset that may be serving."""
         return self.local_member.active_members(self.simulation.now, subset_start, subset_size)
 
     # Requests and attempts.
 
     def plan_of(self, load: OfferedLoad) -> Plan:
-        """The plan in force at this gateway."""
+        """Return the load's plan in the version that this gateway applies."""
         return load.plan
 
     def handle_request(self, load: OfferedLoad, units: float) -> None:
-        """A request of this customer arrives."""
+        """Handle a request of this customer."""
         customer = self.customers.setdefault(load.customer, Customer(load.customer))
         now = self.simulation.unix_ms()
         self.advance_clock()
@@ -124,7 +124,7 @@
         self.policy.handle_request(request)
 
     def send_attempt(self, attempt: Attempt, _attempt_deadline: float | None) -> None:
-        """The host answers after a while, unless it or the link to it has a fault."""
+        """Schedule the end of an attempt: an answer, or the fault of the host or of the link to it."""
         simulation = self.simulation
         host = attempt.host.name
         outcome = simulation.host_faults.get(host, Outcome.DONE)
@@ -137,7 +137,7 @@
         simulation.schedule(after_ms, self.attempt_finished, attempt, outcome)
 
     def attempt_finished(self, attempt: Attempt, outcome: Outcome) -> None:
-        """An attempt ends, unless it was cancelled before."""
+        """End an attempt, unless it has ended already."""
         if not self.is_running() or attempt.outcome is not None:
             return
         simulation = self.simulation
@@ -145,56 +145,56 @@
         is_done = outcome is Outcome.DONE
         if is_done:
             load = simulation.loads[request.customer.key]
-            sent_at = request.received_at - EPOCH
+            sent_at = request.received_at - EPOCH_UNIX_MS
             load.completed.append(CompletedRequest(sent_at, self.node.number, request.units))
         elif attempt.host.name in simulation.host_faults:
             simulation.failed_attempts[attempt.host.name] += 1
         self.advance_clock()
-        took_ms = simulation.unix_ms() - attempt.sent_at
-        self.policy.attempt_finished(attempt, outcome, took_ms, is_done, 0, 0)
+        elapsed_ms = simulation.unix_ms() - attempt.sent_at
+        self.policy.attempt_finished(attempt, outcome, elapsed_ms, is_done, 0, 0)
 
     def reject(self, request: Request, _retry_after_ms: float | None) -> None:
-        """The request was not admitted."""
+        """Count a rejected request."""
         self.simulation.loads[request.customer.key].rejected += 1
 
     def fail(self, request: Request) -> None:
-        """The request failed."""
+        """Count a failed request among the rejected ones."""
         self.simulation.loads[request.customer.key].rejected += 1
 
     def cancel(self, attempt: Attempt) -> None:
-        """End an attempt at once."""
+        """Schedule the cancellation of an attempt for the current time."""
         self.simulation.schedule(0.0, self.attempt_finished, attempt, Outcome.CANCELLED)
 
     def log_decision(self, line: str) -> None:
-        """Decisions are not logged here."""
+        """Ignore the line, as decisions are not logged in simulations."""
 
-    def start_timer(self, after_ms: float, why: object) -> None:
+    def start_timer(self, after_ms: float, subject: object) -> None:
         """Start a timer of the policy."""
-        self.simulation.schedule(after_ms, self.timer_fired, why)
+        self.simulation.schedule(after_ms, self.timer_fired, subject)
 
-    def timer_fired(self, why: CounterCall | Attempt) -> None:
-        """A timer of the policy is due."""
+    def timer_fired(self, subject: CounterCall | Attempt) -> None:
+        """Handle the expiry of a timer of the policy."""
         if self.is_running():
             self.advance_clock()
-            self.policy.timer_fired(why)
+            self.policy.timer_fired(subject)
 
     # Calls to the counter.
 
     def call_counter(self, call: CounterCall) -> None:
-        """Send an increment; over a cut connection it is lost, or fails once that is noticed."""
+        """Send an increment, which is lost over a cut connection, or fails once the cut is detected."""
         simulation = self.simulation
         simulation.counter.calls += 1
         disconnected_at = simulation.counter.disconnected_since.get(self.node.number)
         latency_ms = simulation.random.uniform(*COUNTER_LATENCY_MS)
         if disconnected_at is None:
             simulation.schedule(latency_ms, self.counter_call_arrived, call)
-        elif simulation.now - disconnected_at > DISCONNECT_NOTICED_MS:
+        elif simulation.now - disconnected_at > DISCONNECT_DETECTION_MS:
             simulation.schedule(
                 RECONNECT_MS, self.counter_call_finished, call, Outcome.CONNECTION_FAILED, 0.0
             )
 
     def counter_call_arrived(self, call: CounterCall) -> None:
-        """The counter has the call; its answer is lost if the gateway was cut off meanwhile."""
+        """Apply a call at the counter; the answer is lost if the gateway is cut off by then."""
         simulation = self.simulation
         total = simulation.counter.increment(call.name, call.amount, call.ttl_ms, simulation.now)
         if self.node.number not in simulation.counter.disconnected_since:
@@ -202,15 +202,15 @@
             simulation.schedule(latency_ms, self.counter_call_finished, call, Outcome.DONE, total)
 
     def counter_call_finished(self, call: CounterCall, outcome: Outcome, total: float) -> None:
-        """The counter's answer, or a failed call."""
+        """Pass the counter's answer, or the failure of the call, to the policy."""
         if self.is_running():
             self.advance_clock()
             self.policy.counter_call_finished(call, outcome, total)
 
-    # Payloads that gateways send each other.
+    # Payloads that gateways exchange.
 
     def start_broadcasts(self) -> None:
-        """Start the rounds of the services that run, each at a random time of its interval."""
+        """Start the rounds of the enabled services, each at a random time within its interval."""
         simulation = self.simulation
         if self.quota_sharing is not None:
             wait_ms = simulation.random.random() * self.quota_sharing.settings.broadcast_interval_ms
@@ -220,14 +220,14 @@
             simulation.schedule(wait_ms, self.share_observations, self.detector)
 
     def receive(self, message: Message) -> None:
-        """Take the payload of a datagram, if its service runs here."""
+        """Pass the payload of a datagram to its service, if that is enabled."""
         if message.kind == QUOTA_PAYLOAD.kind and self.quota_sharing is not None:
             self.quota_sharing.receive(message.payload, self.simulation.unix_ms())
         if message.kind == HOST_PAYLOAD.kind and self.detector is not None:
             self.detector.receive(message.payload, self.simulation.unix_ms())
 
     def share_quotas(self, quota_sharing: QuotaSharing) -> None:
-        """One round of quota sharing: rows to other gateways, and its own calls to the counter."""
+        """Run one round of quota sharing: send rows to other gateways and its calls to the counter."""
         if not self.is_running():
             return
         simulation = self.simulation
@@ -243,7 +243,7 @@
             self.call_counter(call)
 
     def share_observations(self, detector: OutlierDetector) -> None:
-        """One round of outlier detection: observations to other gateways, and new verdicts."""
+        """Run one round of outlier detection: send observations to other gateways and update the verdicts."""
         if not self.is_running():
             return
         simulation = self.simulation
@@ -252,7 +252,7 @@
         if self.is_paused():
             return
         self.live_names = sorted([membership.local.name, *membership.live_others()])
-        rows = tuple(detector.broadcasts_due(OBSERVATIONS_A_DATAGRAM, simulation.unix_ms()))
+        rows = tuple(detector.broadcasts_due(MAX_OBSERVATIONS_PER_DATAGRAM, simulation.unix_ms()))
         detector.update_verdicts(simulation.unix_ms())
         if not rows:
             return
--- a/granitedock/lab/simulators/simulated_network.py
+++ b/granitedock/lab/simulators/simulated_network.py
@@ -1,4 +1,4 @@
-"""What the simulated network between gateways does to datagrams."""
+"""Conditions of the simulated network between gateways."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(slots=True)
 class NetworkConditions:
-    """Of every link alike; a running simulation follows changes of them.
+    """The conditions of every link; changes take effect in a running simulation.
 
-    `loss` and `duplication` are probabilities, `latency_ms` the least and the greatest one-way latency. With
-    `measure_bytes` each datagram is encoded, so that its size is known; that takes most of a run's time.
+    `loss` and `duplication` are probabilities, `latency_ms` the minimum and maximum one-way latency. With
+    `measure_bytes` each datagram is encoded to measure its size, which takes most of a run's time.
     """
 
     loss: float = 0.0
