--- a/granitedock/lab/hollow/__init__.py
+++ b/granitedock/lab/hollow/__init__.py
@@ -1,6 +1,6 @@
-"""Hollow gateways: the real state machines over real loopback sockets, with no clients, many to a process.
+"""Hollow gateways: real state machines on real loopback sockets, without clients, many per process.
 
-Each has the state machine with its watch on discovery, membership where a loopback net is given, and follows
-the configuration where control addresses are given. What a client, a host or the counter would bring is left
-out, so that hundreds of gateways fit one machine and what controlling them costs can be measured.
+Each runs the state machine with its watch on discovery, membership if a loopback net is given, and follows
+the configuration if control addresses are given. Inputs from clients, hosts and the counter are left out, so
+that hundreds of gateways fit on one machine and the cost of controlling them can be measured.
 """
--- a/granitedock/lab/hollow/__main__.py
+++ b/granitedock/lab/hollow/__main__.py
@@ -1,7 +1,8 @@
 """A process of hollow gateways, run as `python -m granitedock.lab.hollow`.
 
-The first line on standard input is a `HollowOrder` as JSON; the process answers with one line once it has
-taken the order, then takes `{"status": true}` and answers with a `HollowStatus` as JSON.
+The first line on standard input is a `HollowOrder` as JSON, which the process answers with one line once it
+has scheduled the start of the gateways. It answers each further line, `{"status": true}`, with a
+`HollowStatus` as JSON.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from granitedock.lab.reactor import REACTOR
 from granitedock.lab.scale.command_server import serve_commands
 
-START_SPREAD_S = 0.5  # the gateways of one process start within so long
+START_SPREAD_S = 0.5  # the starts of one process's gateways are spread over this time
 STATUS_COMMAND = "status"
 
 
@@ -30,20 +31,20 @@
         self.gateways: list[HollowGateway] = []
 
     def handle_command(self, command: dict[str, Any]) -> dict[str, Any]:
-        """Carry out an order, or report; the status as JSON fields."""
+        """Carry out an order, if the command is one, and return the status as JSON fields."""
         if STATUS_COMMAND not in command:
             self.start(HollowOrder(**command))
         return asdict(self.status())
 
     def start(self, order: HollowOrder) -> None:
-        """Start all of the order's gateways, spread over `START_SPREAD_S`."""
-        for turn in range(order.count):
-            gateway = HollowGateway(self.reactor, order, order.first + turn)
+        """Start all gateways of the order, spread evenly over `START_SPREAD_S`."""
+        for index in range(order.count):
+            gateway = HollowGateway(self.reactor, order, order.first + index)
             self.gateways.append(gateway)
-            self.reactor.callLater(START_SPREAD_S * turn / order.count, gateway.start)
+            self.reactor.callLater(START_SPREAD_S * index / order.count, gateway.start)
 
     def status(self) -> HollowStatus:
-        """The state of all gateways now."""
+        """Return the current state of all gateways."""
         from granitedock.lab.scale.probe import memory_mb
 
         states = [gateway.status() for gateway in self.gateways]
@@ -51,8 +52,8 @@
 
 
 def main() -> int:
-    """Run until SIGTERM, or the end of standard input."""
-    gc.disable()  # a collection would look through all the gateways of this process; a real one has one
+    """Run until SIGTERM or the end of standard input."""
+    gc.disable()  # a collection would traverse all gateways of this process; a real process has only one
     serve_commands(REACTOR, HollowProcess(REACTOR).handle_command)
     return run_until_sigterm("ready")
 
--- a/granitedock/lab/hollow/gateway.py
+++ b/granitedock/lab/hollow/gateway.py
@@ -10,7 +10,8 @@
 from granitedock.lab.hollow.version_times import record_version
 from granitedock.lab.scale.platform import platform_file
 
-# Not imported where it is used: that would hold the loop up while the first watch connects, past its time.
+# Imported here and not where it is used: an import while the first watch connects blocks the event loop for
+# longer than the connect timeout.
 from granitedock.membership.settings import MembershipFile
 from granitedock.membership_services import MembershipServices
 from granitedock.service.clock import MS_PER_S
@@ -23,23 +24,23 @@
     from granitedock.service.ports import GatewayIO
 
 MEMBERSHIP_PORT = 7946
-ADDRESSES_A_SUBNET = 250
+ADDRESSES_PER_SUBNET = 250
 
 
 def unix_ms() -> float:
-    """The time now, as Unix ms."""
+    """Return the current time as Unix ms."""
     return time.time() * MS_PER_S
 
 
 def membership_address(net: int, number: int) -> str:
-    """Where gateway `number` listens for membership, on the loopback net 127.`net`."""
-    subnet = number // ADDRESSES_A_SUBNET + 1
-    host = number % ADDRESSES_A_SUBNET + 1
+    """Return the membership address of gateway `number` on the loopback net 127.`net`."""
+    subnet = number // ADDRESSES_PER_SUBNET + 1
+    host = number % ADDRESSES_PER_SUBNET + 1
     return f"127.{net}.{subnet}.{host}:{MEMBERSHIP_PORT}"
 
 
 def gateway_contents(order: HollowOrder, number: int, name: str) -> dict[str, Any]:
-    """The platform file of one hollow gateway; it has no counter."""
+    """Return the platform file of one hollow gateway, which has no counter."""
     contents = platform_file(name=name, discovery=order.discovery)
     settings = contents["settings"]
     settings["Specifics"]["Counter"] = False
@@ -63,7 +64,7 @@
         hollow_io = HollowIO(
             reactor, unix_ms, self.handle_input, limits, order.discovery, self.event_log.counts
         )
-        io = cast("GatewayIO", hollow_io)  # the methods that it lacks are for clients, hosts and the counter
+        io = cast("GatewayIO", hollow_io)  # it lacks only the methods for clients, hosts and the counter
         self.state_machine = GatewayStateMachine(
             GatewayParameters(unix_ms(), limits, self.settings, number, None, io, self.event_log)
         )
@@ -71,7 +72,7 @@
         self.configuration: TimedAttachment | None = None
 
     def handle_input(self, input_kind: Input, *arguments: Any) -> None:
-        """Give the state machine one input, and carry its effects out."""
+        """Pass one input to the state machine, and carry out its effects."""
         lists_before = self.event_log.counts["lists"]
         for action, *values in self.state_machine.handle(unix_ms(), input_kind, *arguments):
             action(*values)
@@ -80,7 +81,7 @@
             record_version(self.state.list_at, self.state.list_version)
 
     def start(self) -> None:
-        """Start the state machine, then membership and the configuration where they are ordered."""
+        """Start the state machine, then membership and the configuration if the order asks for them."""
         self.state.started_at = time.monotonic()
         self.handle_input(Input.START)
         if self.order.membership_net:
@@ -91,7 +92,7 @@
             self.configuration.start()
 
     def make_configuration(self) -> TimedAttachment:
-        """Make the gateway's part in the configuration service."""
+        """Return the gateway's attachment to the configuration service."""
         from granitedock.configuration.settings import GatewayFile
         from granitedock.lab.hollow.timed_attachment import TimedAttachment
 
@@ -107,7 +108,7 @@
         )
 
     def make_membership(self) -> MembershipServices:
-        """Make the gateway's membership, at an address of its own; the first gateway is the seed."""
+        """Return the gateway's membership at its own address; the first gateway is the seed."""
         net = self.order.membership_net
         file = MembershipFile(
             enabled=True,
@@ -121,7 +122,7 @@
         )
 
     def status(self) -> GatewayState:
-        """The gateway's state now."""
+        """Return the current state of the gateway."""
         self.state.counts = dict(self.event_log.counts)
         if self.membership is not None:
             self.state.live = len(self.membership.transport.live_names)
--- a/granitedock/lab/hollow/gateway_io.py
+++ b/granitedock/lab/hollow/gateway_io.py
@@ -1,4 +1,4 @@
-"""The event loop's part for a hollow gateway: timers, the watch on discovery, and counters for a log."""
+"""The event loop's side of a hollow gateway: timers, the watch on discovery, and counters for a log."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class EventCounts:
-    """Counters of one hollow gateway, in place of its event log; log lines are counted and dropped."""
+    """Counters of one hollow gateway, in place of its event log: log lines are counted and dropped."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -30,7 +30,7 @@
 
 
 class CountingWatchProtocol(DiscoveryWatchProtocol):
-    """A watch that counts the bytes that come."""
+    """A watch that counts the bytes received."""
 
     def __init__(
         self, handle_input: InputHandler, address: str, limits: Limits, counts: Counter[str]
@@ -39,15 +39,15 @@
         self.counts = counts
 
     def dataReceived(self, data: bytes) -> None:
-        """Bytes of the endpoint list."""
+        """Count the bytes of an endpoint list, and parse them."""
         self.counts["watch_bytes"] += len(data)
         super().dataReceived(data)
 
 
 class HollowIO:
-    """Timers and the watch, of all that a state machine may ask of its `GatewayIO`.
+    """The timers and the watch of the `GatewayIO` that a state machine uses.
 
-    It connects to no host and no counter and accepts no client: without clients nothing asks for them.
+    It connects to no host and no counter and accepts no client, as no input requires them without clients.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         discovery: str,
         counts: Counter[str],
     ) -> None:
-        """`clock()` is Unix ms, `discovery` an address."""
+        """`clock` returns Unix ms; `discovery` is an address."""
         self.reactor = reactor
         self.clock = clock
         self.handle_input = handle_input
@@ -71,16 +71,16 @@
         )
 
     def make_watch(self) -> CountingWatchProtocol:
-        """The protocol of a new connection to discovery."""
+        """Return the protocol of a new connection to discovery."""
         return CountingWatchProtocol(self.handle_input, self.discovery, self.limits, self.counts)
 
     def start_timer(self, timer: Timer) -> None:
-        """Bring the timer's input when it is due, unless it is cancelled by then."""
+        """Schedule the timer's input for its time; a timer cancelled by then has no effect."""
         wait_s = max(0.0, timer.due - self.clock()) / MS_PER_S
-        self.reactor.callLater(wait_s, self.timer_due, timer)
+        self.reactor.callLater(wait_s, self.timer_expired, timer)
 
-    def timer_due(self, timer: Timer) -> None:
-        """Bring the timer's input now."""
+    def timer_expired(self, timer: Timer) -> None:
+        """Pass the timer's input to the state machine, unless the timer was cancelled."""
         if timer.input is not None:
             self.handle_input(timer.input, *timer.arguments)
 
--- a/granitedock/lab/hollow/messages.py
+++ b/granitedock/lab/hollow/messages.py
@@ -1,4 +1,4 @@
-"""What a process of hollow gateways is told and answers, each as a line of JSON."""
+"""Commands to a process of hollow gateways and its answers, each one line of JSON."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HollowOrder:
-    """The gateways `first` to `first + count - 1` of `gateways`, to be started by one process.
+    """An order to start the gateways `first` to `first + count - 1` of `gateways` in one process.
 
-    `discovery` is an address, `control` are those of control processes. With a `membership_net` the gateways
-    are members of one cluster on the loopback net 127.`membership_net`.
+    `discovery` is an address, `control` the addresses of control processes. With a `membership_net` other
+    than 0 the gateways are members of one cluster on the loopback net 127.`membership_net`.
     """
 
     first: int
@@ -24,11 +24,11 @@
 
 @dataclass(slots=True)
 class GatewayState:
-    """One hollow gateway.
+    """The state of one hollow gateway.
 
-    Times are monotonic seconds, the same clock in all processes of a machine: of its start, and of the first
-    moment at which it had each version of the endpoint list and of the configuration. `live` is the number of
-    members that it holds for live.
+    Times are seconds of the monotonic clock, which all processes of a machine share: the start of the
+    gateway, and when it first had each version of the endpoint list (`list_at`) and of the configuration
+    (`version_at`). `live` is the number of members that it considers live.
     """
 
     name: str
@@ -44,8 +44,8 @@
 
 @dataclass(slots=True)
 class HollowStatus:
-    """One process of hollow gateways; processor time in s, resident memory in MiB."""
+    """The state of one process of hollow gateways; `memory_mb` is its resident memory in MiB."""
 
-    cpu_s: float
+    cpu_s: float  # processor time
     memory_mb: float
     gateways: list[GatewayState]
--- a/granitedock/lab/hollow/timed_attachment.py
+++ b/granitedock/lab/hollow/timed_attachment.py
@@ -1,4 +1,4 @@
-"""A gateway's part in the configuration service that measures what it does."""
+"""A gateway's attachment to the configuration service that measures its own work."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class TimedAttachment(GatewayAttachment):
-    """Keeps the moments at which each version was in force, and how long that held the event loop up.
+    """Records when each version came into force, and for how long applying it blocked the event loop.
 
-    Counters, in us: `apply_us` of all changes, `replace_us` of the last snapshot.
+    Its counters, in us, are `apply_us` for all changes together and `replace_us` for the last snapshot.
     """
 
-    def __init__(  # noqa: PLR0913 - the base's arguments, and where times are kept
+    def __init__(  # noqa: PLR0913 - the arguments of the base class, and `version_times`
         self,
         file: GatewayFile,
         name: str,
@@ -37,15 +37,15 @@
         self.version_times = version_times
 
     def apply_change(self, change: VersionedChange, prepared: PreparedEdit[Entry]) -> None:
-        """Put a change in force."""
-        began = time.perf_counter()
+        """Apply a change, and measure the time."""
+        started_s = time.perf_counter()
         super().apply_change(change, prepared)
-        self.event_log.counts["apply_us"] += round((time.perf_counter() - began) * US_PER_S)
+        self.event_log.counts["apply_us"] += round((time.perf_counter() - started_s) * US_PER_S)
         record_version(self.version_times, change.version)
 
     def apply_snapshot(self, before: Contents[Entry], after: Contents[Entry]) -> None:
-        """Put a whole document in force."""
-        began = time.perf_counter()
+        """Apply a whole document, and measure the time."""
+        started_s = time.perf_counter()
         super().apply_snapshot(before, after)
-        self.event_log.counts["replace_us"] = round((time.perf_counter() - began) * US_PER_S)
+        self.event_log.counts["replace_us"] = round((time.perf_counter() - started_s) * US_PER_S)
         record_version(self.version_times, after.version)
--- a/granitedock/lab/hollow/version_times.py
+++ b/granitedock/lab/hollow/version_times.py
@@ -1,4 +1,4 @@
-"""When a gateway had each version of what it follows."""
+"""Records when a gateway first had each version of the lists and documents that it follows."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def record_version(times: dict[str, float], version: int) -> None:
-    """Note the first moment (monotonic seconds) at which a version was there; the oldest are dropped."""
+    """Record when a version was first present, in monotonic seconds; the oldest versions are dropped."""
     times.setdefault(str(version), time.monotonic())
     if len(times) > MAX_VERSIONS:
         del times[next(iter(times))]
--- a/granitedock/lab/simulators/membership_simulation.py
+++ b/granitedock/lab/simulators/membership_simulation.py
@@ -27,7 +27,7 @@
 DISTINCT_START_TIMES = 7  # processes started at the same time get start times spread over so many ms
 CLUSTER = "sim"
 SETTINGS_CHECKSUM = 1
-CONNECTION_REFUSAL_MS = 1.0
+CONNECTION_REFUSAL_MS = 1.0  # until the kernel refuses a connection to a port without a process
 MIN_TIMER_MS = 0.1
 
 
