--- a/tests/lab/test_lab_examples.py
+++ b/tests/lab/test_lab_examples.py
@@ -1,4 +1,4 @@
-"""Examples of small functions of the laboratory: what each gives for what."""
+"""Examples of small functions of the lab: each test shows the results for typical arguments."""
 
 
 def test_lab_host_faults_host_condition():
@@ -24,7 +24,7 @@
     from granitedock.lab.load.rule_checks import WrittenList, unavailable_spans
 
     lists = [(1.0, frozenset()), (2.0, frozenset({"a"})), (3.0, frozenset({"a"})), (9.0, frozenset())]
-    assert unavailable_spans(WrittenList(*one) for one in lists) == {"a": [(2.0, 9.0)]}
+    assert unavailable_spans(WrittenList(*change) for change in lists) == {"a": [(2.0, 9.0)]}
 
 
 def test_lab_observations_capacity():
--- a/tests/lab/test_rule_checks.py
+++ b/tests/lab/test_rule_checks.py
@@ -1,4 +1,8 @@
-"""The rules from the outside: each violation is found, what is allowed is not, a broken gateway is caught."""
+"""Checks of the five rules from outside the gateways.
+
+They guard against checks that miss a violation, so that a faulty gateway passes, and against checks that
+report permitted behaviour as a violation.
+"""
 
 import socket
 import threading
@@ -33,7 +37,7 @@
 }
 
 
-def answer(outcome="done", latency_ms=100.0, request_class="read", **more):
+def client_request(outcome="done", latency_ms=100.0, request_class="read", **more):
     outcome = RequestOutcome(outcome)
     return ClientRequest(1, 0, 161, request_class, 1.0, 10.0, 1000.0, outcome, latency_ms, **more)
 
@@ -44,78 +48,107 @@
 
 RESET = [attempt(10.1, reply="reset"), attempt(10.2, host="b")]
 CASES = {
-    # name: (what is found, the answer, the attempts)
-    "an answer in time": ("", answer(), [attempt(10.0)]),
-    "late": ("rule 1: task 1 at gateway/0 was answered 100 ms late", answer(latency_ms=1100), []),
-    "late by what its gateway was stopped": ("", answer(latency_ms=4000, paused_s=3.0), []),
-    "never answered": ("rule 1: task 1 at gateway/0 was never answered", answer("open", 0.0), []),
-    "its gateway was killed": ("", answer("lost", 0.0, gateway_ended=True), [attempt(10.0)]),
-    "sent after its answer": ("rule 1: task 1 at gateway/0 was sent to a 300 ms", answer(), [attempt(10.4)]),
+    # name: (start of the expected line, the request, its attempts)
+    "answered in time": ("", client_request(), [attempt(10.0)]),
+    "answered late": (
+        "rule 1: task 1 at gateway/0 was answered 100 ms late",
+        client_request(latency_ms=1100),
+        [],
+    ),
+    "late only by the pause of its gateway": ("", client_request(latency_ms=4000, paused_s=3.0), []),
+    "never answered": ("rule 1: task 1 at gateway/0 was never answered", client_request("open", 0.0), []),
+    "not answered as its gateway was killed": (
+        "",
+        client_request("lost", 0.0, gateway_ended=True),
+        [attempt(10.0)],
+    ),
+    "sent to a host after its answer": (
+        "rule 1: task 1 at gateway/0 was sent to a 300 ms",
+        client_request(),
+        [attempt(10.4)],
+    ),
     "two attempts in flight": (
         "rule 2: task 1 (read) was out at a and b",
-        answer(),
+        client_request(),
         [attempt(10), attempt(10.02, host="b")],
     ),
-    "idempotent, again": ("", answer(latency_ms=300), RESET),
-    "non-idempotent, again after it never ran": (
+    "idempotent, sent again": ("", client_request(latency_ms=300), RESET),
+    "non-idempotent, sent again after it never ran": (
         "",
-        answer(latency_ms=300, request_class="once"),
+        client_request(latency_ms=300, request_class="once"),
         [attempt(10.1, reply="busy"), attempt(10.2)],
     ),
-    "non-idempotent, again": (
+    "non-idempotent, sent again": (
         "rule 2: task 1 (once) may have run at a",
-        answer(latency_ms=300, request_class="once"),
+        client_request(latency_ms=300, request_class="once"),
         RESET,
     ),
-    "non-idempotent, deferred": (
+    "non-idempotent, rejected": (
         "rule 2: task 1 (once) may have run at a and was deferred",
-        answer("deferred", 200, "once"),
+        client_request("deferred", 200, "once"),
         RESET[:1],
     ),
-    "non-idempotent, errored": ("", answer("errored", 200, "once"), RESET[:1]),
-    "keyed, again in time": ("", answer(latency_ms=300, request_class="mark"), RESET),
-    "keyed, again too late": (
+    "non-idempotent, failed": ("", client_request("errored", 200, "once"), RESET[:1]),
+    "keyed, sent again within the window": (
+        "",
+        client_request(latency_ms=300, request_class="mark"),
+        RESET,
+    ),
+    "keyed, sent again after the window": (
         "rule 2: task 1 (mark) may have run at a and was sent to b",
-        answer(latency_ms=3900, request_class="mark", paused_s=9.0),
+        client_request(latency_ms=3900, request_class="mark", paused_s=9.0),
         [attempt(10.1, reply="reset"), attempt(13.5, host="b")],
     ),
-    "keyed, deferred in time": ("", answer("deferred", 300, "mark"), RESET),
+    "keyed, rejected within the window": ("", client_request("deferred", 300, "mark"), RESET),
 }
 
 
 @mark.parametrize("name", CASES)
-def test_each_break_of_rules_1_and_2_is_found_and_nothing_else(name):
+def test_each_violation_of_rules_1_and_2_is_reported_and_nothing_else(name):
+    """Guards against a missed late or duplicate execution, and against false reports of permitted retries."""
     expected, request, attempts = CASES[name]
-    found = rule_violations(Observations([request], attempts, request_classes=REQUEST_CLASSES))
-    assert (found == []) if not expected else (len(found) == 1 and found[0].startswith(expected)), found
+    reported = rule_violations(Observations([request], attempts, request_classes=REQUEST_CLASSES))
+    assert (reported == []) if not expected else (len(reported) == 1 and reported[0].startswith(expected)), (
+        reported
+    )
 
 
-def test_drains_cold_hosts_and_ceilings_are_checked_over_all_gateways():
+def test_draining_hosts_slow_start_and_ceilings_are_checked_over_all_gateways():
+    """Guards against limits that are checked per gateway or without their slack.
+
+    Rule 3 applies only to the gateway that was notified of the drain. The load of a warming host and the
+    units under a ceiling add up over all gateways.
+    """
     changes = [(9.0, frozenset()), (10.0, frozenset({"a"})), (14.0, frozenset())]
     lists = [WrittenList(*change) for change in changes]
-    for at_s, kept in ((10.9, True), (11.2, False), (14.1, True)):
-        one = ClientRequest(1, 0, 161, "read", 1.0, at_s, 1000.0, RequestOutcome.DONE, 100.0)
-        found = rule_violations(Observations([one], [attempt(at_s)], lists={0: lists}))
-        assert (found == []) is kept and all(line.startswith("rule 3: task 1 of gateway/0") for line in found)
-        other = Observations([one], [attempt(at_s)], lists={1: lists})
-        assert rule_violations(other) == []  # another was notified, not this one
-    start = HostStart("a", 20.0, 50.0)  # bears 2 x 30 in its first second, and chance
-    for count, kept in ((60, True), (86, True), (90, False)):
-        came = [HostAttempt(n, "a", 20.0 + n / 100, 20.1) for n in range(count)]
-        found = rule_violations(Observations([], came, starts=[start]))
-        assert (found == []) is kept, (count, found)
-    for units, kept in ((40, True), (60, False)):  # 10 at once, 10 a second and 2 beyond: 33.5 in two seconds
-        said = [
+    # Gateway 0 is notified of the drain at 10 s, or else another gateway is.
+    for at_s, permitted in ((10.9, True), (11.2, False), (14.1, True)):
+        request = ClientRequest(1, 0, 161, "read", 1.0, at_s, 1000.0, RequestOutcome.DONE, 100.0)
+        reported = rule_violations(Observations([request], [attempt(at_s)], lists={0: lists}))
+        assert (reported == []) is permitted and all(
+            line.startswith("rule 3: task 1 of gateway/0") for line in reported
+        )
+        other_gateway_notified = Observations([request], [attempt(at_s)], lists={1: lists})
+        assert rule_violations(other_gateway_notified) == []
+    # The limit is 2 x 30 requests in the first second, plus the margin for random arrivals.
+    start = HostStart("a", 20.0, 50.0)
+    for count, permitted in ((60, True), (86, True), (90, False)):
+        attempts = [HostAttempt(n, "a", 20.0 + n / 100, 20.1) for n in range(count)]
+        reported = rule_violations(Observations([], attempts, starts=[start]))
+        assert (reported == []) is permitted, (count, reported)
+    # The ceiling is a burst of 22, 10 per second, a slack of 2 and what 150 ms yield: 45.5 in two seconds.
+    for units, permitted in ((40, True), (60, False)):
+        requests = [
             ClientRequest(n, n % 2, 161, "read", units / 40, 0.0, 6000.0, RequestOutcome.DONE, 5000.0)
             for n in range(40)
         ]
-        came = [HostAttempt(n, "a", 2.0 + n / 20, 9.0) for n in range(40)]
-        found = rule_violations(Observations(said, came, ceilings={161: Ceiling(10.0, 22.0, 2.0)}))
-        assert (found == []) is kept, found
+        attempts = [HostAttempt(n, "a", 2.0 + n / 20, 9.0) for n in range(40)]
+        reported = rule_violations(Observations(requests, attempts, ceilings={161: Ceiling(10.0, 22.0, 2.0)}))
+        assert (reported == []) is permitted, reported
     assert rule_violations(Observations([], [], unexpected_answers=2)) == ["rule 1: 2 answers to no task"]
 
 
-DOUBLE = """
+ONE_GATEWAY_SCENARIO = """
 length_s = 5
 [fleet]
 gateways = 1
@@ -132,21 +165,25 @@
 
 
 @contextmanager
-def double(answers):
-    """A gateway that is broken on purpose: `answers(n)` gives what it writes to its nth request, how late."""
+def emulated_gateway(answer):
+    """Run a gateway that answers as instructed, and yield its address.
+
+    `answer(n)` returns the bytes that it writes for the nth request, and the delay in seconds.
+    """
     with socket.create_server(("127.0.0.1", 0)) as server:
 
         def serve():
-            line, _ = server.accept()
-            with line, line.makefile("rb") as said, suppress(OSError):  # until the load generator ends it
+            connection, _ = server.accept()
+            # The load generator ends the connection with a reset.
+            with connection, connection.makefile("rb") as reader, suppress(OSError):
                 count = 0
-                while said.readline():  # an array's head; its items follow
+                while reader.readline():  # the header of an array, which its items follow
                     for _ in range(4):
-                        size = int(said.readline()[1:])
-                        said.read(size + 2)
-                    what, after_s = answers(count)
-                    time.sleep(after_s)
-                    line.sendall(what)
+                        size = int(reader.readline()[1:])
+                        reader.read(size + 2)
+                    reply, delay_s = answer(count)
+                    time.sleep(delay_s)
+                    connection.sendall(reply)
                     count += 1
 
         threading.Thread(target=serve, daemon=True).start()
@@ -154,35 +191,37 @@
 
 
 @mark.parametrize(
-    ("answers", "expected"),
+    ("answer", "expected"),
     [
         (lambda n: (b"$2\r\nok\r\n", 0), ""),
         (lambda n: (b"$2\r\nok\r\n" * (2 if n == 3 else 1), 0), "answers to no task"),
         (lambda n: (b"$2\r\nok\r\n", 0.4 if n == 3 else 0), "ms late"),
         (lambda n: (b"" if n == 30 else b"$2\r\nok\r\n", 0), "never answered"),
     ],
-    ids=["sound", "answers twice", "answers late", "forgets one"],
+    ids=["correct", "answers twice", "answers late", "leaves one unanswered"],
 )
-def test_a_gateway_that_answers_twice_late_or_not_is_caught_by_the_load_generator(answers, expected):
-    with double(answers) as address:
-        load = LoadGenerator(parse(DOUBLE), [address])
+def test_a_gateway_that_answers_twice_late_or_never_is_reported(answer, expected):
+    """Guards against a load generator that drops or misattributes answers, so that rule 1 seems to hold."""
+    with emulated_gateway(answer) as address:
+        load = LoadGenerator(parse(ONE_GATEWAY_SCENARIO), [address])
         load.run(1.0)
-        found = violations(load)
+        reported = violations(load)
         assert len(load.records) > 20
-        assert (found == []) if not expected else any(expected in line for line in found), found
+        assert (reported == []) if not expected else any(expected in line for line in reported), reported
 
 
 def test_load_that_a_failed_test_left_running_is_stopped():
-    with double(lambda _: (b"$2\r\nok\r\n", 0)) as address:
+    """Guards against requests of a failed test that disturb the tests after it in the same process."""
+    with emulated_gateway(lambda _: (b"$2\r\nok\r\n", 0)) as address:
         with raises(ZeroDivisionError), load_stopped_at_exit():
-            load = LoadGenerator(parse(DOUBLE), [address])
+            load = LoadGenerator(parse(ONE_GATEWAY_SCENARIO), [address])
             load.start()
             assert load.running
             raise ZeroDivisionError
         assert not load.running and not load.has_open_requests()
 
 
-HARD = """
+FAULTS_SCENARIO = """
 seed = 5
 length_s = 30
 [fleet]
@@ -204,12 +243,17 @@
 service = { kind = "fixed", mean_ms = 8 }
 """
 for number, product in enumerate(("read", "mark", "once")):
-    HARD += f'[[clients]]\ncustomer = {161 + number}\nproduct = "{product}"\nplan = "p"\n'
-    HARD += "rate = 40\nspread = 2\nleft_ms = 1500\n"
+    FAULTS_SCENARIO += f'[[clients]]\ncustomer = {161 + number}\nproduct = "{product}"\nplan = "p"\n'
+    FAULTS_SCENARIO += "rate = 40\nspread = 2\nleft_ms = 1500\n"
+
 
+def test_all_rules_hold_under_faults_of_hosts_counter_discovery_and_gateways(tmp_path):
+    """Guards against violations that only combined faults on real sockets bring about.
 
-def test_all_rules_hold_while_hosts_stall_fall_silent_cut_drain_die_and_the_counter_and_lists_fail(tmp_path):
-    with GatewayCluster(parse(HARD), tmp_path) as cluster:
+    Hosts stall, do not answer, reset connections, drain, are killed and slow down; the counter restarts, one
+    gateway loses discovery, another restarts, and one is paused.
+    """
+    with GatewayCluster(parse(FAULTS_SCENARIO), tmp_path) as cluster:
         cluster.wait_until_ready()
         load = cluster_load(cluster)
         load.start()
@@ -222,10 +266,10 @@
         cluster.add_host_fault("west/2", "kill", for_s=1.0)
         cluster.restart_counter(type(cluster.counter.counts)())
         time.sleep(1.5)
-        cluster.cut([0], "discovery")  # for longer than a watch may be silent
+        cluster.cut([0], "discovery")  # for longer than a watch may stay silent
         cluster.restart(1)
         cluster.wait_until_ready(1)
-        for n in range(3):  # a zone slows as a whole
+        for n in range(3):  # all hosts of one zone slow down
             cluster.add_host_fault(f"east/{n}", "slow", for_s=2.0, factor=20)
         time.sleep(4)
         cluster.heal()
@@ -242,7 +286,7 @@
             "once",
         }
         replies = {attempt.reply for host in cluster.hosts for attempt in host.attempts}
-        assert {"value", "half", "silent", "reset"} <= replies  # the faults were met
-        lists = [one for discovery in cluster.discoveries for one in discovery.written_lists]
-        assert any(one.unavailable for one in lists)
+        assert {"value", "half", "silent", "reset"} <= replies  # requests did meet the faults
+        lists = [written for discovery in cluster.discoveries for written in discovery.written_lists]
+        assert any(written.unavailable for written in lists)
         assert any(host.starts for host in cluster.hosts)
