--- a/benchmarks/fleet_view_processes.py
+++ b/benchmarks/fleet_view_processes.py
@@ -1,4 +1,4 @@
-"""Real processes of `fleet_view.py real` and `cost`: a cluster of gateways on loopback."""
+"""The measurements of `fleet_view.py real` and `cost`: clusters of gateway processes on loopback."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from granitedock.lab.scenario import Scenario, parse
 
 COST_GATEWAYS = 10
-RATE = 250  # requests a second of the loaded gateway
+RATE = 250  # requests per second at the loaded gateway
 SETTLE_S = 4
 CRASHES = 5
 AGREEMENT_S = 30
@@ -47,31 +47,33 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterResult:
-    """Seconds until all members agree: after the start, each crash, each silence, in both halves of a
-    partition, and after its heal."""
+    """Seconds until all members agree.
+
+    They count from the start, each crash, each pause, a partition (until each half agrees) and its heal.
+    """
 
     joined_s: float
     crash_s: list[float]
-    silence_s: list[float]
-    settled_s: float
+    pause_s: list[float]
+    halves_agreed_s: float
     healed_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayUsage:
-    """Processor seconds of a gateway so far, and requests sent to it."""
+    """Processor time of a gateway, and the number of requests sent to it, since its start."""
 
     cpu_s: float
     requests: int
 
 
 def scenario(gateways: int, membership: bool, rate: int) -> Scenario:
-    """So many gateways, the first of them under load."""
+    """Return a scenario of `gateways` gateways, of which the first is under load."""
     return parse(SCENARIO % (gateways, "true" if membership else "false", rate, 1))
 
 
 def measure_cluster(count: int) -> ClusterResult:
-    """Joins, crashes, silences, a partition and its heal."""
+    """Measure joins, crashes, pauses, a partition and its heal."""
     members = range(count)
     with (
         tempfile.TemporaryDirectory() as folder,
@@ -80,7 +82,7 @@
         cluster.wait_until_ready(within_s=60)
         joined_s = cluster.wait_for_agreement(members, AGREEMENT_S)
         crash_s = []
-        silence_s = []
+        pause_s = []
         for number in range(1, 1 + CRASHES):
             others = set(members) - {number}
             cluster.kill(number)
@@ -88,19 +90,19 @@
             cluster.start(number)
             cluster.wait_for_agreement(members, AGREEMENT_S)
             cluster.pause(number)
-            silence_s.append(cluster.wait_for_agreement(others, AGREEMENT_S))
+            pause_s.append(cluster.wait_for_agreement(others, AGREEMENT_S))
             cluster.resume(number)
             cluster.wait_for_agreement(members, AGREEMENT_S)
         halves = range(count // 2), range(count // 2, count)
         cluster.cut(*halves)
-        settled_s = max(cluster.wait_for_agreement(half, PARTITION_S) for half in halves)
+        halves_agreed_s = max(cluster.wait_for_agreement(half, PARTITION_S) for half in halves)
         cluster.heal()
         healed_s = cluster.wait_for_agreement(members, PARTITION_S)
-    return ClusterResult(joined_s, crash_s, silence_s, settled_s, healed_s)
+    return ClusterResult(joined_s, crash_s, pause_s, halves_agreed_s, healed_s)
 
 
 def loaded_pid(cluster: GatewayCluster) -> int:
-    """The process of the gateway under load. Raises RuntimeError where it does not run."""
+    """Return the process id of the gateway under load; raises RuntimeError if it is not running."""
     process = cluster.gateways[0].process
     if process is None:
         raise RuntimeError(cluster.gateways[0])
@@ -108,14 +110,19 @@
 
 
 def measure_request_cost(order: tuple[bool, bool], seconds: float) -> dict[bool, float]:
-    """Processor time a request, us, with membership (True) and without, of two clusters side by side;
-    `order` is the one in which they start."""
+    """Return the processor time per request in us, by membership on (True) and off.
+
+    Two clusters run side by side; `order` is the order in which they start.
+    """
     with ExitStack() as stack:
         folders = [Path(stack.enter_context(tempfile.TemporaryDirectory())) for _ in order]
         scenarios = [scenario(COST_GATEWAYS, membership, RATE) for membership in order]
-        made = [GatewayCluster(world, folder) for world, folder in zip(scenarios, folders, strict=True)]
+        unstarted = [
+            GatewayCluster(config, folder) for config, folder in zip(scenarios, folders, strict=True)
+        ]
         clusters = {
-            membership: stack.enter_context(cluster) for membership, cluster in zip(order, made, strict=True)
+            membership: stack.enter_context(cluster)
+            for membership, cluster in zip(order, unstarted, strict=True)
         }
         loads = {}
         for membership, cluster in clusters.items():
--- a/benchmarks/fleet_view_simulation.py
+++ b/benchmarks/fleet_view_simulation.py
@@ -1,4 +1,4 @@
-"""Simulated cases of `fleet_view.py sim`: what the membership protocol costs, and how soon it knows."""
+"""Simulated cases of `fleet_view.py sim`: the cost and the detection times of the membership protocol."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from granitedock.membership.member import LIVE_STATES
 from granitedock.membership.timing import Timing
 
-TIMINGS = {"view": Timing(), "view without Lifeguard's parts": without_lifeguard(Timing())}
+TIMINGS = {"view": Timing(), "view without Lifeguard": without_lifeguard(Timing())}
 JOIN_MS = 3000
 DETECTION_MS = 30_000
 DETECTION_CHECK_MS = 25.0
@@ -25,13 +25,13 @@
 LOAD_S = 60
 LARGE_LOAD_S = 10
 FALSE_DEATH_S = {10: 1800, 40: 900, 200: 120, 1000: 15}  # simulated seconds by fleet size
-STARVED_EVERY = 10  # one member in so many is starved
-STARVED_PROBABILITY = 0.3  # in each second
-SECONDS_AN_HOUR = 3600
+STARVED_EVERY = 10  # one of so many members is starved
+STARVED_PROBABILITY = 0.3  # per second
+SECONDS_PER_HOUR = 3600
 
 
 class DetectionCase(NamedTuple):
-    """Crashes, or silences, one after another."""
+    """Crashes of one member after another; with `silent` their machines fail too and refuse no connection."""
 
     protocol: str
     gateways: int
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DetectionResult:
-    """The ms until all others knew of each end, and until each other member knew."""
+    """The ms until all other members detect each end, and until each of them does."""
 
     case: DetectionCase
     to_all_ms: list[float] = field(default_factory=list)
@@ -49,7 +49,7 @@
 
 
 class FleetCase(NamedTuple):
-    """A fleet of one protocol."""
+    """A fleet that runs one protocol."""
 
     protocol: str
     gateways: int
@@ -57,25 +57,27 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """Messages and bytes a second a member, while nothing happens."""
+    """Messages and bytes per second and member of an idle fleet."""
 
     case: FleetCase
-    messages_a_second: float
-    bytes_a_second: float
+    messages_per_s: float
+    bytes_per_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class PartitionResult:
-    """The ms until both sides have settled, and until all agree after the partition's end."""
+    """The ms until each half of a partition agrees, and until all agree after its heal."""
 
     case: FleetCase
-    settled_ms: float
+    halves_agreed_ms: float
     healed_ms: float
 
 
 class FalseDeathCase(NamedTuple):
-    """Members under message loss; one in `STARVED_EVERY` is starved for 0.5 to 1.5 s again and again, where
-    that is asked for."""
+    """Members under message loss.
+
+    With `starved`, one of `STARVED_EVERY` is starved for 0.5 to 1.5 s again and again.
+    """
 
     protocol: str
     gateways: int
@@ -85,87 +87,91 @@
 
 @dataclass(frozen=True, slots=True)
 class FalseDeathResult:
-    """Healthy and starved members declared dead, an hour over the whole fleet. A death counts once, however
-    many members hold it."""
+    """Healthy and starved members declared dead per hour in the whole fleet.
+
+    A false death counts once, however many members record it.
+    """
 
     case: FalseDeathCase
-    healthy_an_hour: float
-    starved_an_hour: float
+    healthy_per_hour: float
+    starved_per_hour: float
 
 
-def death_recorder(name: str, started_at: float, known_ms: dict[int, float]) -> Callable[..., None]:
-    """A watcher of member changes that notes when each gateway learns of this member's end."""
+def death_recorder(name: str, started_at: float, detected_ms: dict[int, float]) -> Callable[..., None]:
+    """Return an observer of member changes that records when each gateway detects the member's end."""
 
     def record(now: float, node: Any, change: Any) -> None:
         if change.member.name == name and change.member.state not in LIVE_STATES:
-            known_ms.setdefault(node.number, now - started_at)
+            detected_ms.setdefault(node.number, now - started_at)
 
     return record
 
 
-def reached(known_ms: dict[int, float], count: int) -> bool:
-    """Whether so many gateways know."""
-    return len(known_ms) >= count
+def is_detected_by(detected_ms: dict[int, float], count: int) -> bool:
+    """Return whether at least `count` gateways have detected the end."""
+    return len(detected_ms) >= count
 
 
 def measure_detection(case: DetectionCase) -> DetectionResult:
-    """Each member in turn ends and starts again."""
+    """Measure the detection of members that end and start again, one after another."""
     count = case.gateways
-    world = MembershipSimulation(count, count + case.silent, TIMINGS[case.protocol], already_joined=True)
-    world.run(JOIN_MS)
+    simulation = MembershipSimulation(count, count + case.silent, TIMINGS[case.protocol], already_joined=True)
+    simulation.run(JOIN_MS)
     result = DetectionResult(case)
     for crash in range(case.crashes):
         number = 1 + crash % (count - 1)
-        known_ms: dict[int, float] = {}
-        world.on_change = death_recorder(f"g{number:04d}", world.now, known_ms)
-        world.crash(number, case.silent)
-        all_know = partial(reached, known_ms, count - 1)
-        world.run_until(all_know, DETECTION_MS, DETECTION_CHECK_MS)
-        result.to_all_ms.append(max(known_ms.values()) if all_know() else DETECTION_MS)
-        result.to_each_ms.extend(known_ms.values())
-        world.on_change = lambda *_: None
-        world.start(number)
-        world.run(RESTART_MS)
+        detected_ms: dict[int, float] = {}
+        simulation.on_change = death_recorder(f"g{number:04d}", simulation.now, detected_ms)
+        simulation.crash(number, case.silent)
+        all_detected = partial(is_detected_by, detected_ms, count - 1)
+        simulation.run_until(all_detected, DETECTION_MS, DETECTION_CHECK_MS)
+        result.to_all_ms.append(max(detected_ms.values()) if all_detected() else DETECTION_MS)
+        result.to_each_ms.extend(detected_ms.values())
+        simulation.on_change = lambda *_: None
+        simulation.start(number)
+        simulation.run(RESTART_MS)
     return result
 
 
 def measure_load(case: FleetCase) -> LoadResult:
-    """A fleet at rest."""
+    """Measure the load of an idle fleet."""
     count = case.gateways
-    world = MembershipSimulation(
+    simulation = MembershipSimulation(
         count, 3, TIMINGS[case.protocol], NetworkConditions(measure_bytes=True), already_joined=True
     )
-    world.run(JOIN_MS)
-    for node in world.nodes:
+    simulation.run(JOIN_MS)
+    for node in simulation.nodes:
         node.sent = 0
         node.sent_bytes = 0
     seconds = LARGE_LOAD_S if count > LARGE_FLEET else LOAD_S
-    world.run(seconds * 1000)
-    messages = sum(node.sent for node in world.nodes)
-    volume = sum(node.sent_bytes for node in world.nodes)
-    return LoadResult(case, messages / count / seconds, volume / count / seconds)
+    simulation.run(seconds * 1000)
+    messages = sum(node.sent for node in simulation.nodes)
+    sent_bytes = sum(node.sent_bytes for node in simulation.nodes)
+    return LoadResult(case, messages / count / seconds, sent_bytes / count / seconds)
 
 
 def measure_partition(case: FleetCase) -> PartitionResult:
-    """A partition into halves, and its heal."""
+    """Measure the agreement after a partition into halves, and after its heal."""
     count = case.gateways
-    world = MembershipSimulation(count, 5, TIMINGS[case.protocol], already_joined=True)
-    world.run(2000)
+    simulation = MembershipSimulation(count, 5, TIMINGS[case.protocol], already_joined=True)
+    simulation.run(2000)
     halves = range(count // 2), range(count // 2, count)
-    world.partition(*halves)
-    settled_ms = world.run_until(
-        lambda: all(world.views_agree(half) for half in halves), PARTITION_MS, AGREEMENT_CHECK_MS
+    simulation.partition(*halves)
+    halves_agreed_ms = simulation.run_until(
+        lambda: all(simulation.views_agree(half) for half in halves), PARTITION_MS, AGREEMENT_CHECK_MS
+    )
+    simulation.run(PARTITION_MS - halves_agreed_ms)
+    simulation.heal()
+    return PartitionResult(
+        case, halves_agreed_ms, simulation.run_until(simulation.views_agree, HEAL_MS, AGREEMENT_CHECK_MS)
     )
-    world.run(PARTITION_MS - settled_ms)
-    world.heal()
-    return PartitionResult(case, settled_ms, world.run_until(world.views_agree, HEAL_MS, AGREEMENT_CHECK_MS))
 
 
 def measure_false_deaths(case: FalseDeathCase) -> FalseDeathResult:
-    """Nobody ends, and some are declared dead nevertheless."""
+    """Count members that are declared dead although none ends."""
     count = case.gateways
     random_source = random.Random(7)
-    world = MembershipSimulation(
+    simulation = MembershipSimulation(
         count, 11, TIMINGS[case.protocol], NetworkConditions(loss=case.loss), already_joined=True
     )
     deaths: set[tuple[str, int]] = set()
@@ -174,17 +180,17 @@
         if change.member.state not in LIVE_STATES:
             deaths.add((change.member.name, change.member.refutations))
 
-    world.on_change = record
+    simulation.on_change = record
     starved = set(range(0, count, STARVED_EVERY)) if case.starved else set()
     seconds = FALSE_DEATH_S[count]
     for _ in range(seconds):
         for number in starved:
             if random_source.random() < STARVED_PROBABILITY:
-                world.pause(number, random_source.uniform(500, 1500))
-        world.run(1000)
+                simulation.pause(number, random_source.uniform(500, 1500))
+        simulation.run(1000)
     healthy = sum(int(name[1:]) not in starved for name, _ in deaths)
     return FalseDeathResult(
         case,
-        healthy_an_hour=healthy * SECONDS_AN_HOUR / seconds,
-        starved_an_hour=(len(deaths) - healthy) * SECONDS_AN_HOUR / seconds,
+        healthy_per_hour=healthy * SECONDS_PER_HOUR / seconds,
+        starved_per_hour=(len(deaths) - healthy) * SECONDS_PER_HOUR / seconds,
     )
--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -1,10 +1,10 @@
-"""What the load generator itself bears, against gateways that answer everything at once.
+"""Measures the capacity of the load generator itself, against gateways that answer at once.
 
-    .venv/bin/python benchmarks/load_tool.py ceiling   # offered more and more: what is sent in time
-    .venv/bin/python benchmarks/load_tool.py cost      # 2,000 requests a second over 1 to 8 gateways
+    .venv/bin/python benchmarks/load_tool.py ceiling   # increasing rates: the share that is sent in time
+    .venv/bin/python benchmarks/load_tool.py cost      # 2,000 requests per second over 1 to 8 gateways
 
-The emulated gateways are processes that answer each request with a value; nothing else is measured. Tables go
-to standard output as Markdown.
+The emulated gateways are processes that answer each request with a value; nothing else is measured. Tables
+are written to standard output as Markdown.
 """
 
 from __future__ import annotations
@@ -36,43 +36,49 @@
 CEILING_RATES = (1000, 2000, 4000, 5000, 6000, 8000, 10_000, 12_000)
 COST_RATE = 2000
 COST_GATEWAYS = (1, 2, 4, 8)
-HEADS = "offered a second | left a second | part | p99, ms | CPU of the tool | rule 1 broken |"
+HEADINGS = (
+    "offered per second | sent per second | share | p99, ms | CPU of the generator | violations of rule 1 |"
+)
 
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """One load: requests sent a second, and as a part of the offered ones; p99 of the answers, ms; the part
-    of a core that the generator used; violations of rule 1."""
+    """The result of one load.
 
-    sent_a_second: float
+    `sent_share` is the share of the offered requests that were sent, `p99_ms` the 99th percentile of the
+    latencies, `core_share` the share of a core that the generator used, and `violations` the number of
+    violations of rule 1.
+    """
+
+    sent_per_s: float
     sent_share: float
     p99_ms: float
     core_share: float
     violations: int
 
     def cells(self) -> str:
-        """The columns behind the offered rate."""
+        """Return the columns after the offered rate."""
         return (
-            f"{self.sent_a_second:,.0f} | {self.sent_share:.2f} | {self.p99_ms:.1f} | "
+            f"{self.sent_per_s:,.0f} | {self.sent_share:.2f} | {self.p99_ms:.1f} | "
             f"{self.core_share:.0%} | {self.violations}"
         )
 
 
 def run_gateway(addresses: Queue[str]) -> None:
-    """A gateway that answers at once; puts its address into the queue and runs until it is terminated."""
+    """Run a gateway that answers at once until it is terminated, and put its address into the queue."""
     from twisted.internet.protocol import Factory
 
     from granitedock.lab.reactor import REACTOR
     from granitedock.service.resp import RespReceiver
 
     class ImmediateAnswer(RespReceiver):
-        """Answers each value."""
+        """Answers each request at once."""
 
         def __init__(self) -> None:
             super().__init__(1024, 64 * 1024, 68 * 1024, 64, 4)
 
         def value_received(self, _value: object, _parts: object) -> None:
-            """Answer."""
+            """Answer a request."""
             self.send(b"$2\r\nok\r\n")
 
     port = REACTOR.listenTCP(0, Factory.forProtocol(ImmediateAnswer), interface="127.0.0.1")
@@ -82,7 +88,7 @@
 
 @contextmanager
 def gateway_processes(count: int) -> Iterator[list[str]]:
-    """Run so many emulated gateways until the block ends; their addresses."""
+    """Run `count` emulated gateways until the block ends, and yield their addresses."""
     context = multiprocessing.get_context("spawn")
     addresses: Queue[str] = context.Queue()
     processes = [context.Process(target=run_gateway, args=(addresses,), daemon=True) for _ in range(count)]
@@ -97,7 +103,7 @@
 
 
 def load_scenario(rate: float, gateways: int) -> Scenario:
-    """So many requests a second of four customers, each over all gateways."""
+    """Return a scenario of `rate` requests per second of four customers, each using all gateways."""
     clients = "".join(
         f'[[clients]]\ncustomer = {customer}\nproduct = "read"\nplan = "p"\nrate = {rate / CUSTOMERS}\n'
         f"spread = {gateways}\nleft_ms = 1000\n"
@@ -108,7 +114,7 @@
 
 
 def measure(rate: float, gateways: int) -> LoadResult:
-    """One load of `SECONDS`."""
+    """Run one load for `SECONDS`, and return its result."""
     with gateway_processes(gateways) as addresses:
         load = LoadGenerator(load_scenario(rate, gateways), addresses)
         load.start()
@@ -123,7 +129,7 @@
             record.latency_ms for record in load.records if record.outcome == RequestOutcome.DONE
         )
         return LoadResult(
-            sent_a_second=sent / elapsed_s,
+            sent_per_s=sent / elapsed_s,
             sent_share=sent / elapsed_s / rate,
             p99_ms=latencies[int(len(latencies) * 0.99)],
             core_share=cpu_s / elapsed_s,
@@ -138,16 +144,16 @@
 
 @main.command()
 def ceiling() -> None:
-    """One gateway, more and more requests."""
-    click.echo(f"| {HEADS}\n| --- | --- | --- | --- | --- | --- |")
+    """Measure one gateway at increasing rates."""
+    click.echo(f"| {HEADINGS}\n| --- | --- | --- | --- | --- | --- |")
     for rate in CEILING_RATES:
         click.echo(f"| {rate:,} | {measure(rate, 1).cells()} |")
 
 
 @main.command()
 def cost() -> None:
-    """The same requests over more gateways."""
-    click.echo(f"| gateways | {HEADS}\n| --- | --- | --- | --- | --- | --- | --- |")
+    """Measure the same rate over increasing numbers of gateways."""
+    click.echo(f"| gateways | {HEADINGS}\n| --- | --- | --- | --- | --- | --- | --- |")
     for gateways in COST_GATEWAYS:
         click.echo(f"| {gateways} | {COST_RATE:,} | {measure(COST_RATE, gateways).cells()} |")
 
--- a/benchmarks/outlier_detection.py
+++ b/benchmarks/outlier_detection.py
@@ -1,9 +1,9 @@
-"""What gateways lose to an outlier, with outlier detection by gossip and without, in one run.
+"""Measures the attempts that gateways lose to an outlier, with and without outlier detection by gossip.
 
     .venv/bin/python benchmarks/outlier_detection.py faults   # an outlier, and faults that eject no good host
 
-The decisions are the module's own; hosts, network and clients are simulated (lab/simulators/). The table goes
-to standard output as Markdown, the plot to docs/plots/.
+The decisions are those of the real module; hosts, network and clients are simulated (lab/simulators/). The
+table is written to standard output as Markdown, the plot to docs/plots/.
 """
 
 from __future__ import annotations
@@ -34,12 +34,12 @@
 SEEDS = {4: 10, 16: 10, 40: 10, 200: 3}  # runs by number of gateways
 SETTLE_MS = 6000
 SECONDS = 30
-SAMPLE_MS = 250  # ejected hosts are looked at so often
+SAMPLE_MS = 250  # interval at which ejected hosts are counted
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """Hosts, and requests a second for each gateway."""
+    """The number of hosts, and the requests per second of each gateway."""
 
     hosts: int
     rate: float
@@ -49,7 +49,7 @@
 
 
 class Case(NamedTuple):
-    """One run: the fault by name, gateways, whether they detect outliers together, and the seed."""
+    """One run; with `detection` the gateways share their observations of hosts."""
 
     fault: str
     gateways: int
@@ -59,64 +59,64 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What one run gave, or the mean of several."""
+    """The result of one run, or the mean of several."""
 
-    lost: float  # attempts that the outlier failed
-    served: float  # part of the requests
-    good_ejected: float  # part of the hosts' time that good hosts were ejected
+    lost: float  # attempts that failed at the outlier
+    served: float  # share of the requests
+    good_ejected: float  # share of the total host time in which hosts without a fault were ejected
     bytes_per_s: float  # sent by each gateway
-    cpu: float  # part of a core for each gateway, simulation included
+    cpu: float  # share of a core per gateway, simulation included
 
 
-def host_fails(world: QuotaSimulation) -> None:
-    """One host answers with errors."""
-    world.host_faults["h0"] = Outcome.ERROR
+def host_fails(simulation: QuotaSimulation) -> None:
+    """Let one host answer with errors."""
+    simulation.host_faults["h0"] = Outcome.ERROR
 
 
-def host_is_silent(world: QuotaSimulation) -> None:
-    """One host does not answer."""
-    world.host_faults["h0"] = Outcome.TIMEOUT
+def host_is_silent(simulation: QuotaSimulation) -> None:
+    """Let one host not answer."""
+    simulation.host_faults["h0"] = Outcome.TIMEOUT
 
 
-def one_connection(world: QuotaSimulation) -> None:
-    """One gateway cannot reach one host."""
-    world.unreachable.add((0, "h1"))
+def one_connection(simulation: QuotaSimulation) -> None:
+    """Cut one gateway off from one host."""
+    simulation.unreachable.add((0, "h1"))
 
 
-def own_network(world: QuotaSimulation) -> None:
-    """One gateway cannot reach any host."""
-    world.unreachable |= {(0, f"h{n}") for n in range(world.host_count)}
+def all_connections(simulation: QuotaSimulation) -> None:
+    """Cut one gateway off from all hosts."""
+    simulation.unreachable |= {(0, f"h{n}") for n in range(simulation.host_count)}
 
 
-def partitioned(world: QuotaSimulation) -> None:
-    """One host fails, and half of the gateways do not hear the other half."""
-    half = len(world.nodes) // 2
-    world.host_faults["h0"] = Outcome.ERROR
-    world.partition(range(half), range(half, len(world.nodes)))
+def partitioned(simulation: QuotaSimulation) -> None:
+    """Let one host fail, and cut the gateways into two halves."""
+    half = len(simulation.nodes) // 2
+    simulation.host_faults["h0"] = Outcome.ERROR
+    simulation.partition(range(half), range(half, len(simulation.nodes)))
 
 
-def paused(world: QuotaSimulation) -> None:
-    """One host fails for 10 s, and one gateway stands still over its recovery."""
-    world.host_faults["h0"] = Outcome.ERROR
-    world.pause(0, 15_000)
-    world.schedule(10_000, world.host_faults.clear)
+def paused(simulation: QuotaSimulation) -> None:
+    """Let one host fail for 10 s, and pause one gateway until after its recovery."""
+    simulation.host_faults["h0"] = Outcome.ERROR
+    simulation.pause(0, 15_000)
+    simulation.schedule(10_000, simulation.host_faults.clear)
 
 
 FAULTS: dict[str, Callable[[QuotaSimulation], None]] = {
-    "a host errs": host_fails,
-    "a host is silent": host_is_silent,
+    "a host fails": host_fails,
+    "a host does not answer": host_is_silent,
     "one gateway has no connection to a host": one_connection,
-    "one gateway has none to any host": own_network,
-    "a host errs, and the gateways are cut in halves": partitioned,
-    "a host errs for 10 s, one gateway paused over it": paused,
+    "one gateway has no connection to any host": all_connections,
+    "a host fails, and the gateways are cut in halves": partitioned,
+    "a host fails for 10 s, one gateway is paused meanwhile": paused,
 }
 
 
 def play(case: Case) -> tuple[Case, Result]:
-    """Run one case."""
+    """Run one case, and return it with its result."""
     count, size = case.gateways, SIZES[case.gateways]
     offers = [OfferedLoad(key, PLAN, size.rate * count / CUSTOMERS, count) for key in range(CUSTOMERS)]
-    world = QuotaSimulation(
+    simulation = QuotaSimulation(
         count,
         offers,
         case.seed,
@@ -124,36 +124,36 @@
         NetworkConditions(measure_bytes=True),
         host_count=size.hosts,
     )
-    world.run(SETTLE_MS)
-    sent_before = sum(node.sent_bytes for node in world.nodes)
-    FAULTS[case.fault](world)
+    simulation.run(SETTLE_MS)
+    sent_before = sum(node.sent_bytes for node in simulation.nodes)
+    FAULTS[case.fault](simulation)
     cpu_before = time.process_time()
     good_ejected = 0
     samples = SECONDS * 1000 // SAMPLE_MS
     for _ in range(samples):
-        world.run(SAMPLE_MS)
+        simulation.run(SAMPLE_MS)
         if case.detection:
-            good_ejected += good_hosts_ejected(world)
+            good_ejected += good_hosts_ejected(simulation)
     done = sum(len(offer.completed) for offer in offers)
-    refused = sum(offer.rejected for offer in offers)
-    sent = sum(node.sent_bytes for node in world.nodes) - sent_before
+    rejected = sum(offer.rejected for offer in offers)
+    sent = sum(node.sent_bytes for node in simulation.nodes) - sent_before
     return case, Result(
-        lost=sum(world.failed_attempts.values()),
-        served=done / (done + refused),
+        lost=sum(simulation.failed_attempts.values()),
+        served=done / (done + rejected),
         good_ejected=good_ejected / samples / count / size.hosts,
         bytes_per_s=sent / count / SECONDS,
         cpu=(time.process_time() - cpu_before) / count / SECONDS,
     )
 
 
-def good_hosts_ejected(world: QuotaSimulation) -> int:
-    """Over all gateways, the ejected hosts that have no fault now."""
-    detectors = [gateway.detector for gateway in world.gateways.values() if gateway.detector is not None]
-    return sum(name not in world.host_faults for detector in detectors for name in detector.ejected)
+def good_hosts_ejected(simulation: QuotaSimulation) -> int:
+    """Return the number of ejected hosts that have no fault now, summed over all gateways."""
+    detectors = [gateway.detector for gateway in simulation.gateways.values() if gateway.detector is not None]
+    return sum(name not in simulation.host_faults for detector in detectors for name in detector.ejected)
 
 
 def mean(results: list[Result]) -> Result:
-    """The mean of each figure."""
+    """Return the mean of each figure."""
     return Result(*(statistics.mean(column) for column in zip(*map(astuple, results))))
 
 
@@ -163,9 +163,9 @@
 
 
 @main.command()
-@click.option("--most", default=200, show_default=True, help="The largest fleet.")
+@click.option("--most", default=200, show_default=True, help="The largest number of gateways.")
 def faults(most: int) -> None:
-    """30 s of each fault: attempts lost to the outlier, good hosts ejected, what is served, and the cost."""
+    """Run 30 s of each fault: attempts lost to the outlier, good hosts ejected, served share and cost."""
     cases = [
         Case(fault, count, detection, seed)
         for count in sorted(SIZES, reverse=True)
@@ -179,8 +179,8 @@
         for case, result in pool.map(play, cases):
             results[case.fault, case.gateways, case.detection].append(result)
     click.echo(
-        "| fault | gateways | lost without | with | part | served without | with | good hosts out "
-        "| bytes a second | CPU a gateway |"
+        "| fault | gateways | lost without | with | ratio | served without | with | good hosts ejected "
+        "| bytes per second | CPU per gateway |"
     )
     click.echo("| --- " * 10 + "|")
     lost_by_size = {}
@@ -191,20 +191,20 @@
             without = mean(results[fault, count, False])
             with_detection = mean(results[fault, count, True])
             click.echo(table_row(fault, count, without, with_detection))
-            if fault == "a host errs":
+            if fault == "a host fails":
                 lost_by_size[count] = without.lost, with_detection.lost
     plot(lost_by_size)
 
 
 def table_row(fault: str, gateways: int, without: Result, with_detection: Result) -> str:
-    """One row of the table."""
-    part = f"{with_detection.lost / without.lost:.2f}" if without.lost else "-"
+    """Return one row of the table."""
+    ratio = f"{with_detection.lost / without.lost:.2f}" if without.lost else "-"
     cells = [
         fault,
         f"{gateways}",
         f"{without.lost:.0f}",
         f"{with_detection.lost:.0f}",
-        part,
+        ratio,
         f"{without.served:.4f}",
         f"{with_detection.served:.4f}",
         f"{with_detection.good_ejected:.2%}",
@@ -215,18 +215,20 @@
 
 
 def plot(lost_by_size: dict[int, tuple[float, float]]) -> None:
-    """Attempts lost without and with detection, as bars by number of gateways."""
+    """Draw the attempts lost without and with detection, as bars by number of gateways."""
     import matplotlib as mpl
 
     mpl.use("Agg")
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(6, 3.6))
-    for at, (without, with_detection) in enumerate(lost_by_size.values()):
-        axes.bar(at - 0.2, without, 0.38, color="tab:red", label="each alone" if at == 0 else None)
-        axes.bar(at + 0.2, with_detection, 0.38, color="tab:blue", label="by gossip" if at == 0 else None)
+    for index, (without, with_detection) in enumerate(lost_by_size.values()):
+        axes.bar(index - 0.2, without, 0.38, color="tab:red", label="each alone" if index == 0 else None)
+        axes.bar(
+            index + 0.2, with_detection, 0.38, color="tab:blue", label="by gossip" if index == 0 else None
+        )
     axes.set_xticks(range(len(lost_by_size)), [f"{count} gateways" for count in lost_by_size])
-    axes.set_ylabel("attempts lost to a host that errs, 30 s")
+    axes.set_ylabel("attempts lost to a failing host, 30 s")
     axes.legend()
     figure.tight_layout()
     PLOTS.mkdir(exist_ok=True)
