--- a/tests/configuration/test_configuration_processes.py
+++ b/tests/configuration/test_configuration_processes.py
@@ -9,7 +9,7 @@
 
 import pytest
 from click.testing import CliRunner
-from loopback import VALUE, Live, Server
+from loopback import VALUE, LoopbackGateway, Server
 from twisted.internet import reactor
 
 from granitedock.__main__ import main
@@ -28,14 +28,15 @@
 from granitedock.lab.scale.hollow_fleet import hollow_fleet
 
 TIME_LIMIT_S = 20.0
-MAX_STEP_MS = 20.0  # Largest step of the gateway's clock between two rounds of turns, as in `Live.pass_ms`.
+# Largest step of the gateway's clock between two runs of its loop, as in `LoopbackGateway.pass_ms`.
+MAX_STEP_MS = 20.0
 PLAN = {"Name": "p", "Refill": 1000, "MostAtOnce": 1000}
 
 
 @contextmanager
 def gateway(tmp_path, addresses, **more):
     file = GatewayFile(enabled=True, cluster=CLUSTER, control=list(addresses), **more)
-    live = Live(tmp_path, configuration=file)
+    live = LoopbackGateway(tmp_path, configuration=file)
     try:
         yield live
     finally:
@@ -44,18 +45,18 @@
 
 
 def until(live, predicate, clock=time.monotonic):
-    """Turn the gateway's loop until the predicate holds; its clock follows `clock()`, the real time in s.
+    """Run the gateway's loop until the predicate holds; its clock follows `clock()`, the real time in s.
 
-    The gateway's clock advances by at most MAX_STEP_MS between turns. This prevents a delayed test process
-    from moving the clock in one step past the timers of peers that had no turn; under load the clock runs
-    slower instead.
+    The gateway's clock advances by at most MAX_STEP_MS between runs of the loop. This prevents a delayed test
+    process from moving the clock in one step past the timers of peers that could not run meanwhile; under
+    load the clock runs slower instead.
     """
     last = began = clock()
     while not predicate():
         now = clock()
-        assert now - began < TIME_LIMIT_S, live.events[-5:]
-        live.t, last = live.t + min(MAX_STEP_MS, 1000.0 * (now - last)), now
-        live.turn(2)
+        assert now - began < TIME_LIMIT_S, live.log_events[-5:]
+        live.now_ms, last = live.now_ms + min(MAX_STEP_MS, 1000.0 * (now - last)), now
+        live.run_loop(2)
 
 
 def wait_until_in_force(live, version):
@@ -77,8 +78,10 @@
 def attempt(live):
     """Return the host's end of the next attempt, after reading its request."""
     connections = []
-    until(live, lambda: connections or connections.extend(filter(None, [live.at_host()])) or connections)
-    connections[0].wait()
+    until(
+        live, lambda: connections or connections.extend(filter(None, [live.accept_at_host()])) or connections
+    )
+    connections[0].wait_until_readable()
     assert b"API." in connections[0].read()
     return connections[0]
 
@@ -95,12 +98,12 @@
         wait_until_in_force(live, 1)
         assert "tenant-00001" in live.state_machine.requests.plans
         first, second = live.client(), live.client()
-        live.counts = False  # The counter withholds its reply.
+        live.counter_answers = False  # The counter withholds its reply.
         first.send(live.request())
         until(live, lambda: live.state_machine.requests.in_flight)
         control_client.apply(writer.address, change(1, remove=["p"]), 5.0)
         wait_until_in_force(live, 2)
-        live.counts = True
+        live.counter_answers = True
         attempt(live).send(VALUE)
         assert answer_of(live, first) == VALUE
         second.send(live.request())
@@ -117,17 +120,17 @@
     """
     gateway = live()
     client = gateway.client()
-    gateway.counts = False  # The counter withholds its reply.
+    gateway.counter_answers = False  # The counter withholds its reply.
     client.send(gateway.request())
     until(gateway, lambda: gateway.state_machine.requests.in_flight)
-    before_ms, readings_s, rounds = gateway.t, [0.0, 4.1], []
+    before_ms, readings_s, rounds = gateway.now_ms, [0.0, 4.1], []
 
     def real_time():
         return readings_s.pop(0) if len(readings_s) > 1 else readings_s[0]
 
-    until(gateway, lambda: rounds.append(gateway.t) or len(rounds) > 2, real_time)
-    assert before_ms < gateway.t <= before_ms + MAX_STEP_MS
-    gateway.counts = True
+    until(gateway, lambda: rounds.append(gateway.now_ms) or len(rounds) > 2, real_time)
+    assert before_ms < gateway.now_ms <= before_ms + MAX_STEP_MS
+    gateway.counter_answers = True
     attempt(gateway).send(VALUE)
     assert answer_of(gateway, client) == VALUE
 
@@ -157,7 +160,7 @@
         control_processes(2, 1) as (writer,),
         gateway(tmp_path, [writer.address], copy_file=str(copy)) as live,
     ):
-        rejections = [figures for event, figures in live.events if event == "configuration copy rejected"]
+        rejections = [figures for event, figures in live.log_events if event == "configuration copy rejected"]
         assert rejections and str(copy) in rejections[0]["why"]
         wait_until_in_force(live, 1)
 
@@ -193,7 +196,7 @@
         peers = []
 
         def answered():
-            if (peer := other_server.take()) is not None:
+            if (peer := other_server.accept()) is not None:
                 peers.append(peer)
                 peer.sock.setblocking(True)
                 peer.sock.settimeout(5.0)
@@ -204,12 +207,14 @@
                         peers[0].send(answer[at : at + 65536])
                     except OSError:
                         break  # The gateway has rejected the connection meanwhile.
-                    live.turn(1)
+                    live.run_loop(1)
             return live.configuration.document.version >= 1
 
         answered.done = False
         until(live, answered)
-        reasons = [figures["why"] for event, figures in live.events if event == "control connection rejected"]
+        reasons = [
+            figures["why"] for event, figures in live.log_events if event == "control connection rejected"
+        ]
         assert len(reasons) == 1 and why in reasons[0], reasons
         assert live.configuration.follower.counts["refused"] == 1
     other_server.sock.close()
--- a/tests/configuration/test_follower_timing.py
+++ b/tests/configuration/test_follower_timing.py
@@ -9,14 +9,14 @@
     first, second = address_order("g1", ["a", "b"])
     transport = LoopbackTransport({"a": writer, "b": writer})
     transport.start()
-    transport.cut()
-    transport.up()
+    transport.cut_connection()
+    transport.establish_connection()
     assert transport.connection.address == second
     for _ in range(121):
         transport.now += 1000.0
-        transport.hears(b"\n")
+        transport.deliver(b"\n")
         transport.follower.check_timeouts(transport.now)
-    transport.up()
+    transport.establish_connection()
     assert transport.connection.address == first
 
 
--- a/tests/configuration/test_plan_changes.py
+++ b/tests/configuration/test_plan_changes.py
@@ -166,7 +166,7 @@
 def test_a_request_in_flight_is_completed_on_the_new_account():
     """Its counter call and its attempt were started under the old account."""
     harness, customer = GatewayHarness(), Customer(99)
-    harness.ask(customer=customer, plan=plan(10, 20))
+    harness.send_request(customer=customer, plan=plan(10, 20))
     customer.account = carry_over(customer.account, plan(10, 400), harness.gateway.now)
     harness.answer_call(total=1)
     assert len(harness.attempts) == 1 and customer.account.in_flight == 1
--- a/tests/configuration/test_publisher.py
+++ b/tests/configuration/test_publisher.py
@@ -39,19 +39,19 @@
     """A single line with 600 entries would stall the event loop of the gateway that decodes it."""
     transport = LoopbackTransport({"a": writer})
     transport.start()
-    transport.hears_all()
+    transport.deliver_all()
     writer.apply(change(1, [PLAN | {"Name": f"p{n}"} for n in range(600)]), "test")
-    lines = list(transport.lines())
+    lines = list(transport.pending_lines())
     assert len(lines) == 5 and max(map(len, lines)) < 64 * 1024
     for line in lines:
-        transport.hears(line)
-    assert transport.same(writer)
+        transport.deliver(line)
+    assert transport.is_in_sync_with(writer)
 
 
 def test_lag_counts_from_the_time_the_first_missing_version_became_known(writer):
     transport = LoopbackTransport({"a": writer})
     transport.start()
-    transport.hears_all()
+    transport.deliver_all()
     writer.clock.now = 1000.0
     writer.apply(change(1, [PLAN]), "test")
     writer.clock.now = 2500.0
--- a/tests/configuration/test_replication.py
+++ b/tests/configuration/test_replication.py
@@ -36,31 +36,31 @@
                 for missed in writer.store.changes()[replica.contents.version : applied.version]:
                     replica.document.apply_change(missed)
         elif step == "cut":
-            transport.cut()
-            transport.up()
+            transport.cut_connection()
+            transport.establish_connection()
         elif step == "swap":
             transport.now += 5000.0
             transport.follower.check_timeouts(transport.now)
             if transport.connecting or transport.timers:
-                transport.up()
-        elif (line := transport.line()) is not None:
+                transport.establish_connection()
+        elif (line := transport.next_line()) is not None:
             for _ in range({"line": 1, "lose": 0, "double": 2}[step]):
                 if transport.connection is transport.follower.connection:
-                    transport.hears(line)
+                    transport.deliver(line)
             for message in transport.sent:
-                transport.core.publisher.message_received(transport.session, message)
+                transport.control_node.publisher.message_received(transport.session, message)
             transport.sent.clear()
         if transport.connection is not transport.follower.connection:
-            transport.up()
+            transport.establish_connection()
         assert transport.document.version >= previous_version
         previous_version = transport.document.version
     for missed in writer.store.changes()[replica.contents.version :]:
         replica.document.apply_change(missed)
     for _ in range(2):
-        transport.cut()
-        transport.up()
-        transport.hears_all()
-    assert transport.same(writer)
+        transport.cut_connection()
+        transport.establish_connection()
+        transport.deliver_all()
+    assert transport.is_in_sync_with(writer)
     follower_plans = transport.document.contents.values[Section.PLANS].values()
     assert sorted(map(canonical_json, follower_plans)) == sorted(
         map(canonical_json, writer.document_record()["plans"])
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -96,13 +96,13 @@
 
 @pytest.fixture
 def live(tmp_path):
-    """A factory of gateways on real sockets (`loopback.Live`), which are closed after the test."""
-    from loopback import Live
+    """A factory of gateways on real sockets (`loopback.LoopbackGateway`), which are closed after the test."""
+    from loopback import LoopbackGateway
 
     gateways = []
 
     def make(**options):
-        gateways.append(Live(tmp_path, **options))
+        gateways.append(LoopbackGateway(tmp_path, **options))
         return gateways[-1]
 
     yield make
--- a/tests/golden/test_golden_story.py
+++ b/tests/golden/test_golden_story.py
@@ -12,8 +12,8 @@
 from collections import Counter
 from pathlib import Path
 
-from fake_gateway import BORN
-from loopback import START_MS, VALUE, Live, Peer, answer, chunk
+from fake_gateway import SETTINGS
+from loopback import START_MS, VALUE, LoopbackGateway, Peer, answer, chunk
 
 from granitedock.service.resp import encode_command
 
@@ -34,7 +34,7 @@
     return {name.decode(): number for name, number in harness.state_machine.commands.counters()}
 
 
-class RecordedScenario(Live):
+class RecordedScenario(LoopbackGateway):
     """The loopback harness with a transcript, hosts with scripted answers and a counter that keeps totals."""
 
     def __init__(self, tmp_path, hosts):
@@ -46,19 +46,19 @@
         self.pending_replies = {}  # Counter connection: replies that are not sent yet.
         self.totals, self.over_quota, self.counter_silent = {}, set(), False
         self.next_heartbeat_ms, self.discovery_silent = START_MS, False
-        lanes = [lane | {"GiveUpMs": 3000} for lane in BORN["Lanes"]]
+        lanes = [lane | {"GiveUpMs": 3000} for lane in SETTINGS["Lanes"]]
         super().__init__(tmp_path, hosts=hosts, lanes=lanes)
 
     # Steps of the harness's event loop, with the transcript recorded between them.
 
-    def turn(self, turns=6):
-        for _ in range(turns):
+    def run_loop(self, iterations=6):
+        for _ in range(iterations):
             self.reactor.iterate(0)
             self.poll_peers()
 
-    def lists(self, **more):
+    def send_list(self, **more):
         self.poll_peers()
-        super().lists(**more)
+        super().send_list(**more)
 
     def poll_peers(self):
         """Accept connections, record received bytes, and let hosts and the counter answer."""
@@ -74,13 +74,13 @@
 
     def accept_connections(self):
         for number, server in enumerate(self.hosts):
-            while peer := server.take():
+            while peer := server.accept():
                 self.host_peers.append(peer)
                 self.add_connection(peer, f"host {number}")
-        while peer := self.counter.take():
+        while peer := self.counter.accept():
             self.counter_peers.append(peer)
             self.add_connection(peer, "counter")
-        while peer := self.discovery.take():
+        while peer := self.discovery.accept():
             self.watches.append(peer)
             self.add_connection(peer, "discovery")
 
@@ -92,7 +92,7 @@
     def record(self, name, received):
         if isinstance(received, bytes):
             received = received.decode("latin-1").replace(self.discovery.address, "DISCOVERY").split("\r\n")
-        self.transcript.append([round(self.t - START_MS), name, received])
+        self.transcript.append([round(self.now_ms - START_MS), name, received])
 
     def react(self, peer, name, data):
         if name.startswith("host"):
@@ -162,11 +162,11 @@
             body = (b"body",) if kind == "mark" else ()
             sent += self.request(kind, d=d, more=fields, body=body).replace(CUSTOMER, customer)
         self.clients[name].send(sent)
-        self.turn()
+        self.run_loop()
 
     def request_counters(self, name):
         self.clients[name].send(encode_command(b"INFO"))
-        self.turn()
+        self.run_loop()
 
     # Discovery.
 
@@ -179,23 +179,23 @@
         ]
         change = {"generation": self.version, "instances": entries}
         self.watches[-1].send(chunk(json.dumps(change).encode() + b"\n"))
-        self.turn()
+        self.run_loop()
 
     def pass_ms(self, ms, step=20.0):
         """Advance the clock; discovery writes an empty line each second on a watch that it has answered."""
-        end = self.t + ms
-        while self.t < end:
+        end = self.now_ms + ms
+        while self.now_ms < end:
             watch = self.watches[-1]
             if (
                 not self.discovery_silent
-                and self.t >= self.next_heartbeat_ms
+                and self.now_ms >= self.next_heartbeat_ms
                 and getattr(watch, "headed", False)
                 and watch in self.connections
             ):
-                self.next_heartbeat_ms = self.t + 1000.0
+                self.next_heartbeat_ms = self.now_ms + 1000.0
                 if not watch.ended:
                     watch.send(chunk(b"\n"))
-            super().pass_ms(min(step, end - self.t), step)
+            super().pass_ms(min(step, end - self.now_ms), step)
 
 
 def everyday(scenario):
@@ -204,7 +204,7 @@
     scenario.clients["a"].send(
         encode_command(b"PING") + encode_command(b"SELECT", b"0") + encode_command(b"WHAT")
     )
-    scenario.turn()
+    scenario.run_loop()
     scenario.send_requests("a", "read")
     scenario.send_requests("a", "read", "mark", "once", "read")
     scenario.open_client("b")
@@ -212,13 +212,13 @@
     scenario.clients["b"].send(half[:40])
     scenario.pass_ms(300)
     scenario.clients["b"].send(half[40:])
-    scenario.turn()
+    scenario.run_loop()
     scenario.open_client("malformed")
     scenario.clients["malformed"].send(scenario.request("read") + b"nonsense\r\n")
-    scenario.turn()
+    scenario.run_loop()
     scenario.open_client("wrong fields")
     scenario.clients["wrong fields"].send(encode_command(b"API.READ", CUSTOMER, b"id", b"c=read"))
-    scenario.turn()
+    scenario.run_loop()
     scenario.open_client("wrong class")
     scenario.send_requests("wrong class", "nothing of that name")
     scenario.pass_ms(500)
@@ -245,7 +245,7 @@
     scenario.open_client("leaves")
     scenario.send_requests("leaves", "read", "once")
     scenario.close_connection(scenario.clients["leaves"])
-    scenario.turn()
+    scenario.run_loop()
     scenario.pass_ms(2000)
     scenario.host_answers = {number: [answer(b"later")] for number in scenario.host_answers}
     scenario.send_requests("a", "read", "mark", "once")
@@ -254,15 +254,15 @@
 def connections_that_come_late(scenario):
     """Connections to hosts are established late, after the idle ones were closed."""
     scenario.pass_ms(9000)
-    scenario.hold_dials()
+    scenario.delay_connects()
     scenario.send_requests("a", "read", "once")
     scenario.pass_ms(200)
-    scenario.release()
-    scenario.turn()
+    scenario.release_connects()
+    scenario.run_loop()
     scenario.pass_ms(500)
-    scenario.release()
+    scenario.release_connects()
     scenario.send_requests("a", "mark")
-    scenario.release()
+    scenario.release_connects()
     scenario.pass_ms(300)
 
 
@@ -271,27 +271,27 @@
     scenario.change_list(h0="terminating")
     for _ in range(4):
         scenario.send_requests("a", "read")
-        scenario.release()
+        scenario.release_connects()
     scenario.pass_ms(500)
     scenario.change_list(h0="terminated", h1="terminating")
     scenario.send_requests("a", "read", "read", "once")
-    scenario.release()
+    scenario.release_connects()
     scenario.pass_ms(1000)
     scenario.change_list(h2="terminating")
     scenario.send_requests("a", "read")
     scenario.pass_ms(200)
     scenario.change_list(h0="in_service")
-    scenario.release()
-    scenario.turn()
+    scenario.release_connects()
+    scenario.run_loop()
     scenario.pass_ms(300)
-    scenario.release()
+    scenario.release_connects()
     scenario.pass_ms(1000)
     scenario.close_connection(scenario.watches[-1])
     scenario.pass_ms(2000)
-    scenario.release()
-    scenario.lists()
+    scenario.release_connects()
+    scenario.send_list()
     scenario.send_requests("a", "read", "read")
-    scenario.release()
+    scenario.release_connects()
     scenario.pass_ms(1000)
 
 
@@ -300,20 +300,20 @@
     scenario.discovery_silent = True
     scenario.pass_ms(4000)
     scenario.discovery_silent = False
-    scenario.lists()
+    scenario.send_list()
     scenario.send_requests("a", "read")
-    scenario.release()
+    scenario.release_connects()
     scenario.counter_silent = True
     scenario.send_requests("a", "read", "mark", "once")
     for peer in [
         peer for peer, name_and_end in scenario.connections.items() if name_and_end[0].startswith("counter")
     ]:
         scenario.close_connection(peer)
-    scenario.turn()
+    scenario.run_loop()
     scenario.counter_silent = False
     for _ in range(5):
         scenario.pass_ms(200)
-        scenario.release()
+        scenario.release_connects()
 
 
 def quotas(scenario):
@@ -324,27 +324,27 @@
     scenario.pass_ms(100)
     scenario.send_requests("c", "read", customer=OVER_QUOTA)
     scenario.over_quota = set()
-    scenario.release()
+    scenario.release_connects()
     scenario.pass_ms(5000)
     scenario.send_requests("c", *["read"] * 30)
-    scenario.release()
+    scenario.release_connects()
     scenario.pass_ms(500)
-    scenario.release()
+    scenario.release_connects()
     scenario.counter_silent = True
     scenario.send_requests("c", "read", "mark", "once")
     for _ in range(10):
         scenario.pass_ms(200)
-        scenario.release()
+        scenario.release_connects()
     scenario.send_requests("c", "read", "read", customer=OVER_QUOTA)
     for _ in range(10):
         scenario.pass_ms(200)
-        scenario.release()
+        scenario.release_connects()
     scenario.counter_silent = False
     scenario.send_counter_replies()
-    scenario.turn()
+    scenario.run_loop()
     scenario.pass_ms(1000)
     scenario.send_requests("c", "read", "once")
-    scenario.release()
+    scenario.release_connects()
     scenario.pass_ms(3000)
 
 
@@ -356,16 +356,16 @@
     scenario.request_counters("last")
     scenario.host_answers = {number: [None] for number in scenario.host_answers}
     scenario.send_requests("last", "read", "once", d=2500)
-    scenario.release()
-    scenario.turn()
+    scenario.release_connects()
+    scenario.run_loop()
     scenario.clients["half"].send(scenario.request("read")[:30])
-    scenario.turn()
+    scenario.run_loop()
     begin_shutdown(scenario)
     scenario.send_requests("rests", "read", d=900)
-    scenario.release()
+    scenario.release_connects()
     for _ in range(20):
         scenario.pass_ms(200)
-        scenario.release()
+        scenario.release_connects()
     late = Peer(socket.socket())
     refused = late.sock.connect_ex(scenario.listen) != 0
     late.close()
@@ -394,7 +394,7 @@
         ):
             scenario.record("story", part.__name__.replace("_", " "))
             part(scenario)
-        ended = [round(at - START_MS) for at in scenario.left]
+        ended = [round(at - START_MS) for at in scenario.exit_times_ms]
         return {
             "transcript": scenario.transcript,
             "process_ended_ms": ended,
--- a/tests/golden/test_golden_wire.py
+++ b/tests/golden/test_golden_wire.py
@@ -169,11 +169,11 @@
 
 
 def limits():
-    from fake_gateway import BORN
+    from fake_gateway import SETTINGS
 
     from granitedock.service.limits import Limits
 
-    settings = BORN | {"Specifics": BORN["Specifics"] | {"TruedUp": True}}
+    settings = SETTINGS | {"Specifics": SETTINGS["Specifics"] | {"TruedUp": True}}
     return Limits.from_platform_file({"limits": {}, "settings": settings})
 
 
--- a/tests/helpers/configuration_helpers.py
+++ b/tests/helpers/configuration_helpers.py
@@ -27,10 +27,10 @@
 
 def control_node(path, plans=3, writes=True, cluster="lab"):
     """Return a control node over its store; a writer imports the platform settings into an empty store."""
-    made = ControlNode(DocumentStore(path, cluster), writes, Clock(), lambda followers: None)
-    if writes and not made.contents.version:
-        made.import_settings(platform_settings(plans), "platform.json")
-    return made
+    node = ControlNode(DocumentStore(path, cluster), writes, Clock(), lambda followers: None)
+    if writes and not node.contents.version:
+        node.import_settings(platform_settings(plans), "platform.json")
+    return node
 
 
 class RecordKeeper:
@@ -81,46 +81,52 @@
 
     def start(self):
         self.follower.start(self.now)
-        return self.up()
+        return self.establish_connection()
 
-    def up(self):
-        """Establish the pending connection: the control node's publisher gets a new follower."""
+    def establish_connection(self):
+        """Establish the pending connection and open a session on the control node's publisher.
+
+        Timers fire first until the follower connects.
+        """
         while not self.connecting:
             self.timers.pop(0)()
         connection, address = self.connecting.pop()
-        core = self.controls[address]
-        self.core = core
-        self.session = core.publisher.open_session(
+        node = self.controls[address]
+        self.control_node = node
+        self.session = node.publisher.open_session(
             "g1", "gateway", self, self.document.version, self.document.digest, self.now
         )
         self.follower.connected(connection, self, self.now)
         self.connection = connection
         return connection
 
-    def line(self):
-        return self.core.publisher.next_line(self.session, self.now)
+    def next_line(self):
+        """Return the publisher's next line for this follower, or None."""
+        return self.control_node.publisher.next_line(self.session, self.now)
 
-    def lines(self):
-        while (line := self.line()) is not None:
+    def pending_lines(self):
+        while (line := self.next_line()) is not None:
             yield line
 
-    def hears(self, line):
+    def deliver(self, line):
+        """Deliver one line of the control node to the follower."""
         self.follower.line_received(self.connection, line.rstrip(b"\n"), self.now)
 
-    def hears_all(self):
+    def deliver_all(self):
         """Deliver all pending lines, including those that the follower requests meanwhile."""
         while True:
-            for line in self.lines():
-                self.hears(line)
+            for line in self.pending_lines():
+                self.deliver(line)
             sent, self.sent = self.sent, []
             for message in sent:
-                self.core.publisher.message_received(self.session, message)
+                self.control_node.publisher.message_received(self.session, message)
             if not any(isinstance(message, Resend) for message in sent):
                 return
 
-    def cut(self):
-        self.core.publisher.close_session(self.session)
+    def cut_connection(self):
+        """End the connection on both sides."""
+        self.control_node.publisher.close_session(self.session)
         self.follower.disconnected(self.connection, self.now)
 
-    def same(self, core):
-        return (self.document.version, self.document.digest) == (core.contents.version, core.contents.digest)
+    def is_in_sync_with(self, node):
+        return (self.document.version, self.document.digest) == (node.contents.version, node.contents.digest)
--- a/tests/helpers/fake_gateway.py
+++ b/tests/helpers/fake_gateway.py
@@ -1,4 +1,8 @@
-"""Gateways for tests: one on fake hosts, customers and a counter, one with protocols on fake transports."""
+"""Gateways for tests without sockets.
+
+`GatewayHarness` is a gateway policy with fake hosts, customers and counter. `InMemoryGateway` is a whole
+state machine with its protocols on fake transports. Times are in ms.
+"""
 
 from collections import Counter
 
@@ -36,24 +40,24 @@
 NON_IDEMPOTENT = RequestClass(
     "one-shot", Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, 0, 2000, 8000, 1, 0, False
 )
-PLAN = Plan("plan", 0.01, 20, 0, 1, 0, 0.5, 0, 0, 0)  # ten units a second, bursts of twenty
+PLAN = Plan("plan", 0.01, 20, 0, 1, 0, 0.5, 0, 0, 0)  # Ten units per second, bursts of twenty.
 CAPPED = Plan("capped", 0.01, 20, 0, 1, 0, 0.5, 0.02, 40, 4)
 FEW_IN_FLIGHT = Plan("few out", 0, 0, 4, 1, 0, 0.5, 0, 0, 0)
 
 
 class GatewayHarness:
-    """A gateway policy with an effect handler that records all effects. Times are in ms."""
+    """A gateway policy and its effect handler, which records all effects."""
 
     def __init__(
         self, hosts=3, number=0, gateways=2, copies=False, at=100000.0, request_classes=None, **listed
     ):
         self.attempts = []
         self.attempt_deadlines = []
-        self.rejected = []  # (request, retry after in ms)
+        self.rejected = []  # (request, retry after in ms).
         self.failed = []
         self.cancelled = []
         self.calls = []
-        self.timers = []  # (due time, reason)
+        self.timers = []  # (due time, reason).
         self.log_lines = []
         self.hosts = [Host() for _ in range(hosts)]
         settings = GatewaySettings(
@@ -108,11 +112,15 @@
             self.gateway.timer_fired(due[0][1])
         self.gateway.advance_clock(end)
 
-    def ask(self, request_class=READ, plan=PLAN, customer=None, units=1.0, subset_size=2, left=None):
-        """Submit a new request with `left` ms until its deadline, and return it."""
+    def send_request(
+        self, request_class=READ, plan=PLAN, customer=None, units=1.0, subset_size=2, time_left_ms=None
+    ):
+        """Submit a new request with `time_left_ms` until its deadline, and return it."""
         now = self.gateway.now
-        left = request_class.deadline_ms if left is None else left
-        request = Request(request_class, plan, customer or Customer(99), now, now + left, units, subset_size)
+        time_left_ms = request_class.deadline_ms if time_left_ms is None else time_left_ms
+        request = Request(
+            request_class, plan, customer or Customer(99), now, now + time_left_ms, units, subset_size
+        )
         self.gateway.handle_request(request)
         return request
 
@@ -123,14 +131,14 @@
 
     def admit(self, request_class=READ, **more):
         """Submit a new request that the counter admits, and return it."""
-        request = self.ask(request_class, **more)
+        request = self.send_request(request_class, **more)
         self.answer_call(total=1)
         return request
 
-    def finish(self, outcome, took=50.0, attempt=None):
-        """Finish the latest attempt, or the given one."""
+    def finish(self, outcome, duration_ms=50.0, attempt=None):
+        """Finish the latest attempt, or the given one, after `duration_ms`."""
         attempt = attempt or self.attempts[-1]
-        self.gateway.attempt_finished(attempt, outcome, took, outcome is Outcome.DONE, 0, 0)
+        self.gateway.attempt_finished(attempt, outcome, duration_ms, outcome is Outcome.DONE, 0, 0)
 
     # State of the gateway.
 
@@ -142,7 +150,8 @@
         return self.gateway.load_balancer.estimates.relative_work(self.gateway.now, request_class, 1)
 
 
-BORN = {
+# The platform's settings, as its file contains them.
+SETTINGS = {
     "Me": 0,
     "Balancers": 1,
     "Lanes": [
@@ -157,27 +166,36 @@
 }
 
 
-class Line:
-    """A fake transport, which records what is written to it and how it is closed."""
+class FakeTransport:
+    """A transport that records the bytes written to it and how it is closed.
 
-    def __init__(self, link, stuck=False):
-        self.link, self.stuck, self.written, self.closed, self.disconnecting = link, stuck, b"", "", False
-        link.transport, self.connected, self.unread = self, True, b""
+    With `write_blocked`, a producer can write only once and a closed write side is never reported.
+    """
+
+    def __init__(self, protocol, write_blocked=False):
+        self.protocol, self.write_blocked, self.written, self.closed, self.disconnecting = (
+            protocol,
+            write_blocked,
+            b"",
+            "",
+            False,
+        )
+        protocol.transport, self.connected, self.unread = self, True, b""
 
     def write(self, data):
         self.written += data
-        self.written_at = self.link.handle_input.__self__.now
+        self.written_at = self.protocol.handle_input.__self__.now
 
     def registerProducer(self, producer, streaming):
         if not streaming:
             producer.resumeProducing()
-            if not self.stuck:
+            if not self.write_blocked:
                 producer.resumeProducing()
 
     def loseWriteConnection(self):
         self.closed = self.closed or "closed"
-        if not self.stuck:
-            self.link.writeConnectionLost()
+        if not self.write_blocked:
+            self.protocol.writeConnectionLost()
 
     def loseConnection(self):
         self.closed = self.closed or "ended"
@@ -194,7 +212,7 @@
         return self
 
     def recv(self, _size, _flags):
-        """Return the first unread byte without reading it."""
+        """Return the first unread byte without consuming it."""
         if not self.unread:
             raise BlockingIOError
         return self.unread[:1]
@@ -202,102 +220,120 @@
     def shutdown(self, _how):
         raise OSError
 
-    def took(self):
-        """Return what was written since the last call."""
+    def take_written(self):
+        """Return the bytes written since the last call."""
         data, self.written = self.written, b""
         return data
 
 
-class Wired:
-    """A state machine with real protocols on fake transports, and itself its I/O, reactor and event log."""
+class InMemoryGateway:
+    """A state machine with protocols on fake transports; it is also their I/O, reactor and event log.
+
+    `pending_connects` lists the connection attempts that the test has not completed yet, in order, as
+    (protocol factory, record of the connection, input that reports its end).
+    """
 
     def __init__(self, hosts=2, memory_mb=192, sockets=64):
-        self.now, self.timers, self.dials, self.lines, self.counts = 100000.0, [], [], [], Counter()
-        self.left = self.shut_at = self.takes_in = None
+        self.now, self.timers, self.pending_connects, self.log_events, self.counts = (
+            100000.0,
+            [],
+            [],
+            [],
+            Counter(),
+        )
+        self.exited_at = self.listener_closed_at = self.accepting = None
         self.next_id = 0x0123456789ABCDEF
-        self.since = None  # earliest arrival of the next input, as the event loop reports it
+        self.earliest_arrival = None  # Earliest arrival time of the next input, as the event loop reports it.
         self.limits = Limits.from_platform_file(
-            {"limits": {"memory_mb": memory_mb, "sockets": sockets}, "settings": BORN}
+            {"limits": {"memory_mb": memory_mb, "sockets": sockets}, "settings": SETTINGS}
         )
         self.state_machine = GatewayStateMachine(
-            GatewayParameters(self.now, self.limits, BORN, 7, self.listing(1, hosts), self, self)
+            GatewayParameters(self.now, self.limits, SETTINGS, 7, self.endpoint_list(1, hosts), self, self)
         )
         self.handle_input(Input.START)
 
     @staticmethod
-    def listing(version, hosts, lifecycle="in_service", whole=True, **more):
+    def endpoint_list(version, hosts, lifecycle="in_service", whole=True, **more):
         entries = [
             {"instanceId": f"h{n}", "hostPort": f"127.0.0.1:{n}", "lifecycle": lifecycle, **more}
             for n in range(hosts)
         ]
         return parse_endpoint_list({"generation": version, "reset": whole, "instances": entries})
 
-    def handle_input(self, *happened):
-        for act, *what in self.state_machine.handle(self.now, *happened, earliest_arrival=self.since):
-            act(*what)
+    def handle_input(self, *arguments):
+        for act, *act_arguments in self.state_machine.handle(
+            self.now, *arguments, earliest_arrival=self.earliest_arrival
+        ):
+            act(*act_arguments)
 
     def event(self, event, **figures):
-        self.lines.append((event, figures))
+        self.log_events.append((event, figures))
 
     def start_timer(self, timer):
         self.timers.append(timer)
 
     def connect_host(self, connection, address):
-        self.dials.append((HostProtocol, connection, Input.HOST_DISCONNECTED))
+        self.pending_connects.append((HostProtocol, connection, Input.HOST_DISCONNECTED))
 
     def connect_counter(self, connection):
-        self.dials.append((CounterProtocol, connection, Input.COUNTER_DISCONNECTED))
+        self.pending_connects.append((CounterProtocol, connection, Input.COUNTER_DISCONNECTED))
 
     def connect_watch(self, watch):
-        def make(handle_input, limits):
+        def make_protocol(handle_input, limits):
             return DiscoveryWatchProtocol(handle_input, "d:1", limits)
 
-        self.dials.append((make, watch, Input.WATCH_DISCONNECTED))
+        self.pending_connects.append((make_protocol, watch, Input.WATCH_DISCONNECTED))
 
     def accept_connections(self, on):
-        self.takes_in = on
+        self.accepting = on
 
     def stop_listening(self):
-        self.shut_at = self.now
+        self.listener_closed_at = self.now
 
     def stop_process(self):
-        self.left = self.now
-
-    def comes_up(self, at=-1, stuck=False):
-        """Complete a connection attempt, and return its fake transport."""
-        make, record, _ = self.dials.pop(at)
-        link = make(self.handle_input, self.limits)
-        link.record = record
-        line = Line(link, stuck)
-        link.connectionMade()
-        return line
-
-    def fails(self, at=-1):
-        _, record, down = self.dials.pop(at)
-        self.handle_input(down, record)
-
-    def counter_up(self):
-        """Complete the watch on discovery and all connections to the counter, opened at the start."""
-        self.watch = self.comes_up(0)  # opened first
-        return [self.comes_up(0) for _ in range(self.limits.counter_links)]
+        self.exited_at = self.now
+
+    def connect_succeeds(self, index=-1, write_blocked=False):
+        """Complete a pending connection attempt, and return its fake transport."""
+        make_protocol, record, _ = self.pending_connects.pop(index)
+        protocol = make_protocol(self.handle_input, self.limits)
+        protocol.record = record
+        transport = FakeTransport(protocol, write_blocked)
+        protocol.connectionMade()
+        return transport
+
+    def connect_fails(self, index=-1):
+        """Fail a pending connection attempt."""
+        _, record, disconnected = self.pending_connects.pop(index)
+        self.handle_input(disconnected, record)
+
+    def open_initial_connections(self):
+        """Establish the watch and all counter connections of the start; return the counter's transports."""
+        self.watch = self.connect_succeeds(0)  # The gateway opens the watch first.
+        return [self.connect_succeeds(0) for _ in range(self.limits.counter_links)]
 
     def client(self):
-        link = ClientProtocol(self.handle_input, self.limits)
-        line = Line(link)
-        link.connectionMade()
-        return line
-
-    def ask(self, line, request_class="read", d=3000, more=b"", body=(), customer=0xA1):
+        """Connect a client, and return the transport of its connection."""
+        protocol = ClientProtocol(self.handle_input, self.limits)
+        transport = FakeTransport(protocol)
+        protocol.connectionMade()
+        return transport
+
+    def send_request(self, client, request_class="read", d=3000, more=b"", body=(), customer=0xA1):
+        """Deliver a request on the client's connection, with `d` ms left and a new id."""
         text = b"c=%b,t=p,d=%d,units=1,spread=1,first=0%b" % (request_class.encode(), d, more)
         name = b"API.READ" if request_class == "read" else b"API.WRITE"
-        line.link.dataReceived(
+        client.protocol.dataReceived(
             encode_command(name, b"%016x" % customer, b"%016x" % self.next_id, text, *body)
         )
         self.next_id += 1
 
     def pass_ms(self, ms):
+        """Advance the clock by `ms`, and fire the timers that expire meanwhile."""
         end = self.now + ms
-        while due := sorted((w for w in self.timers if w.due <= end and w.input), key=lambda w: w.due):
+        while due := sorted(
+            (timer for timer in self.timers if timer.due <= end and timer.input), key=lambda timer: timer.due
+        ):
             self.timers.remove(due[0])
             self.now = max(self.now, due[0].due)
             self.handle_input(due[0].input, *due[0].arguments)
--- a/tests/helpers/loopback.py
+++ b/tests/helpers/loopback.py
@@ -1,6 +1,6 @@
-"""A gateway on real loopback sockets whose event loop and clock advance only when the test says so.
+"""A gateway on real loopback sockets whose event loop and clock advance only in steps of the test.
 
-The sockets, the kernel's closes and resets, and the gateway's connections and event loop are real. Hosts,
+The sockets, the kernel's closes and resets, and the gateway's connections and event loop are real. The hosts,
 counter, discovery and clients are plain sockets that the test controls, so that the order of the test's steps
 forces each race. Times are in milliseconds.
 """
@@ -11,7 +11,7 @@
 import socket
 from collections import deque
 
-from fake_gateway import BORN
+from fake_gateway import SETTINGS
 
 from granitedock.gateway_process import build_gateway
 from granitedock.service.clock import Clock
@@ -20,9 +20,9 @@
 from granitedock.service.timer_queue import TimerQueue
 
 # Unique to this process, so that no outgoing connection of another process on 127.0.0.1 takes the port.
-OWN_ADDRESS = f"127.{100 + os.getpid() // 250 % 100}.{os.getpid() % 250}.1"
+GATEWAY_ADDRESS = f"127.{100 + os.getpid() // 250 % 100}.{os.getpid() % 250}.1"
 START_MS = 1_700_000_000_000.0
-WATCHED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+WATCH_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def chunk(text):
@@ -40,15 +40,18 @@
     """The test's end of a connection, read without blocking."""
 
     def __init__(self, sock):
-        self.sock, self.came, self.ended = sock, b"", ""
+        self.sock, self.unread, self.ended = sock, b"", ""
         sock.setblocking(False)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # no byte is delayed by Nagle's algorithm
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # Prevents delays by Nagle's algorithm.
 
-    def read(self, most=1 << 20):
-        """Return what arrived since the last call; `ended` becomes "closed" or "reset" when the peer ends."""
-        while not self.ended and most > 0:
+    def read(self, max_bytes=1 << 20):
+        """Return the bytes received since the last call.
+
+        `ended` becomes "closed" or "reset" when the other end closes or resets the connection.
+        """
+        while not self.ended and max_bytes > 0:
             try:
-                data = self.sock.recv(min(most, 65536))
+                data = self.sock.recv(min(max_bytes, 65536))
             except BlockingIOError:
                 break
             except ConnectionResetError:
@@ -57,12 +60,12 @@
             if not data:
                 self.ended = "closed"
                 break
-            self.came, most = self.came + data, most - len(data)
-        came, self.came = self.came, b""
-        return came
+            self.unread, max_bytes = self.unread + data, max_bytes - len(data)
+        data, self.unread = self.unread, b""
+        return data
 
-    def wait(self):
-        """Wait until there is something to read, as timers of the kernel may have to expire first."""
+    def wait_until_readable(self):
+        """Wait until the socket is readable: timers of the kernel may have to expire first."""
         assert select.select([self.sock], [], [], 10)[0]
 
     def send(self, data):
@@ -73,24 +76,27 @@
 
 
 class Server:
-    """A listening socket of the test, which accepts a connection when the test calls `take`."""
+    """A listening socket whose connections the test accepts one by one."""
 
     def __init__(self, backlog=64):
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=backlog)
         self.sock.setblocking(False)
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
 
-    def take(self):
+    def accept(self):
+        """Return the oldest connection that is not accepted yet, or None."""
         try:
             return Peer(self.sock.accept()[0])
         except BlockingIOError:
             return None
 
 
-class Live:
-    """A gateway with `hosts` hosts. The counter answers at once unless `counts` is off.
+class LoopbackGateway:
+    """A gateway with `hosts` hosts; the counter answers at once unless `counter_answers` is False.
 
-    `configuration`: an operators' file of the configuration service.
+    `listed` is whether discovery sends its first list at the start, `known` whether the platform file
+    contains an endpoint list, and `configuration` an operators' file of the configuration service.
+    `exit_times_ms` lists the times at which the gateway ended the process.
     """
 
     def __init__(
@@ -104,52 +110,52 @@
         configuration=None,
         **settings,
     ):
-        self.t, self.next_id, self.version = START_MS, 1, 1
-        clock = Clock(lambda: self.t / 1000.0, lambda: self.t / 1000.0)
-        self.reactor = GatewayReactor(TimerQueue(clock), self.t)
+        self.now_ms, self.next_id, self.version = START_MS, 1, 1
+        clock = Clock(lambda: self.now_ms / 1000.0, lambda: self.now_ms / 1000.0)
+        self.reactor = GatewayReactor(TimerQueue(clock), self.now_ms)
         # The reactor's own timers, above all connect timeouts, use the test's clock as well. In real time a
-        # timeout expired between two steps on a busy machine, and there is no reconnect while the test's
-        # clock stands still.
-        self.reactor.seconds = lambda: self.t / 1000.0
+        # timeout expired between two steps on a busy machine, and no connection was retried because the
+        # test's clock had not advanced.
+        self.reactor.seconds = lambda: self.now_ms / 1000.0
         self.hosts = [Server() for _ in range(hosts)]
         self.counter, self.discovery = Server(), Server()
-        self.counter_peers, self.watches, self.counts, self.held = [], [], True, deque()
-        self.host_peers = []  # referenced here, as a socket without a reference closes
-        with socket.create_server((OWN_ADDRESS, 0)) as free:
-            self.listen = free.getsockname()
-        born = BORN | {"Lanes": lanes or BORN["Lanes"]} | settings
-        told = {
+        self.counter_peers, self.watches, self.counter_answers, self.delayed_connects = [], [], True, deque()
+        self.host_peers = []  # Keeps a reference to each peer: a socket without one is closed.
+        with socket.create_server((GATEWAY_ADDRESS, 0)) as unused:
+            self.listen = unused.getsockname()
+        platform_settings = SETTINGS | {"Lanes": lanes or SETTINGS["Lanes"]} | settings
+        platform_file = {
             "name": "g0",
-            "listen": f"{OWN_ADDRESS}:{self.listen[1]}",
+            "listen": f"{GATEWAY_ADDRESS}:{self.listen[1]}",
             "discovery": self.discovery.address,
             "counter": self.counter.address,
             "seed": "07",
             "limits": {"sockets": sockets},
-            "settings": born,
-            "known": self.listing() if known else None,
+            "settings": platform_settings,
+            "known": self.endpoint_list() if known else None,
         }
         path = tmp_path / "told.json"
-        path.write_text(json.dumps(told))
+        path.write_text(json.dumps(platform_file))
         gateway = build_gateway(str(path), self.reactor, configuration_file=configuration)
         self.service, self.configuration = gateway.service, gateway.configuration
         self.state_machine, self.limits = self.service.state_machine, self.service.limits
         self.log = self.service.log
-        self.log.event = lambda event, **figures: self.events.append((event, figures))
-        self.events, self.left = [], []
-        self.reactor.callLater = self.later
+        self.log.event = lambda event, **figures: self.log_events.append((event, figures))
+        self.log_events, self.exit_times_ms = [], []
+        self.reactor.callLater = self.call_later
         self.service.start()
-        self.turn()
+        self.run_loop()
         if listed:
-            self.lists()
+            self.send_list()
 
-    def later(self, delay, act, *args, **named):
+    def call_later(self, delay, act, *args, **named):
         """Record the exit of the process instead of scheduling it; all other calls go to Twisted."""
         if act == self.reactor.stop:
-            self.left.append(self.t)
+            self.exit_times_ms.append(self.now_ms)
             return None
         return type(self.reactor).callLater(self.reactor, delay, act, *args, **named)
 
-    def listing(self, lifecycle="in_service", **more):
+    def endpoint_list(self, lifecycle="in_service", **more):
         self.version += 1
         entries = [
             {"instanceId": f"h{n}", "hostPort": host.address, "lifecycle": lifecycle, **more}
@@ -157,92 +163,96 @@
         ]
         return {"generation": self.version, "reset": True, "instances": entries}
 
-    def turn(self, turns=6):
-        """Run iterations of the event loop, with the counter's answers between them."""
-        for _ in range(turns):
+    def run_loop(self, iterations=6):
+        """Run iterations of the event loop; the counter answers after each of them."""
+        for _ in range(iterations):
             self.reactor.iterate(0)
-            while peer := self.counter.take():
+            while peer := self.counter.accept():
                 self.counter_peers.append(peer)
-            for peer in self.counter_peers if self.counts else ():
+            for peer in self.counter_peers if self.counter_answers else ():
                 calls = peer.read().count(b"TALLY")
                 if calls:
                     peer.send(calls * b"$1\r\n1\r\n")
 
     def pass_ms(self, ms, step=20.0):
-        end = self.t + ms
-        while self.t < end:
-            self.t = min(end, self.t + step)
-            self.turn(2)
-        self.turn()
-
-    def watch(self):
-        """Return the newest watch, with its request read."""
-        while peer := self.discovery.take():
+        """Advance the clock by `ms` in steps of `step` ms, with iterations of the event loop after each."""
+        end = self.now_ms + ms
+        while self.now_ms < end:
+            self.now_ms = min(end, self.now_ms + step)
+            self.run_loop(2)
+        self.run_loop()
+
+    def newest_watch(self):
+        """Return the newest watch connection, after reading its request."""
+        while peer := self.discovery.accept():
             self.watches.append(peer)
         self.watches[-1].read()
         return self.watches[-1]
 
     def next_watch(self, within_ms=6000.0):
         """Advance the clock until a new watch opens, and return it; earlier ones get no answer."""
-        end, seen = self.t + within_ms, self.watch()
-        while self.watch() is seen:
-            assert self.t < end
+        end, seen = self.now_ms + within_ms, self.newest_watch()
+        while self.newest_watch() is seen:
+            assert self.now_ms < end
             self.pass_ms(20)
         return self.watches[-1]
 
-    def lists(self, **more):
-        watch = self.watch()
-        head = b"" if getattr(watch, "headed", False) else WATCHED
+    def send_list(self, **more):
+        """Send a full endpoint list on the newest watch."""
+        watch = self.newest_watch()
+        head = b"" if getattr(watch, "headed", False) else WATCH_RESPONSE_HEAD
         watch.headed = True
-        watch.send(head + chunk(json.dumps(self.listing(**more)).encode() + b"\n"))
-        self.turn()
+        watch.send(head + chunk(json.dumps(self.endpoint_list(**more)).encode() + b"\n"))
+        self.run_loop()
 
-    def client(self, narrow=0):
-        """Connect a client. `narrow`: the size of the socket buffers on each side, in bytes, unless 0."""
+    def client(self, buffer_bytes=0):
+        """Connect a client; `buffer_bytes`, unless 0, sets the size of the socket buffers on both sides."""
         sock = socket.socket()
-        if narrow:
-            self.service.effects.port.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, narrow)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, narrow)
+        if buffer_bytes:
+            self.service.effects.port.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, buffer_bytes)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer_bytes)
         sock.connect(self.listen)
-        self.turn()
+        self.run_loop()
         return Peer(sock)
 
     def request(self, name="read", d=3000, more=b"", body=()):
+        """Return the encoded command of a request of the class `name`, with `d` ms left and a new id."""
         text = b"c=%b,t=p,d=%d,units=1,spread=1,first=0%b" % (name.encode(), d, more)
-        word = b"API.READ" if name == "read" else b"API.WRITE"
+        command = b"API.READ" if name == "read" else b"API.WRITE"
         self.next_id += 1
-        return encode_command(word, b"00000000000000a1", b"%016x" % self.next_id, text, *body)
+        return encode_command(command, b"00000000000000a1", b"%016x" % self.next_id, text, *body)
 
-    def at_host(self, number=0):
-        """Return the oldest connection to this host that is not accepted yet, or None."""
+    def accept_at_host(self, number=0):
+        """Accept the oldest pending connection to this host, and return it, or None if there is none."""
         for _ in range(3):
-            self.turn()
-            if (peer := self.hosts[number].take()) is not None:
+            self.run_loop()
+            if (peer := self.hosts[number].accept()) is not None:
                 self.host_peers.append(peer)
                 return peer
         return None
 
-    def answered(self, host, client):
+    def answer_from_host(self, host, client):
         """Answer a request from the host, and check that the client receives this answer and nothing else."""
         host.send(VALUE)
-        self.turn()
+        self.run_loop()
         assert client.read() == VALUE
 
-    def hold_dials(self):
-        """Delay all further connections to hosts until `release` is called, as on a slow network."""
+    def delay_connects(self):
+        """Delay all further connections to hosts until `release_connects` is called, as on a slow network."""
         hosts = self.service.effects.hosts
-        dial = type(hosts).connect
-        hosts.connect = lambda lane, address: self.held.append((lane, address))
-        self.release = lambda: (
-            [dial(hosts, *self.held.popleft()) for _ in range(len(self.held))] and self.turn()
+        connect = type(hosts).connect
+        hosts.connect = lambda connection, address: self.delayed_connects.append((connection, address))
+        self.release_connects = lambda: (
+            [connect(hosts, *self.delayed_connects.popleft()) for _ in range(len(self.delayed_connects))]
+            and self.run_loop()
         )
 
     def close(self):
-        for link in [*self.reactor.getReaders(), *self.reactor.getWriters()]:
-            self.reactor.removeReader(link)
-            self.reactor.removeWriter(link)
-            if hasattr(link, "socket"):
-                link.socket.close()
+        for reader_or_writer in [*self.reactor.getReaders(), *self.reactor.getWriters()]:
+            self.reactor.removeReader(reader_or_writer)
+            self.reactor.removeWriter(reader_or_writer)
+            if hasattr(reader_or_writer, "socket"):
+                reader_or_writer.socket.close()
         for server in [*self.hosts, self.counter, self.discovery]:
             server.sock.close()
         for peer in [*self.counter_peers, *self.watches, *self.host_peers]:
--- a/tests/policy/test_request_decisions.py
+++ b/tests/policy/test_request_decisions.py
@@ -29,7 +29,7 @@
 
 def test_a_request_over_quota_is_rejected_at_once_and_refunded_only_once():
     harness = GatewayHarness()
-    harness.ask(units=2)
+    harness.send_request(units=2)
     harness.answer_call(total=500)
     assert len(harness.rejected) == 1 and harness.rejected[0][1] > 0
     assert [call.amount for call in harness.calls] == [2, -2]
@@ -41,18 +41,18 @@
 def test_a_refund_is_a_call_of_its_own_only_while_the_counter_has_spare_capacity():
     """While it is overloaded the refund goes with the next increment, and stays due if that fails."""
     harness, customer = GatewayHarness(), Customer(5)
-    harness.ask(customer=customer, units=2)
+    harness.send_request(customer=customer, units=2)
     harness.answer_call(total=500)
     assert [call.amount for call in harness.calls] == [2, -2]
-    harness.ask(customer=Customer(6))
+    harness.send_request(customer=Customer(6))
     harness.answer_call(Outcome.OVERLOADED)
     harness.pass_ms(3000)  # The burst usage of the first customer is not refilled yet.
     other = Customer(7)
-    harness.ask(customer=other, units=2)
+    harness.send_request(customer=other, units=2)
     harness.answer_call(total=22.8)
     assert len(harness.rejected) == 2 and other.account.refund_due == 2
     harness.pass_ms(600)
-    harness.ask(customer=other, units=1)
+    harness.send_request(customer=other, units=1)
     assert harness.calls[-1].amount == -1
     harness.answer_call(Outcome.OVERLOADED)
     assert other.account.refund_due == 2  # The increment is proved not added, so the refund is still due.
@@ -61,18 +61,18 @@
 def test_an_overloaded_counter_gets_no_calls_that_cannot_change_the_decision():
     """Calls for customers whose burst is used up add load to the counter and end in a rejection anyway."""
     harness, customer = GatewayHarness(), Customer(5)
-    harness.ask(customer=Customer(6))
+    harness.send_request(customer=Customer(6))
     harness.answer_call(Outcome.OVERLOADED)
-    harness.ask(customer=customer, units=2)
+    harness.send_request(customer=customer, units=2)
     harness.answer_call(total=500)
-    harness.ask(customer=customer, units=3)
+    harness.send_request(customer=customer, units=3)
     assert len(harness.calls) == 2 and len(harness.rejected) == 2
 
 
 def test_burst_usage_is_limited_by_the_burst_even_if_the_window_has_room():
     harness, customer = GatewayHarness(hosts=6), Customer(5)
     for total in range(5, 45, 5):
-        harness.ask(customer=customer, units=5)
+        harness.send_request(customer=customer, units=5)
         harness.answer_call(total=min(total, 25))
     assert len(harness.attempts) == 4  # The burst is 20 units.
     assert harness.rejected
@@ -81,23 +81,23 @@
 def test_counter_names_are_equal_at_every_gateway_and_differ_between_windows():
     """Otherwise the usage of the gateways is not added up, or a window includes the one before it."""
     first, second = GatewayHarness(number=0), GatewayHarness(number=1)
-    first.ask(customer=Customer(42))
-    second.ask(customer=Customer(42))
+    first.send_request(customer=Customer(42))
+    second.send_request(customer=Customer(42))
     assert first.calls[0].name == second.calls[0].name
     first.pass_ms(30000)
-    first.ask(customer=Customer(42))
+    first.send_request(customer=Customer(42))
     assert first.calls[-1].name != first.calls[0].name
     assert 0 <= first.calls[-1].name < 2**63 and first.calls[0].ttl_ms <= 60000
 
 
 def test_a_late_total_keeps_the_units_of_a_sent_request_and_refunds_a_rejected_one():
     harness, customer = GatewayHarness(), Customer(5)
-    admitted = harness.ask(customer=customer, units=5)
+    admitted = harness.send_request(customer=customer, units=5)
     harness.pass_ms(25)  # The call exceeds its budget, and the local fallback admits the request.
     assert [attempt.request for attempt in harness.attempts] == [admitted]
     harness.answer_call(total=5)
     assert len(harness.calls) == 1
-    over_quota = harness.ask(customer=customer, units=8)
+    over_quota = harness.send_request(customer=customer, units=8)
     harness.pass_ms(40)  # The budget has grown with the measured call time.
     assert [request for request, _ in harness.rejected] == [over_quota]
     harness.answer_call(total=13)
@@ -112,7 +112,7 @@
     harness = GatewayHarness(hosts=12)
     for call_ms, max_late in (15, 0), (30, 0), (60, 0), (150, 0), (240, 0), (260, 10), (260, 10):
         for _ in range(10):
-            request = harness.ask(customer=Customer(len(harness.calls)))
+            request = harness.send_request(customer=Customer(len(harness.calls)))
             harness.pass_ms(call_ms)
             harness.answer_call()
             assert len(request.attempts) == 1
@@ -125,17 +125,17 @@
 def test_failures_reduce_the_counted_share_and_five_in_a_row_open_the_breaker():
     harness = GatewayHarness(hosts=12)
     for _ in range(20):
-        harness.ask(customer=Customer(5))
+        harness.send_request(customer=Customer(5))
         if not harness.calls[-1].answered:
             harness.answer_call(Outcome.CONNECTION_FAILED)
     assert len(harness.calls) == 5  # The local fallback decides the rest, at last with the breaker open.
     harness.pass_ms(1500)
-    harness.ask(customer=Customer(7))
-    harness.ask(customer=Customer(8))
+    harness.send_request(customer=Customer(7))
+    harness.send_request(customer=Customer(8))
     assert len(harness.calls) == 6  # The half-open breaker allows one trial.
     harness.answer_call()
     for step in range(20):
-        harness.ask(customer=Customer(20 + step))
+        harness.send_request(customer=Customer(20 + step))
         if not harness.calls[-1].answered:
             harness.answer_call()
     assert 8 < len(harness.calls) < 20  # Successes increase the counted share.
@@ -146,7 +146,7 @@
     """Resets come from the network; if they reduced the counted share, fewer requests would be counted."""
     harness = GatewayHarness(hosts=12)
     for step in range(40):
-        request = harness.ask(customer=Customer(step))
+        request = harness.send_request(customer=Customer(step))
         harness.answer_call(Outcome.RESET if step % 2 else Outcome.DONE)
         assert len(request.attempts) == 1
         harness.finish(Outcome.DONE)
@@ -156,7 +156,7 @@
 def test_the_local_fallback_admits_an_even_share_of_the_burst():
     harness, customer = GatewayHarness(), Customer(5)
     for _ in range(30):
-        harness.ask(customer=customer, units=2, subset_size=4)
+        harness.send_request(customer=customer, units=2, subset_size=4)
         harness.answer_call(Outcome.OVERLOADED)
         if harness.attempts and harness.attempts[-1].outcome is None:
             harness.finish(Outcome.DONE)
@@ -176,7 +176,7 @@
     def admits(harness, customer, seconds, plan):
         before = len(harness.attempts)
         for _ in range(seconds * 40):
-            harness.ask(customer=customer, plan=plan, subset_size=4)
+            harness.send_request(customer=customer, plan=plan, subset_size=4)
             harness.pass_ms(25)
             if harness.attempts and harness.attempts[-1].outcome is None:
                 harness.finish(Outcome.DONE)
@@ -200,7 +200,7 @@
         for number in range(2):
             harness, customer = GatewayHarness(number=number), Customer(5)
             for _ in range(20):
-                harness.ask(plan=CAPPED, customer=customer, units=1)
+                harness.send_request(plan=CAPPED, customer=customer, units=1)
                 harness.pass_ms(25)
             used += len(harness.attempts)
     assert used <= 40 + 4 + 2 * 20 * 25 * 0.02
@@ -213,7 +213,7 @@
         harness, customer = GatewayHarness(gateways=2), Customer(5)
         harness.pass_ms(process_age_ms)
         for _ in range(30):
-            harness.ask(plan=CAPPED, customer=customer, units=1)
+            harness.send_request(plan=CAPPED, customer=customer, units=1)
             harness.answer_call(total=1)
             if harness.attempts and harness.attempts[-1].outcome is None:
                 harness.finish(Outcome.DONE)
@@ -225,7 +225,7 @@
             harness, customer = GatewayHarness(number=number), Customer(5)
             harness.pass_ms(2000)
             for _ in range(80):
-                harness.ask(plan=CAPPED, customer=customer, units=1)
+                harness.send_request(plan=CAPPED, customer=customer, units=1)
                 harness.pass_ms(25)
             used += len(harness.attempts)
     assert used <= 40 + 4 + 3 * 4000 * 0.02
@@ -234,10 +234,10 @@
 def test_a_plan_limits_requests_in_flight():
     harness, customer = GatewayHarness(), Customer(5)
     for _ in range(4):
-        harness.ask(plan=FEW_IN_FLIGHT, customer=customer)
+        harness.send_request(plan=FEW_IN_FLIGHT, customer=customer)
     assert len(harness.attempts) == 2 and len(harness.rejected) == 2
     harness.finish(Outcome.DONE)
-    harness.ask(plan=FEW_IN_FLIGHT, customer=customer)
+    harness.send_request(plan=FEW_IN_FLIGHT, customer=customer)
     assert len(harness.attempts) == 3
 
 
@@ -291,7 +291,7 @@
 
 def test_a_time_out_at_the_deadline_gives_one_final_answer_and_no_retry():
     harness = GatewayHarness()
-    request = harness.admit(left=900)
+    request = harness.admit(time_left_ms=900)
     harness.gateway.advance_clock(harness.gateway.now + 900)
     harness.finish(Outcome.TIMEOUT, 900)
     assert [rejected for rejected, _ in harness.rejected] == [request] and len(harness.attempts) == 1
@@ -301,7 +301,7 @@
 
 def test_a_client_that_disconnects_during_the_counter_call_gets_no_answer_but_a_refund():
     harness = GatewayHarness()
-    request = harness.ask(units=3)
+    request = harness.send_request(units=3)
     harness.gateway.client_disconnected(request)
     harness.answer_call(total=3)
     harness.pass_ms(200)
@@ -415,7 +415,7 @@
 
 def test_a_restarted_gateway_uses_totals_that_include_other_gateways():
     harness = GatewayHarness(at=100000.0)
-    harness.ask(plan=PLAN, units=1)
+    harness.send_request(plan=PLAN, units=1)
     harness.answer_call(total=500)
     assert not harness.attempts and len(harness.rejected) == 1
 
@@ -471,7 +471,7 @@
     harness.finish(Outcome.TIMEOUT, 2000)
     assert len(harness.failed) == 1
     for step in range(1500):  # Holds for any random draw.
-        harness.ask(customer=Customer(step), left=0.0)
+        harness.send_request(customer=Customer(step), time_left_ms=0.0)
         harness.answer_call(total=1)
     assert len(harness.attempts) == 3 and len(harness.rejected) == 1500
 
@@ -479,24 +479,26 @@
 def test_late_retries_past_their_objective_are_not_counted_while_the_counter_is_overloaded():
     harness = GatewayHarness(hosts=6)
     for step in range(4):
-        harness.admit(customer=Customer(step), left=3000)
-    harness.admit(customer=Customer(8), left=1900)  # The counter has spare capacity: counted like any other.
+        harness.admit(customer=Customer(step), time_left_ms=3000)
+    harness.admit(
+        customer=Customer(8), time_left_ms=1900
+    )  # The counter has spare capacity: counted like any other.
     assert len(harness.calls) == 5
-    harness.ask(customer=Customer(9), left=3000)
+    harness.send_request(customer=Customer(9), time_left_ms=3000)
     harness.answer_call(Outcome.OVERLOADED)
-    harness.ask(customer=Customer(10), left=1900)
+    harness.send_request(customer=Customer(10), time_left_ms=1900)
     assert len(harness.calls) == 6 and len(harness.rejected) == 1
-    harness.ask(customer=Customer(11), left=3000)
+    harness.send_request(customer=Customer(11), time_left_ms=3000)
     assert len(harness.calls) == 7
 
 
 def test_a_local_share_smaller_than_a_request_admits_one_and_goes_into_debt():
     """A share that must hold a whole request first would never admit one."""
     harness, customer = GatewayHarness(hosts=9), Customer(5)
-    harness.ask(customer=customer, units=3, subset_size=100)
+    harness.send_request(customer=customer, units=3, subset_size=100)
     harness.answer_call(total=8)  # A part of the burst is used.
     for _ in range(3):
-        harness.ask(customer=customer, units=3, subset_size=100)
+        harness.send_request(customer=customer, units=3, subset_size=100)
         if not harness.calls[-1].answered:
             harness.answer_call(Outcome.OVERLOADED)
     assert len(harness.attempts) == 2 and len(harness.rejected) == 2
@@ -541,7 +543,7 @@
     """Lost answers, a counter that is down and draining hosts at once must not cause a second answer."""
     harness = GatewayHarness(hosts=6)
     for step in range(30):
-        request = harness.ask(KEYED, customer=Customer(step), subset_size=1)
+        request = harness.send_request(KEYED, customer=Customer(step), subset_size=1)
         if not harness.calls[-1].answered:
             harness.answer_call(Outcome.CONNECTION_FAILED)
         if step == 10:
@@ -596,13 +598,13 @@
         harness = GatewayHarness(hosts=12, request_classes=(request_class,))
         harness.pass_ms(0)
         for step in range(20):
-            harness.ask(request_class, customer=Customer(step))
+            harness.send_request(request_class, customer=Customer(step))
             if not harness.calls[-1].answered:
                 harness.answer_call(Outcome.CONNECTION_FAILED)
         assert len(harness.calls) == 5 and harness.gateway.breaker.state is BreakerState.OPEN
         harness.pass_ms(wait_ms - 10)
-        harness.ask(request_class)
+        harness.send_request(request_class)
         assert len(harness.calls) == 5  # The quarantine is not over yet.
         harness.pass_ms(10)
-        harness.ask(request_class)
+        harness.send_request(request_class)
         assert len(harness.calls) == 6
--- a/tests/service/test_platform_file.py
+++ b/tests/service/test_platform_file.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 
 import pytest
-from fake_gateway import BORN
-from loopback import VALUE, Live
+from fake_gateway import SETTINGS
+from loopback import VALUE, LoopbackGateway
 
 from granitedock import platform_settings
 from granitedock.platform_file import PlatformFileError, load, validation_errors
@@ -29,7 +29,7 @@
     "counter": "127.0.0.1:3",
     "seed": "07",
     "limits": {"sockets": 64},
-    "settings": BORN,
+    "settings": SETTINGS,
 }
 ABSENT = object()
 
@@ -135,7 +135,7 @@
 
 
 def test_a_file_that_is_rejected_on_sighup_changes_nothing(tmp_path):
-    gateway = Live(tmp_path)
+    gateway = LoopbackGateway(tmp_path)
     try:
         client, original = gateway.client(), (tmp_path / "told.json").read_text()
         moved = json.loads(original) | {
@@ -150,24 +150,26 @@
         ):
             (tmp_path / "told.json").write_text(text)
             gateway.service.reload()
-            gateway.turn()
-        reasons = [figures["why"] for event, figures in gateway.events if event == "platform file rejected"]
+            gateway.run_loop()
+        reasons = [
+            figures["why"] for event, figures in gateway.log_events if event == "platform file rejected"
+        ]
         assert (
             len(reasons) == 4
             and "counter: an address" in reasons[1]
             and gateway.log.counts["files_refused"] == 4
         )
-        assert gateway.hosts[0].take() is None and gateway.state_machine.watch.state is WatchState.OPEN
+        assert gateway.hosts[0].accept() is None and gateway.state_machine.watch.state is WatchState.OPEN
         client.send(gateway.request())
-        host = gateway.at_host()
+        host = gateway.accept_at_host()
         assert host.read()
         host.send(VALUE)
-        gateway.turn()
+        gateway.run_loop()
         assert client.read() == VALUE
         (tmp_path / "told.json").write_text(json.dumps(moved))
         gateway.service.reload()  # A valid file takes effect.
-        gateway.turn()
-        assert gateway.hosts[0].take() is not None
+        gateway.run_loop()
+        assert gateway.hosts[0].accept() is not None
     finally:
         gateway.close()
 
@@ -276,7 +278,7 @@
     )
     assert limits.open_ms < limits.leave_ms < limits.leave_most_ms < min(3000, longest_ms) + 700
     # The gateway serves a request of each class by the names of this deployment alone.
-    gateway = Live(
+    gateway = LoopbackGateway(
         tmp_path, **{key: contents["settings"][key] for key in ("Lanes", "Tariffs", "Allowed", "Specifics")}
     )
     try:
@@ -296,12 +298,12 @@
                 b"*4\r\n"
                 + b"".join(b"$%d\r\n%b\r\n" % (len(argument), argument.encode()) for argument in arguments)
             )
-            host = gateway.at_host()
+            host = gateway.accept_at_host()
             assert request_class.name.encode() in host.read()
             host.send(VALUE)
-            gateway.turn()
+            gateway.run_loop()
             host.close()
-            gateway.turn()
+            gateway.run_loop()
             assert client.read() == VALUE
     finally:
         gateway.close()
--- a/tests/service/test_process.py
+++ b/tests/service/test_process.py
@@ -13,7 +13,7 @@
 from socketserver import StreamRequestHandler, ThreadingTCPServer
 from threading import Thread
 
-from fake_gateway import BORN
+from fake_gateway import SETTINGS
 
 from granitedock.service.resp import encode_bulk_string, encode_command
 
@@ -63,7 +63,7 @@
         "discovery": start_server(lambda _: chunked),
         "counter": start_server(lambda _: encode_bulk_string(b"1")),
         "seed": "07",
-        "settings": BORN,
+        "settings": SETTINGS,
     }
     path = tmp_path / "told.json"
     path.write_text(json.dumps(platform_file))
--- a/tests/service/test_race_conditions.py
+++ b/tests/service/test_race_conditions.py
@@ -9,8 +9,8 @@
 import socket
 
 import pytest
-from fake_gateway import BORN
-from loopback import VALUE, WATCHED, Peer, Server, answer, chunk
+from fake_gateway import SETTINGS
+from loopback import VALUE, WATCH_RESPONSE_HEAD, Peer, Server, answer, chunk
 
 from granitedock.policy.states import HostState
 from granitedock.service.discovery_watch import WatchState
@@ -20,14 +20,14 @@
 
 PING = encode_command(b"PING")
 # Attempts stay in flight for as long as clients wait.
-LONG_TARGET_LANES = [lane | {"TargetMs": 4000} for lane in BORN["Lanes"]]
+LONG_TARGET_LANES = [lane | {"TargetMs": 4000} for lane in SETTINGS["Lanes"]]
 ERR = b"-ERR failed\r\n"
 
 
 def send_to_host(gateway, client, name="once", **more):
     """Send a request, check that the host receives it, and return the host's connection."""
     client.send(gateway.request(name, **more))
-    host = gateway.at_host()
+    host = gateway.accept_at_host()
     assert b"API." in host.read()
     return host
 
@@ -51,12 +51,13 @@
     gateway.pass_ms(gateway.limits.leave_ms + 20)
     assert client.read() == ERR and client.ended == "closed"
     client.send(gateway.request())  # crosses the gateway's close: it is neither accepted nor forwarded
-    gateway.turn()
-    assert gateway.state_machine.context.counts["taken"] == 1 and not gateway.left
+    gateway.run_loop()
+    assert gateway.state_machine.context.counts["taken"] == 1 and not gateway.exit_times_ms
     client.close()
-    gateway.turn()
+    gateway.run_loop()
     assert (
-        gateway.left and gateway.left[0] - gateway.t < gateway.limits.leave_most_ms - gateway.limits.leave_ms
+        gateway.exit_times_ms
+        and gateway.exit_times_ms[0] - gateway.now_ms < gateway.limits.leave_most_ms - gateway.limits.leave_ms
     )
 
 
@@ -66,10 +67,10 @@
     send_to_host(gateway, client, d=60000)
     gateway.service.shut_down()
     gateway.pass_ms(gateway.limits.leave_most_ms + 20)
-    assert client.read() == ERR and len(gateway.left) == 1
-    longest = min(3000.0, max(lane["GiveUpMs"] for lane in BORN["Lanes"]))
+    assert client.read() == ERR and len(gateway.exit_times_ms) == 1
+    longest = min(3000.0, max(lane["GiveUpMs"] for lane in SETTINGS["Lanes"]))
     # SIGKILL is sent no earlier than 700 ms after the longest wait for a request.
-    assert gateway.left[0] <= gateway.t and gateway.limits.leave_most_ms < longest + 700
+    assert gateway.exit_times_ms[0] <= gateway.now_ms and gateway.limits.leave_most_ms < longest + 700
 
 
 def test_requests_pipelined_behind_a_pending_one_during_shutdown_are_rejected_and_not_forwarded(live):
@@ -78,10 +79,10 @@
     host = send_to_host(gateway, client)
     close_listener(gateway)
     client.send(gateway.request() + gateway.request("once"))
-    gateway.turn()
-    assert gateway.at_host() is None and host.read() == b""
+    gateway.run_loop()
+    assert gateway.accept_at_host() is None and host.read() == b""
     host.send(VALUE)
-    gateway.turn()
+    gateway.run_loop()
     replies = client.read()
     assert replies.startswith(VALUE + b"-BUSY") and replies.count(b"-BUSY") == 2 and client.ended == "closed"
 
@@ -90,16 +91,16 @@
     gateway = live()
     client = gateway.client()
     client.send(gateway.request())
-    host = gateway.at_host()
+    host = gateway.accept_at_host()
     host.read()
-    gateway.answered(host, client)
+    gateway.answer_from_host(host, client)
     gateway.service.shut_down()
     gateway.pass_ms(gateway.limits.open_ms - 30)
     client.send(gateway.request())  # is unread when the timer that closes the listener expires
-    gateway.t += 40
+    gateway.now_ms += 40
     gateway.reactor.runUntilCurrent()
     assert gateway.state_machine.state is LifecycleState.CLOSING
-    gateway.turn()
+    gateway.run_loop()
     assert client.read().startswith(b"-BUSY") and client.ended == "closed"
 
 
@@ -111,9 +112,9 @@
     clients = [Peer(socket.create_connection(gateway.listen)) for _ in range(20)]
     for client in clients:
         client.send(gateway.request())
-    gateway.t += 40
+    gateway.now_ms += 40
     gateway.reactor.runUntilCurrent()
-    gateway.turn()
+    gateway.run_loop()
     for client in clients:
         assert client.read().startswith(b"-BUSY") and client.ended == "closed"
     with pytest.raises(ConnectionRefusedError):
@@ -126,10 +127,10 @@
     request = gateway.request()
     for sender in client, other:
         sender.send(request[:30])
-    gateway.turn()
+    gateway.run_loop()
     close_listener(gateway)
     client.send(request[30:])
-    gateway.turn()
+    gateway.run_loop()
     assert client.read().startswith(b"-BUSY") and client.ended == "closed"
     gateway.pass_ms(400)
     assert other.read() == b"" and other.ended == "closed"
@@ -141,34 +142,34 @@
     gateway = live(listed=False)
     client, other = gateway.client(), gateway.client()
     client.send(PING + gateway.request())
-    gateway.turn()
+    gateway.run_loop()
     assert client.read() == b"" and gateway.state_machine.state is LifecycleState.STARTING
     gateway.service.shut_down()
-    gateway.turn()
+    gateway.run_loop()
     assert gateway.state_machine.state is LifecycleState.DRAINING
     replies = client.read()
     assert replies.startswith(b"-ERR closing\r\n-BUSY") and replies.count(b"\r\n") == 2
     other.send(gateway.request("once"))
-    gateway.turn()
-    assert other.read().startswith(b"-BUSY") and gateway.at_host() is None
-    gateway.lists()  # the current list arrives in time for further requests
+    gateway.run_loop()
+    assert other.read().startswith(b"-BUSY") and gateway.accept_at_host() is None
+    gateway.send_list()  # the current list arrives in time for further requests
     other.send(gateway.request("once"))
-    host = gateway.at_host()
+    host = gateway.accept_at_host()
     assert host.read()
-    gateway.answered(host, other)
+    gateway.answer_from_host(host, other)
 
 
 def test_the_listener_closes_in_the_iteration_that_accepts_the_last_connection_of_the_backlog(live):
     gateway = live()
     gateway.service.shut_down()
     gateway.pass_ms(gateway.limits.open_ms - 30)
-    gateway.t += 40
+    gateway.now_ms += 40
     gateway.reactor.runUntilCurrent()
     assert gateway.state_machine.state is LifecycleState.CLOSING
     with pytest.raises(ConnectionRefusedError):  # before the next iteration: none is accepted and then reset
         socket.create_connection(gateway.listen)
-    gateway.turn()
-    assert gateway.left or gateway.state_machine.clients.connections == {}
+    gateway.run_loop()
+    assert gateway.exit_times_ms or gateway.state_machine.clients.connections == {}
 
 
 def test_signals_received_before_the_event_loop_runs_take_effect_once_it_does(live, tmp_path):
@@ -180,9 +181,9 @@
         platform_file = json.loads((tmp_path / "told.json").read_text()) | {"discovery": other_discovery}
         (tmp_path / "told.json").write_text(json.dumps(platform_file))
         gateway.service.install_signal_handlers([signal.SIGHUP, signal.SIGTERM])
-        gateway.turn()
+        gateway.run_loop()
         assert (
-            gateway.at_host().read().startswith(b"GET ")
+            gateway.accept_at_host().read().startswith(b"GET ")
             and gateway.state_machine.state is LifecycleState.DRAINING
         )
     finally:
@@ -200,27 +201,27 @@
     (tmp_path / "told.json").write_text(json.dumps(platform_file))
     gateway.service.reload()
     gateway.service.shut_down()  # a second time; the deadlines count from the first
-    gateway.turn()
-    assert other_discovery.take().read().startswith(b"GET ")
+    gateway.run_loop()
+    assert other_discovery.accept().read().startswith(b"GET ")
     gateway.pass_ms(gateway.limits.open_ms - 300 + 1)
     assert gateway.state_machine.state is LifecycleState.CLOSING
     host.send(VALUE)
-    gateway.turn()
+    gateway.run_loop()
     assert client.read() == VALUE and client.ended == "closed"
 
 
 def test_failing_a_request_at_the_shutdown_deadline_cancels_an_attempt_that_is_still_connecting(live):
     gateway = live(lanes=LONG_TARGET_LANES)
-    gateway.hold_dials()
+    gateway.delay_connects()
     client = gateway.client()
     client.send(gateway.request("once", d=60000))
-    gateway.turn()
-    assert gateway.held
+    gateway.run_loop()
+    assert gateway.delayed_connects
     gateway.service.shut_down()
     gateway.pass_ms(gateway.limits.leave_ms + 1)
     assert client.read() == ERR
-    gateway.release()
-    host = gateway.at_host()
+    gateway.release_connects()
+    host = gateway.accept_at_host()
     assert host.read() == b"" and host.ended
 
 
@@ -229,14 +230,14 @@
 
 def test_no_attempt_starts_for_a_client_that_disconnects_while_the_host_connection_is_established(live):
     gateway = live()
-    gateway.hold_dials()
+    gateway.delay_connects()
     client = gateway.client()
     client.send(gateway.request("once"))
-    gateway.turn()
+    gateway.run_loop()
     client.close()
-    gateway.turn()
-    gateway.release()
-    host = gateway.at_host()
+    gateway.run_loop()
+    gateway.release_connects()
+    host = gateway.accept_at_host()
     assert host.read() == b"" and host.ended and gateway.state_machine.context.counts["unwanted"] == 1
     assert not gateway.state_machine.requests.in_flight and not gateway.state_machine.hosts.by_attempt
     assert all(
@@ -249,28 +250,28 @@
     gateway = live(hosts=2)
     client = gateway.client()
     client.send(gateway.request())
-    gateway.turn()
-    host = gateway.at_host(0) or gateway.at_host(1)
+    gateway.run_loop()
+    host = gateway.accept_at_host(0) or gateway.accept_at_host(1)
     assert host.read()
     client.close()
-    gateway.turn()
+    gateway.run_loop()
     host.close()
     gateway.pass_ms(400)
-    assert gateway.at_host(0) is None and gateway.at_host(1) is None
+    assert gateway.accept_at_host(0) is None and gateway.accept_at_host(1) is None
 
 
 def test_requests_that_wait_for_the_counter_are_not_forwarded_after_their_client_disconnects(live):
     gateway = live()
-    gateway.counts = False
+    gateway.counter_answers = False
     client = gateway.client()
     for _ in range(5):
         client.send(gateway.request())
-    gateway.turn()
+    gateway.run_loop()
     client.close()
-    gateway.turn()
-    gateway.counts = True
+    gateway.run_loop()
+    gateway.counter_answers = True
     gateway.pass_ms(400)
-    assert gateway.at_host() is None and gateway.state_machine.context.counts["client_gone"] == 5
+    assert gateway.accept_at_host() is None and gateway.state_machine.context.counts["client_gone"] == 5
 
 
 LARGE_ANSWER = answer(60000 * b"x")
@@ -282,22 +283,22 @@
     while not next(iter(gateway.state_machine.clients.connections)).write_paused:
         host = send_to_host(gateway, client, "read")
         host.send(LARGE_ANSWER)
-        gateway.turn()
+        gateway.run_loop()
         host.close()
-        gateway.turn()
+        gateway.run_loop()
         answer_count += 1
     return answer_count
 
 
 def test_the_close_by_a_client_that_reads_no_answers_is_detected(live):
     gateway = live()
-    client = gateway.client(narrow=16384)
+    client = gateway.client(buffer_bytes=16384)
     fill_write_buffer(gateway, client)
     client.send(gateway.request())  # is buffered, and not parsed
-    gateway.turn()
-    assert gateway.at_host() is None
+    gateway.run_loop()
+    assert gateway.accept_at_host() is None
     client.sock.shutdown(socket.SHUT_WR)
-    gateway.turn()
+    gateway.run_loop()
     assert (
         not gateway.state_machine.clients.connections
         and gateway.state_machine.requests.bytes_in_flight() == 0
@@ -306,16 +307,16 @@
 
 def test_a_slow_reader_whose_connection_is_closing_receives_its_whole_answers(live):
     gateway = live()
-    client = gateway.client(narrow=16384)
+    client = gateway.client(buffer_bytes=16384)
     answer_count = fill_write_buffer(gateway, client)
     close_listener(gateway)
-    start_ms, received = gateway.t, b""
+    start_ms, received = gateway.now_ms, b""
     while not client.ended:
-        client.wait()
+        client.wait_until_readable()
         received += client.read(4096)
         gateway.pass_ms(40)
     # Far longer than the time limit of a client that has read all answers and does not close.
-    assert gateway.t - start_ms > 2 * gateway.limits.close_ms
+    assert gateway.now_ms - start_ms > 2 * gateway.limits.close_ms
     assert received == answer_count * LARGE_ANSWER and client.ended == "closed"
 
 
@@ -324,37 +325,37 @@
 
 def test_nothing_is_sent_to_a_host_that_starts_to_drain_while_the_connection_is_established(live):
     gateway = live()
-    gateway.hold_dials()
+    gateway.delay_connects()
     client = gateway.client()
     client.send(gateway.request("once"))
-    gateway.turn()
-    gateway.lists(lifecycle="terminating")
-    gateway.release()
-    host = gateway.at_host()
+    gateway.run_loop()
+    gateway.send_list(lifecycle="terminating")
+    gateway.release_connects()
+    host = gateway.accept_at_host()
     assert host.read() == b"" and host.ended
     assert client.read().startswith(b"-BUSY")  # the request never ran, and there is no other host
 
 
 def test_a_keyed_request_is_not_retried_past_its_idempotency_window_on_a_slow_connection(live):
-    lanes = [lane | {"WindowMs": 300} if lane["Repeat"] == "keyed" else lane for lane in BORN["Lanes"]]
+    lanes = [lane | {"WindowMs": 300} if lane["Repeat"] == "keyed" else lane for lane in SETTINGS["Lanes"]]
     for late_ms, repeats in (200, True), (320, False):
         gateway = live(hosts=2, lanes=lanes)
         client = gateway.client()
         client.send(gateway.request("mark", more=b",k=5c"))
-        gateway.turn()
-        first = 0 if (host := gateway.at_host(0)) else 1
-        host = host or gateway.at_host(1)
+        gateway.run_loop()
+        first = 0 if (host := gateway.accept_at_host(0)) else 1
+        host = host or gateway.accept_at_host(1)
         assert host.read()
-        gateway.hold_dials()
+        gateway.delay_connects()
         host.close()  # the request may have run
-        gateway.turn()
-        assert gateway.held
-        gateway.t += late_ms
-        gateway.release()
-        second_host = gateway.at_host(1 - first)
+        gateway.run_loop()
+        assert gateway.delayed_connects
+        gateway.now_ms += late_ms
+        gateway.release_connects()
+        second_host = gateway.accept_at_host(1 - first)
         assert bool(second_host.read()) == repeats
         if repeats:
-            gateway.answered(second_host, client)
+            gateway.answer_from_host(second_host, client)
         else:
             assert client.read() in (ERR, b"-BUSY\r\n")
 
@@ -363,21 +364,21 @@
     gateway = live()
     client = gateway.client()
     client.send(gateway.request())
-    idle_connection = gateway.at_host()
+    idle_connection = gateway.accept_at_host()
     idle_connection.read()
-    gateway.answered(idle_connection, client)
-    gateway.t += 50
-    gateway.counts = False
+    gateway.answer_from_host(idle_connection, client)
+    gateway.now_ms += 50
+    gateway.counter_answers = False
     client.send(gateway.request("once"))
-    gateway.turn()  # the request waits for the counter
+    gateway.run_loop()  # the request waits for the counter
     for peer in gateway.counter_peers:
         if b"TALLY" in peer.read():
             peer.send(b"$1\r\n1\r\n")
     idle_connection.close()  # both are unread: the total, and the close of the idle connection
-    gateway.turn()
-    new_connection = gateway.at_host()
+    gateway.run_loop()
+    new_connection = gateway.accept_at_host()
     assert new_connection.read()
-    gateway.answered(new_connection, client)
+    gateway.answer_from_host(new_connection, client)
 
 
 # Long, slow and endless messages.
@@ -409,11 +410,11 @@
     client = gateway.client()
     host = send_to_host(gateway, client, d=3900)
     host.send(b"*3\r\n$60000\r\n")
-    start_ms = gateway.t
-    while gateway.state_machine.context.counts["forward_reset"] == 0 and gateway.t < start_ms + 3500:
+    start_ms = gateway.now_ms
+    while gateway.state_machine.context.counts["forward_reset"] == 0 and gateway.now_ms < start_ms + 3500:
         host.send(b"x")
         gateway.pass_ms(100)
-    assert client.read() == ERR and gateway.t - start_ms <= gateway.limits.answer_most_ms + 400
+    assert client.read() == ERR and gateway.now_ms - start_ms <= gateway.limits.answer_most_ms + 400
 
 
 def test_a_long_command_on_a_slow_connection_is_accepted_and_a_partial_one_times_out(live):
@@ -427,9 +428,9 @@
         client.send(request[at : at + piece])
         gateway.pass_ms(700)  # in total longer than the time-out of a stalled command
         endless.send(b"1")
-    assert gateway.state_machine.context.counts["taken"] == 1 and gateway.at_host().read()
+    assert gateway.state_machine.context.counts["taken"] == 1 and gateway.accept_at_host().read()
     assert stalled.read() == b"-ERR command not ended\r\n" and stalled.ended == "closed"
-    while endless.ended == "" and gateway.t < 1e13:
+    while endless.ended == "" and gateway.now_ms < 1e13:
         gateway.pass_ms(500)
         if endless.read().startswith(b"-ERR"):
             break
@@ -446,37 +447,37 @@
 
 def test_lists_may_arrive_indented_in_pieces_and_with_empty_lines_between(live):
     gateway = live(hosts=2, known=False, listed=False)
-    text = json.dumps(gateway.listing(), indent=2).encode() + b"\n"
-    watch = gateway.watch()
-    watch.send(WATCHED)
+    text = json.dumps(gateway.endpoint_list(), indent=2).encode() + b"\n"
+    watch = gateway.newest_watch()
+    watch.send(WATCH_RESPONSE_HEAD)
     for at in range(0, len(text), 37):
         watch.send(chunk(text[at : at + 37]))
-        gateway.turn(2)
+        gateway.run_loop(2)
     assert known_addresses(gateway) == sorted(host.address for host in gateway.hosts)
     gateway.version += 5
     second_list = (
-        json.dumps(gateway.listing(lifecycle="terminated"), indent="\t").replace("\n", "\r\n").encode()
+        json.dumps(gateway.endpoint_list(lifecycle="terminated"), indent="\t").replace("\n", "\r\n").encode()
     )
     watch.send(chunk(b"\n") + chunk(second_list + b"\r\n\n"))
-    gateway.turn()
+    gateway.run_loop()
     assert known_addresses(gateway) == [] and gateway.state_machine.watch.version == gateway.version
     assert gateway.state_machine.context.counts["watch_spoilt"] == 0
 
 
 def test_a_list_without_a_length_that_is_cut_off_by_a_reset_changes_nothing(live):
     gateway = live(hosts=2, known=False, listed=False)
-    text = json.dumps(gateway.listing(), indent=1).encode()
-    watch = gateway.watch()
+    text = json.dumps(gateway.endpoint_list(), indent=1).encode()
+    watch = gateway.newest_watch()
     watch.send(b"HTTP/1.1 200 OK\r\n\r\n" + text[:-40])
-    gateway.turn()
+    gateway.run_loop()
     watch.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     watch.close()
-    gateway.turn()
+    gateway.run_loop()
     assert known_addresses(gateway) == [] and gateway.state_machine.state is LifecycleState.STARTING
     gateway.pass_ms(150)
-    watch = gateway.watch()
+    watch = gateway.newest_watch()
     watch.send(b"HTTP/1.1 200 OK\r\n\r\n" + text + b"\n")  # complete this time
-    gateway.turn()
+    gateway.run_loop()
     assert len(known_addresses(gateway)) == 2 and gateway.state_machine.state is LifecycleState.SERVING
 
 
@@ -497,32 +498,32 @@
     gateway = live()
     client = gateway.client()
     gateway.service.handle_input(Input.ADDRESSES_CHANGED, False, True)
-    gateway.turn()
-    gateway.watch().send(response)
-    gateway.turn()
+    gateway.run_loop()
+    gateway.newest_watch().send(response)
+    gateway.run_loop()
     assert gateway.watches[-1].read() == b"" and gateway.watches[-1].ended
     assert gateway.state_machine.context.counts["watch_spoilt"] == 1
-    assert [figures["why"] for event, figures in gateway.events if event == "watch malformed"]
+    assert [figures["why"] for event, figures in gateway.log_events if event == "watch malformed"]
     host = send_to_host(gateway, client)  # the last list stays in use
-    gateway.answered(host, client)
+    gateway.answer_from_host(host, client)
     gateway.pass_ms(200)
-    assert gateway.watch() is gateway.watches[-1] and len(gateway.watches) == 3  # a new watch is open
+    assert gateway.newest_watch() is gateway.watches[-1] and len(gateway.watches) == 3  # a new watch is open
 
 
 def test_the_watch_of_a_list_that_never_ends_is_replaced(live):
     gateway = live(known=False, listed=False)
-    watch = gateway.watch()
-    watch.send(WATCHED + chunk(b'{"generation":9,"instances":[\n'))
-    start_ms = gateway.t
-    while len(gateway.watches) < 2 and gateway.t < start_ms + 6000:
+    watch = gateway.newest_watch()
+    watch.send(WATCH_RESPONSE_HEAD + chunk(b'{"generation":9,"instances":[\n'))
+    start_ms = gateway.now_ms
+    while len(gateway.watches) < 2 and gateway.now_ms < start_ms + 6000:
         try:
             watch.send(chunk(b" \n"))
         except OSError:
             break
         gateway.pass_ms(200)
-        gateway.watch()
+        gateway.newest_watch()
     gateway.pass_ms(300)
-    assert gateway.watch() is not watch and gateway.t - start_ms < 3500
+    assert gateway.newest_watch() is not watch and gateway.now_ms - start_ms < 3500
 
 
 # Floods, and exhaustion of file descriptors.
@@ -533,33 +534,33 @@
     client, other = gateway.client(), gateway.client()
     host = send_to_host(gateway, client)
     client.send(b"?\r\n")
-    gateway.turn()
+    gateway.run_loop()
     sent = 0
     for _ in range(200):  # more than is read from a closing connection
         try:
             sent += client.sock.send(8192 * b"x")
         except BlockingIOError:
-            gateway.turn(1)
+            gateway.run_loop(1)
     assert sent > gateway.limits.unread and gateway.state_machine.context.counts["malformed"] == 1
     host.send(VALUE)
-    gateway.turn()
+    gateway.run_loop()
     assert client.read().startswith(VALUE + b"-ERR not a RESP2 value\r\n") and client.ended == "closed"
     host = send_to_host(gateway, other)
-    gateway.answered(host, other)
+    gateway.answer_from_host(host, other)
 
 
 def test_a_flood_of_idle_clients_leaves_file_descriptors_for_discovery_counter_and_hosts(live):
     gateway = live(sockets=48)
     gateway.watches[-1].close()  # discovery fails
-    gateway.turn()
+    gateway.run_loop()
     worker = gateway.client()
     host = send_to_host(gateway, worker)
-    gateway.answered(host, worker)
+    gateway.answer_from_host(host, worker)
     host.close()
     idle = []
     for _ in range(100):
         idle.append(Peer(socket.create_connection(gateway.listen)))
-        gateway.turn(1)
+        gateway.run_loop(1)
     assert (
         gateway.state_machine.clients.accept_paused
         and len(gateway.state_machine.clients.connections) < gateway.limits.client_over
@@ -569,15 +570,15 @@
     gateway.counter_peers = []
     gateway.pass_ms(700)
     worker.send(gateway.request())
-    gateway.turn()
+    gateway.run_loop()
     gateway.pass_ms(100)
-    host = gateway.at_host()
+    host = gateway.accept_at_host()
     assert gateway.counter_peers and host.read()
-    gateway.answered(host, worker)
+    gateway.answer_from_host(host, worker)
     version = gateway.version
     gateway.pass_ms(2500)
     gateway.next_watch()
-    gateway.lists()  # discovery is available again
+    gateway.send_list()  # discovery is available again
     assert (
         gateway.state_machine.watch.version > version and gateway.state_machine.watch.state is WatchState.OPEN
     )
