--- a/tests/policy/test_request_decisions.py
+++ b/tests/policy/test_request_decisions.py
@@ -480,9 +480,8 @@
     harness = GatewayHarness(hosts=6)
     for step in range(4):
         harness.admit(customer=Customer(step), time_left_ms=3000)
-    harness.admit(
-        customer=Customer(8), time_left_ms=1900
-    )  # The counter has spare capacity: counted like any other.
+    # The counter has spare capacity: counted like any other.
+    harness.admit(customer=Customer(8), time_left_ms=1900)
     assert len(harness.calls) == 5
     harness.send_request(customer=Customer(9), time_left_ms=3000)
     harness.answer_call(Outcome.OVERLOADED)
