--- a/tests/service/test_gateway_process.py
+++ b/tests/service/test_gateway_process.py
@@ -464,10 +464,10 @@
         host.protocol.dataReceived(VALUE.replace(b"$5\r\nvalue", b"$60000\r\n" + 60000 * b"x"))
     assert client.closed == "aborted" and gateway.state_machine.requests.bytes_in_flight() == 0
     gateway.now += 10
-    gone = gateway.client()
-    gateway.send_request(gone)
+    leaving_client = gateway.client()
+    gateway.send_request(leaving_client)
     answer_counter_call(gateway, counter_transports)
-    gone.protocol.connectionLost()
+    leaving_client.protocol.connectionLost()
     next(host for host in hosts if b"API" in host.take_written()[-200:]).protocol.connectionLost()
     assert (
         not gateway.pending_connects
@@ -686,7 +686,7 @@
         assert gateway.state_machine.requests.bytes_in_flight() == 0
 
 
-def answer_by(gateway, client, end):
+def answer_received_by(gateway, client, end):
     """Advance the clock to `end`, in ms, and return the bytes that the client has received by then."""
     gateway.pass_ms(end - gateway.now)
     return client.take_written()
@@ -706,7 +706,7 @@
     answer_counter_call(gateway, counter_transports)
     host = gateway.connect_succeeds()
     assert host.take_written()
-    assert answer_by(gateway, client, client_end) in FAILURE_ANSWERS
+    assert answer_received_by(gateway, client, client_end) in FAILURE_ANSWERS
 
 
 def test_the_time_of_a_request_read_after_a_blocked_loop_counts_from_its_earliest_possible_arrival():
@@ -718,7 +718,7 @@
     gateway.earliest_arrival = None
     answer_counter_call(gateway, counter_transports)
     assert gateway.connect_succeeds().take_written()
-    assert answer_by(gateway, client, client_end) in FAILURE_ANSWERS
+    assert answer_received_by(gateway, client, client_end) in FAILURE_ANSWERS
 
 
 def test_requests_accepted_at_a_restart_wait_for_the_first_list_and_are_sent_to_no_draining_host():
