--- a/granitedock/service/client_connections.py
+++ b/granitedock/service/client_connections.py
@@ -38,7 +38,7 @@
     __hash__ = object.__hash__
 
 
-# Looked up once for the request path: in Python 3.11, access to an enum member takes 0.2 us.
+# Bound once for the request path: Python 3.11 takes 0.2 us to look up a member of an enum.
 OPEN = ClientState.OPEN
 
 
@@ -59,8 +59,8 @@
     closing_since: float = 0.0
     write_closed_at: float | None = None  # None until all replies are written
     partial_since: float = 0.0  # first check that saw the current partial command; 0 without one
-    received_bytes: int = 0  # total of the connection at the last check of the partial command
-    progress_at: float = 0.0  # last check at which that total had grown
+    received_bytes: int = 0  # received in total, as of the last check of the partial command
+    progress_at: float = 0.0  # last check of the partial command that saw new bytes
 
 
 class ClientConnections:
@@ -159,15 +159,15 @@
         client.sent_request = True
         return True
 
-    def malformed(self, client: ClientConnection, why: str) -> None:
+    def malformed(self, client: ClientConnection, reason: str) -> None:
         """Send an error reply behind the outstanding replies and then close, as the input is no command."""
         context = self.context
         context.counts[counter_names.MALFORMED] += 1
-        context.event_log.event("client malformed", why=why)
+        context.event_log.event("client malformed", why=reason)
         if client.state is OPEN:
             client.state = ClientState.MALFORMED
             client.malformed_since = context.now
-            self.replies.reply(client, b"-ERR %b\r\n" % why.encode("ascii", "replace")[:200])
+            self.replies.reply(client, b"-ERR %b\r\n" % reason.encode("ascii", "replace")[:200])
 
     # Closing connections.
 
@@ -256,7 +256,8 @@
             if self.context.now - client.malformed_since > self.context.limits.spoilt_ms:
                 self.replies.fail_pending(client)
         elif client.write_paused:
-            client.partial_since = 0.0  # input is not parsed until the client reads: neither partial nor idle
+            # Input is not parsed until the client reads, so the connection is neither partial nor idle.
+            client.partial_since = 0.0
         elif self.lifecycle.shutting and not client.pending:
             self.close_if_idle(client)
         elif client.link.has_partial_message():
@@ -282,7 +283,7 @@
         limits = self.context.limits
         idle_limit_ms = limits.rest_ms if client.sent_request else limits.half_ms
         if not client.pending and self.context.now - client.idle_since > idle_limit_ms:
-            # Closes without an error reply, which a request in flight could take for its own reply.
+            # Sends no error reply, which a client could take for that to a request that crosses the close.
             self.context.emit(client.link.check_unread, Input.CLIENT_IDLE)
 
     def _inspect_partial(self, client: ClientConnection) -> None:
--- a/granitedock/service/client_protocol.py
+++ b/granitedock/service/client_protocol.py
@@ -79,9 +79,12 @@
 
 
 def parse_fields(text: bytes, limits: Limits) -> dict[bytes, bytes]:
-    """Return the fields of a request by name, with the numbers checked. Raises ValueError and KeyError."""
+    """Return the fields of a request by name, with the numbers checked.
+
+    Raises ValueError for an invalid field and KeyError for a missing one.
+    """
     pairs = [pair.split(b"=", 1) for pair in text.split(b",")]
-    fields: dict[bytes, bytes] = dict(pairs)  # raises ValueError for a field without "="
+    fields: dict[bytes, bytes] = dict(pairs)  # a field without "=" raises ValueError
     if len(fields) != len(pairs):
         raise ValueError(DUPLICATE_FIELD)
     time_left = fields[b"d"]
@@ -100,7 +103,7 @@
 def parse_request(words: list[Any], parts: list[bytes], limits: Limits) -> ParsedRequest:
     """Return the request in the words of a command and the parts of its bytes. Raises RequestFormatError.
 
-    Prevents decisions on values that are no numbers or lie outside the range in the settings: a request is
+    Prevents decisions on values that are not numbers or lie outside the range in the settings: a request is
     accepted only in its exact form, and is never corrected.
     """
     if len(words) not in REQUEST_WORD_COUNTS or not all(type(word) is bytes for word in words):
@@ -131,8 +134,8 @@
             join_parts(parts[PARTS_WITH_FIELDS:]) if len(parts) > PARTS_WITH_FIELDS else b"",
         )
     except (ValueError, KeyError) as error:
-        why = f"task not readable: {error}"
-        raise RequestFormatError(why) from None
+        reason = f"task not readable: {error}"
+        raise RequestFormatError(reason) from None
 
 
 @implementer(IHalfCloseableProtocol)
@@ -162,10 +165,10 @@
     def dataReceived(self, data: bytes) -> None:
         """Parse received bytes, and bound the input that is read without being parsed.
 
-        Prevents peers that keep sending to a closing connection from using up the processor: between two
-        sweeps a bounded amount is read and dropped, then reading pauses; outstanding replies can still be
-        sent and read. From a client that leaves replies unread, a bounded amount is read and buffered, so
-        that its close is detected.
+        Prevents peers that keep sending to a closing connection from using up the processor: between two runs
+        of the maintenance a bounded amount is read and dropped, then reading pauses; outstanding replies can
+        still be sent and read. From a client that leaves replies unread, a bounded amount is read and
+        buffered, so that its close is detected.
         """
         if self.ignoring_input:
             self.received_bytes += len(data)
@@ -192,9 +195,9 @@
         else:
             self.handle_input(Input.COMMAND_RECEIVED, self.record, value[0].upper())
 
-    def malformed(self, why: str) -> None:
+    def malformed(self, reason: str) -> None:
         """Notify the state machine of malformed input."""
-        self.handle_input(Input.CLIENT_MALFORMED, self.record, why)
+        self.handle_input(Input.CLIENT_MALFORMED, self.record, reason)
 
     def pauseProducing(self) -> None:
         """Stop parsing while the client leaves replies unread; input is still read, and buffered.
@@ -215,8 +218,8 @@
     def close(self) -> None:
         """Half-close the connection: close the sending direction once all output is written.
 
-        The client of a command that crosses the close can tell from it that the command was not read; a full
-        close would reset the connection and destroy output written before.
+        A client whose command crosses the close can tell from the half-close that the command was not read; a
+        full close would reset the connection and destroy output written before.
         """
         self.ignoring_input = True
         self.transport.unregisterProducer()
--- a/granitedock/service/context.py
+++ b/granitedock/service/context.py
@@ -18,8 +18,8 @@
     """The shared context of one gateway. Times are Unix ms; the dispatcher sets them at each input.
 
     `earliest_arrival` is the earliest time at which the data of the current input may have arrived: the end
-    of the poll before the poll that began this turn of the loop. During the start `process_started_at` takes
-    its place.
+    of the poll before the poll that began this iteration of the event loop. During the start
+    `process_started_at` takes its place.
     """
 
     __slots__ = (
--- a/granitedock/service/counter_connections.py
+++ b/granitedock/service/counter_connections.py
@@ -29,7 +29,7 @@
 RECONNECT_MULTIPLE = 5  # The delay before a closed connection is reconnected, in multiples of `redial_ms`.
 
 
-# Bound once for the request path: Python 3.11 takes 0.2 us to look up a member on its enum.
+# Bound once for the request path: Python 3.11 takes 0.2 us to look up a member of an enum.
 OPEN = CounterConnectionState.OPEN
 DRAINED = CounterConnectionEvent.DRAINED
 
@@ -148,7 +148,7 @@
     def address_changed(self) -> None:
         """Replace all connections after the platform file has named another counter.
 
-        Old connections are kept while they last, for the totals that are still outstanding on them.
+        Established connections are retired, to receive the totals that are still outstanding on them.
         """
         for connection in self.active:
             if connection is not None:
@@ -241,7 +241,10 @@
             advance(COUNTER_CONNECTION, connection, DRAINED, self)
 
     def reconnect_to_new_address(self, connection: CounterConnection) -> None:
-        """Move the calls of a connecting connection, none of which was written, to one to the new address."""
+        """Move the calls of a connection that is still being established to one to the new address.
+
+        None of the calls was written.
+        """
         self.active[connection.number] = None
         self._get_or_connect(connection.number).waiting = connection.waiting
         connection.waiting = deque()
--- a/granitedock/service/discovery_watch.py
+++ b/granitedock/service/discovery_watch.py
@@ -108,7 +108,7 @@
     version: int
     state: WatchState = WatchState.CLOSED
     link: WatchLinkPort | None = None
-    active_at: float = 0.0  # The latest line, first bytes of a list, or connection set-up.
+    active_at: float = 0.0  # The time of the latest line, bytes of a first list, or connection set-up.
     list_started_at: float | None = None  # Arrival of the first bytes of the first list.
     refusals: int = 0  # Watches refused in a row before this one.
 
@@ -219,8 +219,8 @@
         Prevents excess load on an overloaded discovery: on herd+vast it refuses every watch (503) from 2.4 s
         on, and forty gateways that each retried every 100 ms made 336 connects a second. Each refusal in a
         row doubles the backoff, up to `watch_most_ms`; the jitter prevents the gateways from reconnecting in
-        step. During the start, the refusal number `watch_refusals` in a row ends the wait for a first list,
-        once.
+        step. During the start, `watch_refusals` refusals in a row end the wait for a first list, if there is
+        an initial list.
         """
         context = self.context
         limits = context.limits
--- a/granitedock/service/dispatcher.py
+++ b/granitedock/service/dispatcher.py
@@ -34,7 +34,7 @@
     """The parameters of a gateway's state machine. Times are Unix ms.
 
     `settings` is the field of that name in the platform file. `initial_endpoints` is the last endpoint list
-    that this gateway had. `process_started_at` is None if the process starts at `now`.
+    that this gateway had, or None. `process_started_at` is None if the process starts at `now`.
     """
 
     now: float
@@ -65,7 +65,7 @@
         self.policy_timers = timers
 
     def send_attempt(self, attempt: Attempt, attempt_deadline: float | None) -> None:
-        """Send a request to a host; `attempt_deadline`, if given, is before the deadline of the request."""
+        """Send a request to a host; `attempt_deadline` (Unix ms or None) may end the attempt earlier."""
         self.hosts.send_attempt(attempt, attempt_deadline)
 
     def reject(self, request: Request, retry_after_ms: float | None) -> None:
@@ -73,7 +73,7 @@
         self.requests.reject(request, retry_after_ms)  # type: ignore[arg-type]  # It is an InFlightRequest.
 
     def fail(self, request: Request) -> None:
-        """Reply that the request failed."""
+        """Reply that the request failed; it may have run."""
         self.requests.fail(request)  # type: ignore[arg-type]  # It is an InFlightRequest.
 
     def cancel(self, attempt: Attempt) -> None:
@@ -157,7 +157,7 @@
         return effects
 
     def take_effects(self) -> list[Effect]:
-        """Return and clear the effects collected so far; those of an input whose handling failed are kept."""
+        """Return and clear the effects emitted so far, also by an input whose handling then failed."""
         context = self.context
         effects, context.effects = context.effects, []
         return effects
--- a/granitedock/service/effects.py
+++ b/granitedock/service/effects.py
@@ -91,7 +91,7 @@
             self.port.stopReading()
 
     def stop_listening(self) -> None:
-        """Close the listener; no further connection is accepted."""
+        """Accept the connections in the listener's backlog, then close the listener."""
         self.port.close()
 
     def stop_process(self) -> None:
--- a/granitedock/service/endpoints.py
+++ b/granitedock/service/endpoints.py
@@ -25,9 +25,8 @@
 class EndpointListener(Protocol):
     """A listener for endpoint updates: the outlier detector, if gateways share their observations."""
 
-    def update_hosts(
-        self, hosts: dict[str, Any], now: float
-    ) -> None:  # Any: the detector takes `Host` values.
+    # The values are typed as Any because the detector takes them as `Host`.
+    def update_hosts(self, hosts: dict[str, Any], now: float) -> None:
         """Apply a changed list, given as the endpoints by name; `now` is Unix ms."""
         ...
 
@@ -55,7 +54,7 @@
         self.policy = policy
 
     def received(self, watch: Watch, listing: EndpointListUpdate | None) -> None:
-        """Handle a line of a watch: an endpoint update, or None for a keep-alive."""
+        """Handle a line of a watch: an endpoint update, or None for a heartbeat."""
         if not self.watch.line_received(watch, None if listing is None else listing.version):
             return
         if listing is not None:
@@ -75,7 +74,7 @@
             moved = entry.address and entry.address != endpoint.address
             if entry.started_at > endpoint.started_at or moved:
                 endpoint.address = entry.address or endpoint.address
-                self.hosts.close_idle(endpoint)  # They lead to a process that has ended.
+                self.hosts.close_idle(endpoint)  # Idle connections lead to a process that has ended.
             updates.append(
                 EndpointUpdate(
                     endpoint,
--- a/granitedock/service/errors.py
+++ b/granitedock/service/errors.py
@@ -8,4 +8,4 @@
 
 
 class RequestFormatError(ServiceError):
-    """A request command that lacks a required part; its text is sent to the client."""
+    """A request command of an invalid form; the text of the error is sent to the client."""
--- a/granitedock/service/gateway_service.py
+++ b/granitedock/service/gateway_service.py
@@ -142,7 +142,7 @@
     def start(self) -> None:
         """Start the state machine, then listen.
 
-        Raises CannotListenError and ValueError.
+        Raises CannotListenError if the port cannot be opened and ValueError if its number is invalid.
         """
         host, _, port = self.listen_address.rpartition(":")
         factory = ClientProtocolFactory(self.handle_input, self.limits)
--- a/granitedock/service/host_connection.py
+++ b/granitedock/service/host_connection.py
@@ -42,7 +42,7 @@
     MALFORMED = "malformed"
     ABANDONED = "abandoned"  # The attempt is no longer needed when its request would be written.
     ASSIGNED = "assigned"  # An attempt reuses an idle connection.
-    EXPIRED = "expired"  # The connection has been idle for too long, or is no longer trusted.
+    EXPIRED = "expired"  # The connection was idle for too long, makes room for another, or is not trusted.
 
     __hash__ = object.__hash__
 
--- a/granitedock/service/host_connections.py
+++ b/granitedock/service/host_connections.py
@@ -29,7 +29,7 @@
     from granitedock.service.timers import PolicyTimers
 
 
-# Bound once for the request path: Python 3.11 takes 0.2 us to look up a member on its enum.
+# Bound once for the request path: Python 3.11 takes 0.2 us to look up a member of an enum.
 WAITING = HostConnectionState.WAITING
 WRITING = HostConnectionState.WRITING
 ASSIGNED = HostConnectionEvent.ASSIGNED
@@ -251,7 +251,7 @@
         return None
 
     def return_to_pool(self, connection: HostConnection) -> HostConnectionEvent | None:
-        """Keep a connection whose response is complete for the next attempt."""
+        """Keep a connection whose response is complete, or return EXPIRED if it cannot be reused."""
         connection.attempt = None
         return None if self.pool.put(connection) else HostConnectionEvent.EXPIRED
 
@@ -265,7 +265,10 @@
         self._connect(connection.endpoint, attempt, connection.attempt_deadline)
 
     def connection_failed(self, connection: HostConnection) -> None:
-        """End an attempt that never ran: its connection ended before the request was written completely."""
+        """End an attempt whose connection ended, or that was cancelled, before its request was written.
+
+        The request was not written completely, so it never ran.
+        """
         self._end_attempt(connection, Outcome.CONNECTION_FAILED)
 
     def abandon(self, connection: HostConnection) -> None:
@@ -273,7 +276,7 @@
         self._end_attempt(connection, Outcome.ABANDONED)
 
     def abort_abandoned(self, connection: HostConnection) -> None:
-        """Abort a connection whose request is no longer needed and of which no byte was written."""
+        """Abort a connection whose request is no longer needed; no byte of the request was written."""
         self.context.counts[counter_names.UNWANTED] += 1
         self.abort(connection)
         self.abandon(connection)
@@ -335,7 +338,7 @@
         true_units: float = 0.0,
         quota_used: int = 0,
     ) -> None:
-        """Record the one outcome of an attempt, and drop a response whose request already has its answer."""
+        """Record the one outcome of an attempt, and drop a response whose request already has its reply."""
         context = self.context
         self.by_attempt.pop(attempt).deadline_timer.cancel()  # type: ignore[union-attr]  # Each attempt has a timer.
         self.policy_timers.cancel(attempt)
@@ -352,7 +355,7 @@
     # Idle connections.
 
     def close_idle(self, endpoint: Endpoint) -> None:
-        """Close all idle connections to a host, as after an attempt there that got no answer.
+        """Close all idle connections to a host, as after an attempt there that got no response.
 
         Prevents the use of half-open connections, as after the loss of a machine: the next attempt to that
         host connects anew and, where the connect fails, provably never ran. The cost is some handshakes with
--- a/granitedock/service/host_pool.py
+++ b/granitedock/service/host_pool.py
@@ -17,7 +17,7 @@
     from granitedock.service.host_connection import Endpoint, HostConnection
     from granitedock.service.lifecycle import Lifecycle
 
-# Bound once for the request path: Python 3.11 takes 0.2 us to look up a member on its enum.
+# Bound once for the request path: Python 3.11 takes 0.2 us to look up a member of an enum.
 ENDED = LifecycleState.ENDED
 
 
@@ -78,7 +78,7 @@
     def expired(self) -> Iterator[HostConnection]:
         """Yield each connection that has been idle for too long.
 
-        The caller closes each one before it asks for the next, which removes it from the pool.
+        The caller closes each one before it asks for the next; closing removes the connection from the pool.
         """
         now = self.context.now
         host_idle_ms = self.context.limits.host_idle_ms
--- a/granitedock/service/in_flight_requests.py
+++ b/granitedock/service/in_flight_requests.py
@@ -31,7 +31,7 @@
 FAILED = b"-ERR failed\r\n"
 
 
-# These members are bound once for the request path: Python 3.11 takes 0.2 us to look up a member of an enum.
+# Bound once for the request path: Python 3.11 takes 0.2 us to look up a member of an enum.
 OPEN = ClientState.OPEN
 STARTING = LifecycleState.STARTING
 REQUEST_WATCHDOG = Input.REQUEST_WATCHDOG
@@ -125,12 +125,12 @@
     def _deadline(self, parsed: ParsedRequest, request_class: RequestClass) -> float:
         """Return the time by which the request must be answered, in Unix ms.
 
-        The client's timeout runs from the last byte that it sent. That byte may have waited for a turn of the
-        event loop or, during the start, until the process listened and read: after a restart 0.6 to 0.9 s of
-        the timeout had already elapsed, and requests were lost (on herd+mass). The deadline, and with it the
-        watchdog, therefore counts from the earliest possible arrival. This keeps the reply within the
-        client's timeout however long the request waited; the cost is that requests read during the start have
-        that much less time.
+        The client's timeout runs from the last byte that it sent. That byte may have waited for an
+        iteration of the event loop or, during the start, until the process listened and read: after a restart
+        0.6 to 0.9 s of the timeout had already elapsed, and requests were lost (on herd+mass). The deadline,
+        and with it the watchdog, therefore counts from the earliest possible arrival. This keeps the reply
+        within the client's timeout however long the request waited; the cost is that requests read during the
+        start have that much less time.
         """
         context = self.context
         # The deadline of the request class prevents requests from being kept for hours.
--- a/granitedock/service/inputs.py
+++ b/granitedock/service/inputs.py
@@ -20,7 +20,7 @@
 
     CLIENT_CONNECTED = "client connected"
     CLIENT_DISCONNECTED = "client disconnected"
-    CLIENT_SILENT = "client silent"  # A candidate for eviction has sent nothing and has no unread bytes.
+    CLIENT_SILENT = "client silent"  # A candidate for eviction has sent no request and has no unread bytes.
     CLIENT_IDLE = "client idle"  # The idle timeout has passed and there are no unread bytes.
     CLIENT_SHUTDOWN = "client shutdown"  # The process shuts down and there are no unread bytes.
     CLIENT_LIMIT_CHECK = "client limit check"
--- a/granitedock/service/lifecycle.py
+++ b/granitedock/service/lifecycle.py
@@ -92,7 +92,7 @@
 }
 
 SHUTDOWN_STATES = frozenset({_S.CLOSING, _S.ENDED, _S.LEFT})  # New requests are rejected in these.
-# This member is bound once for the request path: Python 3.11 takes 0.2 us to look up a member of an enum.
+# Bound once for the request path: Python 3.11 takes 0.2 us to look up a member of an enum.
 DRAINING = _S.DRAINING
 
 
@@ -200,7 +200,7 @@
             context.schedule(context.now + after_ms, Input.LIFECYCLE, event)
 
     def stop_listening(self, _machine: Lifecycle) -> None:
-        """Accept the connections in the system's queue, then close the listener and the idle clients.
+        """Accept the connections in the listener's backlog, then close the listener and the idle clients.
 
         A client is idle if it waits for no reply and no bytes from it are unread.
         """
--- a/granitedock/service/limits.py
+++ b/granitedock/service/limits.py
@@ -36,7 +36,7 @@
     value: int = 64 * KIB  # One bulk string.
     whole: int = 68 * KIB  # One command, response or reply with all its elements.
     line: int = KIB  # One line of the framing.
-    document: int = 4 * MIB  # One line of the endpoint list.
+    document: int = 4 * MIB  # One endpoint list with all its lines.
     held: int  # All requests in flight and all buffered replies.
     unread: int = 256 * KIB  # Replies that one client leaves unread.
     # Counts.
@@ -47,45 +47,48 @@
     client_links: int  # From this many client connections on, idle ones are evicted.
     client_most: int  # From this many client connections on, no more are accepted.
     client_over: int  # Client connections accepted beyond this number are aborted at once.
-    host_links: int
+    host_links: int  # Connections to hosts, open or connecting.
     counter_links: int  # Counter connections in use at once.
     counter_old: int  # Replaced counter connections that are kept open for late totals.
-    backlog: int = 512
-    accepts: int = 8  # Connections accepted per turn of the event loop, which reads data between the turns.
+    backlog: int = 512  # Connections that the kernel queues for the listener.
+    # Connections accepted per iteration of the event loop, so that data on open ones is read in between.
+    accepts: int = 8
     log_lines: int = 50  # Lines of the event log per second.
     gateways: int  # Gateways of the deployment, numbered from 0.
     units: float  # Units of one request.
-    true_units: float  # Actual units that a host may state after a response; 0 if they are not settled.
+    true_units: float  # Actual units that a host may state in a response; 0 if they are not settled.
     # Times, in milliseconds.
-    connect_ms: float
+    connect_ms: float  # Timeout of a connect to a host or the counter.
     host_idle_ms: float  # Idle time after which a host connection is closed, before the host closes it.
     # After a reset of a reused host connection, non-idempotent requests get new connections for this long.
     wary_ms: float = 5000.0
-    settle_ms: float = (
-        5.0  # A host connection is not reused sooner after a response, as more data may follow.
-    )
+    # A host connection is not reused sooner after a response, as more data may follow.
+    settle_ms: float = 5.0
     answer_ms: float = 250.0  # Timeout of an incomplete response, from its latest bytes.
     answer_most_ms: float = 2000.0  # Timeout of an incomplete response, from its first bytes.
-    total_ms: float = 50.0  # Timeout of an incomplete counter reply, which is a single line.
+    total_ms: float = 50.0  # Timeout of an incomplete counter reply, which is a single short value.
     counter_ping_ms: float = 3000.0  # Idle time after which a counter connection is pinged.
     counter_silence_ms: float = 1000.0  # Silence after which a counter connection with waiting calls is dead.
     counter_linger_ms: float = 10000.0  # A replaced counter connection is kept this long for late totals.
     watch_silence_ms: float = 2500.0  # An open watch without a line for this long is dead.
     watch_first_ms: float = 800.0  # A connected watch without its first line for this long is dead.
-    watch_list_ms: float = 500.0  # Time limit of an incomplete first list, from its first bytes.
-    watch_connect_ms: float
+    # For this long from the first bytes of a first list, further bytes of it restart `watch_first_ms`.
+    watch_list_ms: float = 500.0
+    watch_connect_ms: float  # Timeout of a connect to discovery.
     redial_ms: float = DEFAULT_MIN_BACKOFF_MS  # Initial backoff of a watch.
     watch_most_ms: float = DEFAULT_MAX_BACKOFF_MS  # Longest backoff of a watch that is refused repeatedly.
-    watch_refusals: int = 3  # Refusals in a row during the start after which the initial list is used.
-    # Timeout of an incomplete command, from its latest bytes, and of the first command of a connection.
+    watch_refusals: int = 3  # Refusals in a row during the start after which an initial list is used.
+    # Timeout of an incomplete command, from its latest bytes, and idle time after which a client connection
+    # that has sent no request is closed.
     half_ms: float = 1500.0
     half_most_ms: float = 5000.0  # Timeout of an incomplete command, from its first detection.
     spoilt_ms: float = 1500.0  # Longest wait for the requests before a malformed command.
-    fresh_ms: float = 100.0  # Age at which a client connection that has sent nothing may be evicted.
-    rest_ms: float = 2000.0  # Idle time since the latest reply after which a client connection is closed.
+    fresh_ms: float = 100.0  # Idle time after which a client connection without a request may be evicted.
+    # Idle time since the latest reply after which a client connection that has sent a request is closed.
+    rest_ms: float = 2000.0
     close_ms: float = 300.0  # Time for a client to close its side after the gateway has closed its own.
     flush_ms: float = 5000.0  # Time for a client to read the replies on a connection that is closing.
-    margin_ms: float = 8.0  # Replies are sent this long before the client's timeout.
+    margin_ms: float = 8.0  # The deadline of a request is this long before the client's timeout.
     ready_ms: float = 1000.0  # Longest wait for a first list at the start if there is an initial list.
     ready_most_ms: float = 5000.0  # Longest wait without an initial list, from the start of the process.
     open_ms: float = 500.0  # New connections are accepted for this long after SIGTERM.
--- a/granitedock/service/operator_settings.py
+++ b/granitedock/service/operator_settings.py
@@ -30,17 +30,17 @@
 class ConnectionSettings(StrictModel):
     """Times of connections, in ms, and the backlog of the listener; an absent field keeps its default.
 
-    The range of each field follows from related limits: an incomplete command of a client, for example, is
-    waited for no longer than an idle client.
+    The range of each field follows from related limits: the maximum of `half_ms`, for example, is that of
+    `rest_ms`, as the wait for an incomplete command of a client should not exceed that for an idle client.
+    The two values are not compared.
     """
 
     backlog: Annotated[int, Field(ge=1, le=65_535)] | None = None
     connect_ms: Milliseconds | None = None
     host_idle_ms: Milliseconds | None = None
     half_ms: Milliseconds | None = None
-    rest_ms: Annotated[float, Field(ge=2000, le=600_000)] | None = (
-        None  # The platform's page sets the minimum.
-    )
+    # The platform's page sets the minimum of `rest_ms`.
+    rest_ms: Annotated[float, Field(ge=2000, le=600_000)] | None = None
     counter_silence_ms: Milliseconds | None = None
     watch_silence_ms: Annotated[float, Field(ge=2500, le=600_000)] | None = None  # A line arrives every 2 s.
     redial_ms: Annotated[float, Field(ge=10, le=60_000)] | None = None
--- a/granitedock/service/ports.py
+++ b/granitedock/service/ports.py
@@ -1,8 +1,8 @@
 """The interfaces through which the service's state machines use the event loop and open connections.
 
 The state machines emit calls of these methods as effects, which the event loop carries out after the input
-has been handled. Only queries without side effects (`has_partial_message`, `received_bytes`,
-`has_unread_bytes`) are called directly.
+has been handled. Only the event log and queries without side effects (`has_partial_message`,
+`received_bytes`, `has_unread_bytes`) are used directly.
 """
 
 from __future__ import annotations
@@ -105,7 +105,10 @@
     received_bytes: int  # in total
 
     def send(self, data: bytes, at_once: bool) -> None:
-        """Write a request; the result is the input HOST_REQUEST_WRITTEN or HOST_STALE."""
+        """Write a request; the result is the input HOST_REQUEST_WRITTEN or HOST_STALE.
+
+        Without `at_once` the request is written in the next iteration of the event loop.
+        """
         ...
 
     def has_partial_message(self) -> bool:
--- a/granitedock/service/reactor.py
+++ b/granitedock/service/reactor.py
@@ -42,7 +42,8 @@
         """Create the reactor; `started_at_ms` is the time at which the process started, in Unix ms."""
         self.timer_queue = timer_queue
         # Data that is read after a poll arrived no earlier than the end of the poll before it, which would
-        # otherwise have reported it. Before the first poll the start of the process is the bound. Unix ms.
+        # otherwise have reported it. Before the first poll the start of the process is the bound.
+        # Both times are Unix ms.
         self.earliest_arrival_ms = started_at_ms
         self.last_poll_ended_ms = started_at_ms
         super().__init__()
--- a/granitedock/service/reply_queues.py
+++ b/granitedock/service/reply_queues.py
@@ -86,7 +86,7 @@
         client.unread_bytes = 0
 
     def discard(self, client: ClientConnection) -> None:
-        """Drop all pending entries of a disconnected connection, and notify its requests."""
+        """Drop all pending entries of a disconnected connection, and release its unanswered requests."""
         for entry in client.pending:
             if entry.answer is not None:
                 self.buffered_bytes -= len(entry.answer)
--- a/granitedock/service/resp.py
+++ b/granitedock/service/resp.py
@@ -75,7 +75,8 @@
 def parse_complete_values(data: bytes, max_items: int) -> list[tuple[Any, list[bytes]]] | None:
     """Return the values in the data, each with its parts, or None unless all of it is complete and simple.
 
-    Simple values are bulk strings without a line end inside, and arrays of them. Malformed data gives None.
+    Simple values are nulls, bulk strings without a line end inside, and arrays of these. The result for
+    malformed data is None.
     """
     parts = data.split(LINE_END)
     end = len(parts) - 1
@@ -132,8 +133,9 @@
         self.max_total_bytes = max_total_bytes
         self.max_items = max_items
         self.max_depth = max_depth
-        self.parts: list[bytes] = []  # the current value as received so far
-        self.size_bytes = 0  # of the current value, with bulk strings announced but not yet received
+        self.parts: list[bytes] = []  # parts of the current value received so far
+        # Size of the current value, with the announced bytes of a bulk string that are not yet received.
+        self.size_bytes = 0
         self.open_arrays: list[tuple[list[Any], int]] = []  # incomplete, each with its announced length
         self.remaining_bytes = 0  # of the current bulk string, with its line end
         self.chunks: list[bytes] = []  # received pieces of the current bulk string
@@ -144,8 +146,8 @@
         """Handle a complete value (`RespValue`)."""
         raise NotImplementedError
 
-    def malformed(self, why: str) -> None:
-        """Handle input that is no RESP2 or exceeds the limits."""
+    def malformed(self, reason: str) -> None:
+        """Handle input that is not RESP2 or exceeds the limits."""
         raise NotImplementedError
 
     def send(self, data: bytes) -> None:
@@ -161,14 +163,14 @@
         """Return whether a value is partly received."""
         return bool(self.parts or self._buffer)
 
-    def reject_input(self, why: str) -> None:
-        """Drop and ignore all input of a peer that sends no RESP2 or too much of it; call `malformed`."""
+    def reject_input(self, reason: str) -> None:
+        """Drop and ignore all input of a peer that sends invalid RESP2 or too much; call `malformed`."""
         self.ignoring_input = True
         self.parts = []
         self.open_arrays = []
         self.chunks = []
         self.clearLineBuffer()
-        self.malformed(why)
+        self.malformed(reason)
 
     def dataReceived(self, data: bytes) -> None:
         """Parse received bytes."""
--- a/granitedock/service/timers.py
+++ b/granitedock/service/timers.py
@@ -11,7 +11,7 @@
     from granitedock.service.context import Context
 
 
-# This member is bound once for the request path: Python 3.11 takes 0.2 us to look up a member of an enum.
+# Bound once for the request path: Python 3.11 takes 0.2 us to look up a member of an enum.
 POLICY_TIMER_FIRED = Input.POLICY_TIMER_FIRED
 
 
