--- a/granitedock/service/client_commands.py
+++ b/granitedock/service/client_commands.py
@@ -38,7 +38,7 @@
     def __init__(self, context: Context) -> None:
         self.context = context
         self.waiting_pings: list[tuple[ClientConnection, CommandReply]] = []
-        self.status_commands: dict[bytes, Callable[[], bytes]] = {}  # by name; each returns the reply
+        self.status_commands: dict[bytes, Callable[[], bytes]] = {}  # By name; each returns the reply.
 
     def attach(
         self,
--- a/granitedock/service/client_connections.py
+++ b/granitedock/service/client_connections.py
@@ -31,8 +31,8 @@
     """The state of a client's connection."""
 
     OPEN = "open"
-    MALFORMED = "malformed"  # further input is ignored; earlier commands are still answered
-    CLOSING = "closing"  # the sending direction is closed, or will be once all output is written
+    MALFORMED = "malformed"  # Further input is ignored; earlier commands are still answered.
+    CLOSING = "closing"  # The sending direction is closed, or will be once all output is written.
     CLOSED = "closed"
 
     __hash__ = object.__hash__
@@ -48,19 +48,19 @@
 
     link: ClientLinkPort
     # Written by `ReplyQueues`.
-    pending: deque[CommandReply | InFlightRequest] = field(default_factory=deque)  # in order of arrival
+    pending: deque[CommandReply | InFlightRequest] = field(default_factory=deque)  # In order of arrival.
     write_paused: bool = False
-    unread_bytes: int = 0  # bytes of replies written since the client stopped reading
-    idle_since: float = 0.0  # time of the last reply, or of accepting the connection
+    unread_bytes: int = 0  # Bytes of replies written since the client stopped reading.
+    idle_since: float = 0.0  # Time of the last reply, or of accepting the connection.
     # Written by `ClientConnections`.
     state: ClientState = OPEN
-    sent_request: bool = False  # set by any well-formed request, even if it is rejected
+    sent_request: bool = False  # Set by any well-formed request, even if it is rejected.
     malformed_since: float = 0.0
     closing_since: float = 0.0
-    write_closed_at: float | None = None  # None until all replies are written
-    partial_since: float = 0.0  # first check that saw the current partial command; 0 without one
-    received_bytes: int = 0  # received in total, as of the last check of the partial command
-    progress_at: float = 0.0  # last check of the partial command that saw new bytes
+    write_closed_at: float | None = None  # None until all replies are written.
+    partial_since: float = 0.0  # First check that saw the current partial command; 0.0 without one.
+    received_bytes: int = 0  # `link.received_bytes` at the last check of the partial command.
+    progress_at: float = 0.0  # Last check of the partial command that saw new bytes.
 
 
 class ClientConnections:
--- a/granitedock/service/client_protocol.py
+++ b/granitedock/service/client_protocol.py
@@ -25,11 +25,11 @@
 READ_COMMAND = b"API.READ"
 WRITE_COMMAND = b"API.WRITE"
 REQUEST_COMMANDS = (READ_COMMAND, WRITE_COMMAND)
-REQUEST_WORD_COUNTS = (4, 5)  # command, customer, id, fields, and an optional body
-PARTS_BEFORE_FIELDS = 7  # the array header, and the length and text of each of three words
-PARTS_WITH_FIELDS = 9  # and the length and text of the fields
+REQUEST_WORD_COUNTS = (4, 5)  # Command, customer, id, fields, and an optional body.
+PARTS_BEFORE_FIELDS = 7  # The array header, and the length and text of each of three words.
+PARTS_WITH_FIELDS = 9  # Also the length and text of the fields.
 HEX_CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
-CUSTOMER_NUMBERS = 2**33  # customers are numbered from 0
+CUSTOMER_NUMBERS = 2**33  # Customers are numbered from 0.
 REQUEST_ID = re.compile(rb"[!-~]{1,64}").fullmatch
 # Matches no sign, exponent or word, all of which `float` would accept.
 DECIMAL = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?").fullmatch
@@ -54,16 +54,16 @@
     request_class: str
     plan: str
     customer: int
-    idempotent: bool  # depends on the command: true for API.READ
-    keyed: bool  # carries an idempotency key
-    time_left_ms: float  # until the deadline, as of when the client sent the request
+    idempotent: bool  # True for API.READ, False for API.WRITE.
+    keyed: bool  # The request carries an idempotency key.
+    time_left_ms: float  # Time to the deadline when the client sent the request.
     units: float
-    subset_size: int  # number of gateways that share the customer's quota
-    subset_start: int  # number of the first of these gateways
-    bytes_before: bytes  # the words before the fields
-    fields_before: bytes  # the fields up to the digits of the time left
-    fields_after: bytes  # the fields after those digits
-    bytes_after: bytes  # the words after the fields
+    subset_size: int  # Number of gateways that share the customer's quota.
+    subset_start: int  # Number of the first gateway of the subset.
+    bytes_before: bytes  # The words before the fields.
+    fields_before: bytes  # The fields up to the digits of the time left.
+    fields_after: bytes  # The fields after the digits of the time left.
+    bytes_after: bytes  # The words after the fields.
 
     def size(self) -> int:
         """Return the length of the stored parts, in bytes."""
@@ -84,7 +84,7 @@
     Raises ValueError for an invalid field and KeyError for a missing one.
     """
     pairs = [pair.split(b"=", 1) for pair in text.split(b",")]
-    fields: dict[bytes, bytes] = dict(pairs)  # a field without "=" raises ValueError
+    fields: dict[bytes, bytes] = dict(pairs)  # A field without "=" raises ValueError.
     if len(fields) != len(pairs):
         raise ValueError(DUPLICATE_FIELD)
     time_left = fields[b"d"]
@@ -142,13 +142,13 @@
 class ClientProtocol(RespReceiver):
     """A client's connection. Parses no further input while the client leaves replies unread."""
 
-    record: Any = None  # the state machine's `ClientConnection`
+    record: Any = None  # The state machine's `ClientConnection`.
 
     def __init__(self, handle_input: InputHandler, limits: Limits) -> None:
         super().__init__(limits.line, limits.value, limits.whole, limits.items, 1)
         self.handle_input = handle_input
         self.limits = limits
-        self.dropped_bytes = 0  # read and dropped since `drain_input` last resumed reading
+        self.dropped_bytes = 0  # Bytes dropped since `drain_input` last resumed reading.
 
     def connectionMade(self) -> None:
         """Set up the accepted connection and pass it to the state machine."""
@@ -159,7 +159,7 @@
     def connectionLost(self, _reason: Failure | None = None) -> None:
         """Notify the state machine that the connection is lost."""
         record = self.record
-        self.record = None  # breaks a reference cycle that otherwise lives until a garbage collection
+        self.record = None  # Breaks a reference cycle that otherwise lives until a garbage collection.
         self.handle_input(Input.CLIENT_DISCONNECTED, record)
 
     def dataReceived(self, data: bytes) -> None:
@@ -276,6 +276,6 @@
         self.handle_input = handle_input
         self.limits = limits
 
-    def buildProtocol(self, addr: IAddress | None) -> ClientProtocol:  # noqa: ARG002 - Twisted's signature
+    def buildProtocol(self, addr: IAddress | None) -> ClientProtocol:  # noqa: ARG002 - The signature is Twisted's.
         """Return the protocol for a new connection."""
         return ClientProtocol(self.handle_input, self.limits)
--- a/granitedock/service/context.py
+++ b/granitedock/service/context.py
@@ -15,7 +15,7 @@
 
 
 class Context:
-    """The shared context of one gateway. Times are Unix ms; the dispatcher sets them at each input.
+    """The shared context of one gateway. Times are Unix ms; the dispatcher sets `now` at each input.
 
     `earliest_arrival` is the earliest time at which the data of the current input may have arrived: the end
     of the poll before the poll that began this iteration of the event loop. During the start
--- a/granitedock/service/gateway_service.py
+++ b/granitedock/service/gateway_service.py
@@ -118,13 +118,13 @@
             effects = self.state_machine.handle(
                 self.clock(), *input_with_arguments, earliest_arrival=self.reactor.earliest_arrival_ms
             )
-        except Exception:  # noqa: BLE001 - an error with one request must not affect the others
+        except Exception:  # noqa: BLE001 - An error with one request must not affect the others.
             self.log_error(input_with_arguments[0].value, traceback.format_exc())
             effects = self.state_machine.take_effects()
         for effect, *arguments in effects:
             try:
                 effect(*arguments)
-            except Exception:  # noqa: BLE001 - an error in one effect must not stop the effects after it
+            except Exception:  # noqa: BLE001 - An error in one effect must not stop the effects after it.
                 self.log_error(input_with_arguments[0].value, traceback.format_exc())
 
     def log_error(self, input_name: str, trace: str) -> None:
--- a/granitedock/service/ports.py
+++ b/granitedock/service/ports.py
@@ -72,7 +72,7 @@
     """An open connection of a client. `record` is its `ClientConnection`."""
 
     record: Any
-    received_bytes: int  # in total
+    received_bytes: int  # All bytes received on the connection so far.
 
     def send(self, data: bytes) -> None:
         """Write the data, or buffer it until the client reads."""
@@ -102,7 +102,7 @@
 class HostLinkPort(Link, Protocol):
     """An open connection to a host."""
 
-    received_bytes: int  # in total
+    received_bytes: int  # All bytes received on the connection so far.
 
     def send(self, data: bytes, at_once: bool) -> None:
         """Write a request; the result is the input HOST_REQUEST_WRITTEN or HOST_STALE.
--- a/granitedock/service/reply_queues.py
+++ b/granitedock/service/reply_queues.py
@@ -33,7 +33,7 @@
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.buffered_bytes = 0  # bytes of replies that are queued behind others
+        self.buffered_bytes = 0  # Bytes of replies that are queued behind others.
 
     def attach(self, clients: ClientConnections, requests: InFlightRequests) -> None:
         """Set the state machines that this one calls."""
--- a/granitedock/service/resp.py
+++ b/granitedock/service/resp.py
@@ -133,14 +133,14 @@
         self.max_total_bytes = max_total_bytes
         self.max_items = max_items
         self.max_depth = max_depth
-        self.parts: list[bytes] = []  # parts of the current value received so far
+        self.parts: list[bytes] = []  # Parts of the current value received so far.
         # Size of the current value, with the announced bytes of a bulk string that are not yet received.
         self.size_bytes = 0
-        self.open_arrays: list[tuple[list[Any], int]] = []  # incomplete, each with its announced length
-        self.remaining_bytes = 0  # of the current bulk string, with its line end
-        self.chunks: list[bytes] = []  # received pieces of the current bulk string
+        self.open_arrays: list[tuple[list[Any], int]] = []  # Incomplete arrays with their announced lengths.
+        self.remaining_bytes = 0  # Missing bytes of the current bulk string and its line end.
+        self.chunks: list[bytes] = []  # Received pieces of the current bulk string.
         self.ignoring_input = False
-        self.received_bytes = 0  # in total
+        self.received_bytes = 0  # All bytes received on the connection so far.
 
     def value_received(self, value: Any, parts: list[bytes]) -> None:
         """Handle a complete value (`RespValue`)."""
