--- a/granitedock/service/client_protocol.py
+++ b/granitedock/service/client_protocol.py
@@ -25,11 +25,11 @@
 READ_COMMAND = b"API.READ"
 WRITE_COMMAND = b"API.WRITE"
 REQUEST_COMMANDS = (READ_COMMAND, WRITE_COMMAND)
-REQUEST_WORD_COUNTS = (4, 5)  # command, customer, id, fields, and an optional body
-PARTS_BEFORE_FIELDS = 7  # the array header, and the length and text of each of three words
-PARTS_WITH_FIELDS = 9  # and the length and text of the fields
+REQUEST_WORD_COUNTS = (4, 5)  # Command, customer, id, fields, and an optional body.
+PARTS_BEFORE_FIELDS = 7  # The array header, and the length and text of each of three words.
+PARTS_WITH_FIELDS = 9  # Also the length and text of the fields.
 HEX_CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
-CUSTOMER_NUMBERS = 2**33  # customers are numbered from 0
+CUSTOMER_NUMBERS = 2**33  # Customers are numbered from 0.
 REQUEST_ID = re.compile(rb"[!-~]{1,64}").fullmatch
 # Matches no sign, exponent or word, all of which `float` would accept.
 DECIMAL = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?").fullmatch
@@ -54,16 +54,16 @@
     request_class: str
     plan: str
     customer: int
-    idempotent: bool  # depends on the command: true for API.READ
-    keyed: bool  # carries an idempotency key
-    time_left_ms: float  # until the deadline, as of when the client sent the request
+    idempotent: bool  # True for API.READ, False for API.WRITE.
+    keyed: bool  # The request carries an idempotency key.
+    time_left_ms: float  # Time to the deadline when the client sent the request.
     units: float
-    subset_size: int  # number of gateways that share the customer's quota
-    subset_start: int  # number of the first of these gateways
-    bytes_before: bytes  # the words before the fields
-    fields_before: bytes  # the fields up to the digits of the time left
-    fields_after: bytes  # the fields after those digits
-    bytes_after: bytes  # the words after the fields
+    subset_size: int  # Number of gateways that share the customer's quota.
+    subset_start: int  # Number of the first gateway of the subset.
+    bytes_before: bytes  # The words before the fields.
+    fields_before: bytes  # The fields up to the digits of the time left.
+    fields_after: bytes  # The fields after the digits of the time left.
+    bytes_after: bytes  # The words after the fields.
 
     def size(self) -> int:
         """Return the length of the stored parts, in bytes."""
@@ -79,9 +79,12 @@
 
 
 def parse_fields(text: bytes, limits: Limits) -> dict[bytes, bytes]:
-    """Return the fields of a request by name, with the numbers checked. Raises ValueError and KeyError."""
+    """Return the fields of a request by name, with the numbers checked.
+
+    Raises ValueError for an invalid field and KeyError for a missing one.
+    """
     pairs = [pair.split(b"=", 1) for pair in text.split(b",")]
-    fields: dict[bytes, bytes] = dict(pairs)  # raises ValueError for a field without "="
+    fields: dict[bytes, bytes] = dict(pairs)  # A field without "=" raises ValueError.
     if len(fields) != len(pairs):
         raise ValueError(DUPLICATE_FIELD)
     time_left = fields[b"d"]
@@ -100,7 +103,7 @@
 def parse_request(words: list[Any], parts: list[bytes], limits: Limits) -> ParsedRequest:
     """Return the request in the words of a command and the parts of its bytes. Raises RequestFormatError.
 
-    Prevents decisions on values that are no numbers or lie outside the range in the settings: a request is
+    Prevents decisions on values that are not numbers or lie outside the range in the settings: a request is
     accepted only in its exact form, and is never corrected.
     """
     if len(words) not in REQUEST_WORD_COUNTS or not all(type(word) is bytes for word in words):
@@ -131,21 +134,21 @@
             join_parts(parts[PARTS_WITH_FIELDS:]) if len(parts) > PARTS_WITH_FIELDS else b"",
         )
     except (ValueError, KeyError) as error:
-        why = f"task not readable: {error}"
-        raise RequestFormatError(why) from None
+        reason = f"task not readable: {error}"
+        raise RequestFormatError(reason) from None
 
 
 @implementer(IHalfCloseableProtocol)
 class ClientProtocol(RespReceiver):
     """A client's connection. Parses no further input while the client leaves replies unread."""
 
-    record: Any = None  # the state machine's `ClientConnection`
+    record: Any = None  # The state machine's `ClientConnection`.
 
     def __init__(self, handle_input: InputHandler, limits: Limits) -> None:
         super().__init__(limits.line, limits.value, limits.whole, limits.items, 1)
         self.handle_input = handle_input
         self.limits = limits
-        self.dropped_bytes = 0  # read and dropped since `drain_input` last resumed reading
+        self.dropped_bytes = 0  # Bytes dropped since `drain_input` last resumed reading.
 
     def connectionMade(self) -> None:
         """Set up the accepted connection and pass it to the state machine."""
@@ -156,16 +159,16 @@
     def connectionLost(self, _reason: Failure | None = None) -> None:
         """Notify the state machine that the connection is lost."""
         record = self.record
-        self.record = None  # breaks a reference cycle that otherwise lives until a garbage collection
+        self.record = None  # Breaks a reference cycle that otherwise lives until a garbage collection.
         self.handle_input(Input.CLIENT_DISCONNECTED, record)
 
     def dataReceived(self, data: bytes) -> None:
         """Parse received bytes, and bound the input that is read without being parsed.
 
-        Prevents peers that keep sending to a closing connection from using up the processor: between two
-        sweeps a bounded amount is read and dropped, then reading pauses; outstanding replies can still be
-        sent and read. From a client that leaves replies unread, a bounded amount is read and buffered, so
-        that its close is detected.
+        Prevents peers that keep sending to a closing connection from using up the processor: between two runs
+        of the maintenance a bounded amount is read and dropped, then reading pauses; outstanding replies can
+        still be sent and read. From a client that leaves replies unread, a bounded amount is read and
+        buffered, so that its close is detected.
         """
         if self.ignoring_input:
             self.received_bytes += len(data)
@@ -192,9 +195,9 @@
         else:
             self.handle_input(Input.COMMAND_RECEIVED, self.record, value[0].upper())
 
-    def malformed(self, why: str) -> None:
+    def malformed(self, reason: str) -> None:
         """Notify the state machine of malformed input."""
-        self.handle_input(Input.CLIENT_MALFORMED, self.record, why)
+        self.handle_input(Input.CLIENT_MALFORMED, self.record, reason)
 
     def pauseProducing(self) -> None:
         """Stop parsing while the client leaves replies unread; input is still read, and buffered.
@@ -215,8 +218,8 @@
     def close(self) -> None:
         """Half-close the connection: close the sending direction once all output is written.
 
-        The client of a command that crosses the close can tell from it that the command was not read; a full
-        close would reset the connection and destroy output written before.
+        A client whose command crosses the close can tell from the half-close that the command was not read; a
+        full close would reset the connection and destroy output written before.
         """
         self.ignoring_input = True
         self.transport.unregisterProducer()
@@ -273,6 +276,6 @@
         self.handle_input = handle_input
         self.limits = limits
 
-    def buildProtocol(self, addr: IAddress | None) -> ClientProtocol:  # noqa: ARG002 - Twisted's signature
+    def buildProtocol(self, addr: IAddress | None) -> ClientProtocol:  # noqa: ARG002 - The signature is Twisted's.
         """Return the protocol for a new connection."""
         return ClientProtocol(self.handle_input, self.limits)
--- a/granitedock/service/reply_queues.py
+++ b/granitedock/service/reply_queues.py
@@ -33,7 +33,7 @@
 
     def __init__(self, context: Context) -> None:
         self.context = context
-        self.buffered_bytes = 0  # bytes of replies that are queued behind others
+        self.buffered_bytes = 0  # Bytes of replies that are queued behind others.
 
     def attach(self, clients: ClientConnections, requests: InFlightRequests) -> None:
         """Set the state machines that this one calls."""
@@ -86,7 +86,7 @@
         client.unread_bytes = 0
 
     def discard(self, client: ClientConnection) -> None:
-        """Drop all pending entries of a disconnected connection, and notify its requests."""
+        """Drop all pending entries of a disconnected connection, and release its unanswered requests."""
         for entry in client.pending:
             if entry.answer is not None:
                 self.buffered_bytes -= len(entry.answer)
