--- a/benchmarks/fleet_view.py
+++ b/benchmarks/fleet_view.py
@@ -37,7 +37,7 @@
 HIGH_LOSS = 0.2
 MESH_PERIOD_MS = 500.0
 MESH_DEAD_MS = 4000.0
-MESH_BYTES = 90
+MESH_BYTES = 90  # size of a heartbeat
 MESH_CRASHES = 60
 PLOTS = Path(__file__).parent.parent / "docs" / "plots"
 
--- a/benchmarks/fleet_view_simulation.py
+++ b/benchmarks/fleet_view_simulation.py
@@ -25,7 +25,7 @@
 LOAD_S = 60
 LARGE_LOAD_S = 10
 FALSE_DEATH_S = {10: 1800, 40: 900, 200: 120, 1000: 15}  # simulated seconds by fleet size
-STARVED_EVERY = 10  # one of so many members is starved
+STARVED_EVERY = 10  # one of this many members is starved
 STARVED_PROBABILITY = 0.3  # per second
 SECONDS_PER_HOUR = 3600
 
@@ -41,7 +41,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DetectionResult:
-    """The ms until all other members detect each end, and until each of them does."""
+    """The ms until all other members detect each end, and until each of them does.
+
+    `to_all_ms` is DETECTION_MS for an end that some member has not detected by then; `to_each_ms` has no
+    entry for that member.
+    """
 
     case: DetectionCase
     to_all_ms: list[float] = field(default_factory=list)
@@ -76,7 +80,7 @@
 class FalseDeathCase(NamedTuple):
     """Members under message loss.
 
-    With `starved`, one of `STARVED_EVERY` is starved for 0.5 to 1.5 s again and again.
+    With `starved`, one of `STARVED_EVERY` is repeatedly starved for 0.5 to 1.5 s.
     """
 
     protocol: str
--- a/benchmarks/outlier_detection.py
+++ b/benchmarks/outlier_detection.py
@@ -96,7 +96,7 @@
 
 
 def paused(simulation: QuotaSimulation) -> None:
-    """Let one host fail for 10 s, and pause one gateway until after its recovery."""
+    """Let one host fail for 10 s, and pause one gateway until after the host's recovery."""
     simulation.host_faults["h0"] = Outcome.ERROR
     simulation.pause(0, 15_000)
     simulation.schedule(10_000, simulation.host_faults.clear)
--- a/granitedock/commands/laboratory.py
+++ b/granitedock/commands/laboratory.py
@@ -191,7 +191,8 @@
 ) -> None:
     """Explore all states of a small world that runs the program's own state machines.
 
-    Exits with 1 and writes a trace if a property is violated (docs/model-checking.md).
+    Exits with 1 and writes a trace if a property is violated, and with 2 if no property is violated in the
+    first --most states and there are more (docs/model-checking.md).
     """
     from granitedock.model_checking import command
     from granitedock.model_checking.errors import TraceError
--- a/granitedock/lab/cluster/cluster.py
+++ b/granitedock/lab/cluster/cluster.py
@@ -46,8 +46,8 @@
     def __init__(self, scenario: Scenario, directory: Path, membership: dict[str, Any] | None = None) -> None:
         """Claim a loopback network. Raises NoNetworkError.
 
-        `membership` holds keys of the operators' membership file in addition to the addresses and seeds that
-        the cluster fills in. It applies only if the scenario enables membership.
+        `membership` holds keys of the operators' membership file, which extend or replace those that the
+        cluster fills in. It applies only if the scenario enables membership.
         """
         self.scenario = scenario
         self.directory = Path(directory)
--- a/granitedock/lab/fault_targets.py
+++ b/granitedock/lab/fault_targets.py
@@ -29,7 +29,7 @@
     STOP = "stop"
     RESTART = "restart"
     CUT = "cut"
-    IMPAIR = "wire"  # a link loses, delays or duplicates datagrams
+    IMPAIR = "wire"  # a link loses, delays or duplicates datagrams, and delays TCP streams
     RESTART_EMPTY = "restart_empty"
     PARTITION = "partition"
     STALE = "stale"
--- a/granitedock/lab/faults/host_faults.py
+++ b/granitedock/lab/faults/host_faults.py
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The reply of a host to one request, sent `after_ms` after the complete request is received."""
+    """The reply of a host to one request, sent `after_ms` after the host starts to process it."""
 
     kind: ReplyKind
     after_ms: float
@@ -114,7 +114,7 @@
 
 
 def draw_reply(condition: HostCondition, service: Service, random: Random) -> Reply:
-    """Draw the reply of a host in this condition to a request that is received now.
+    """Draw the reply of a host in this condition to a request that it starts to process now.
 
     This is never called for a host that is down, because its connections are closed.
     """
--- a/granitedock/lab/faults/link_faults.py
+++ b/granitedock/lab/faults/link_faults.py
@@ -23,7 +23,8 @@
 
     `cut` drops all datagrams, and buffers a TCP stream until the link heals, as retransmission does. `lost`,
     `duplicated` and `truncated` are shares of the datagrams. Each datagram is delayed by `delay_ms` plus a
-    random time of at most `jitter_ms`, so that datagrams overtake each other.
+    random time of at most `jitter_ms`, so that datagrams overtake each other. If `delay_ms` is not 0, the
+    data of a TCP stream is delayed by the same times and stays in order.
     """
 
     cut: bool = False
--- a/granitedock/lab/hollow/__main__.py
+++ b/granitedock/lab/hollow/__main__.py
@@ -1,8 +1,8 @@
 """A process of hollow gateways, run as `python -m granitedock.lab.hollow`.
 
-The first line on standard input is a `HollowOrder` as JSON, which the process answers with one line once it
-has scheduled the start of the gateways. It answers each further line, `{"status": true}`, with a
-`HollowStatus` as JSON.
+The process prints `"ready"` as its first line. The first line on standard input is a `HollowOrder` as JSON,
+and each further line is `{"status": true}`. The process answers each of them with a `HollowStatus` as JSON,
+the order as soon as it has scheduled the start of the gateways.
 """
 
 from __future__ import annotations
--- a/granitedock/lab/load/generator.py
+++ b/granitedock/lab/load/generator.py
@@ -22,7 +22,7 @@
 
 RECONNECT_S = 0.1
 CONNECT_TIMEOUT_S = 2
-BUSY_PENDING_REQUESTS = 16  # a further connection is opened once so many requests wait on each
+BUSY_PENDING_REQUESTS = 16  # a further connection is opened once this many requests wait on each
 MAX_CONNECTIONS_PER_GATEWAY = 8
 POLL_S = 0.02
 STOP_GRACE_S = 0.05  # wait beyond the last deadline
--- a/granitedock/lab/load/observations.py
+++ b/granitedock/lab/load/observations.py
@@ -20,7 +20,7 @@
     DONE = "done"
     REJECTED = "deferred"
     FAILED = "errored"
-    LOST = "lost"  # the connection ended without an answer
+    LOST = "lost"  # no gateway was up, or the connection ended without an answer
     OPEN = "open"  # the request waits for its answer
 
 
@@ -48,8 +48,8 @@
     """A request as its client observed it.
 
     `gateway` is the gateway that it was sent to, and `paused_s` how long that gateway was stopped while the
-    request waited. `gateway_ended` is set if the gateway ended or was cut off in that time, so that no answer
-    is required.
+    request waited. `gateway_ended` is set if no gateway was reachable, or if the gateway was paused while
+    the request waited and did not answer it, so that no answer is required.
     """
 
     request_id: int
--- a/granitedock/lab/load/rule_checks.py
+++ b/granitedock/lab/load/rule_checks.py
@@ -78,7 +78,7 @@
 
 
 def check_answer(request: ClientRequest, attempts: Attempts) -> list[str]:
-    """Check rule 1: an answer comes before the deadline, and no attempt reaches a host after it."""
+    """Check rule 1: an answer comes before the deadline, and no attempt reaches a host after the answer."""
     label = f"task {request.request_id} at gateway/{request.gateway}"
     answered_at_s = request.answered_at_s()
     late_ms = request.latency_ms - request.deadline_ms - 1000.0 * (request.paused_s + SLACK_S)
--- a/granitedock/lab/load/verification.py
+++ b/granitedock/lab/load/verification.py
@@ -119,10 +119,10 @@
 def observe_hosts(observed: Observations, load: LoadGenerator, cluster: GatewayCluster) -> None:
     """Add the attempts that hosts received, and the starts of hosts.
 
-    A gateway abandons an attempt by closing its connection. A host behind a cut link sees that only later, so
-    the time is taken from the proxies.
+    A gateway abandons an attempt by closing its connection. A host behind a cut link observes the close
+    only after the link heals, so the time is taken from the proxies.
     """
-    unheard_ends = {
+    unreported_closes = {
         port: at_s
         for proxy in cluster.tcp_proxies
         if proxy.party.startswith(Party.HOSTS)  # a test may name the link to a single host
@@ -130,8 +130,8 @@
     }
     for host in cluster.hosts:
         for attempt in host.attempts:
-            unheard_s = unheard_ends.get(attempt.peer_port, inf)
-            ended_s = min(attempt.ended_at_s, unheard_s if unheard_s >= attempt.received_at_s else inf)
+            closed_s = unreported_closes.get(attempt.peer_port, inf)
+            ended_s = min(attempt.ended_at_s, closed_s if closed_s >= attempt.received_at_s else inf)
             observed.attempts.append(
                 replace(
                     attempt,
--- a/granitedock/lab/scale/calls.py
+++ b/granitedock/lab/scale/calls.py
@@ -34,7 +34,8 @@
     """The cost of counter calls over `connections` connections.
 
     `calls_a_second` is the rate at which the emulator answered and `counter_cpu_us` its processor time per
-    call (us). `call_bytes` and `answer_bytes` are a call's bytes in each direction, without network headers.
+    call (us). `call_bytes` and `answer_bytes` are the bytes of a call with the longest name and of a typical
+    answer, without network headers.
     """
 
     connections: int
@@ -59,7 +60,7 @@
 
 
 def exchange_calls(connections: list[socket.socket], seconds: float) -> int:
-    """Keep `CALLS_IN_FLIGHT` calls open on each connection for `seconds` and return the answers' number."""
+    """Keep `CALLS_IN_FLIGHT` calls open on each connection for `seconds` and return the number of answers."""
     calls = cycle([encode_call(NAME_STRIDE * number, 1.0, COUNT_TTL_MS) for number in range(COUNTER_NAMES)])
     answered = 0
     with selectors.DefaultSelector() as selector:
--- a/granitedock/lab/scale/configuration.py
+++ b/granitedock/lab/scale/configuration.py
@@ -29,7 +29,7 @@
 class ConfigurationCost:
     """The cost of `gateways` hollow gateways that follow `controls` control processes.
 
-    `fresh_s` is the time from the first gateway's connection until all gateways of a fleet that starts at
+    `fresh_s` is the time from the start of the first gateway until all gateways of a fleet that starts at
     once have a snapshot. `fresh_control_cpu_s` is the processor time that this costs the busiest control
     process, `snapshot_bytes` are the bytes that each gateway exchanges for its snapshot.
 
@@ -69,9 +69,9 @@
 class StartMeasurement:
     """A start of all gateways at once.
 
-    `states` are the gateways' states when all have the first snapshot, `elapsed_s` the seconds until then,
-    `control_cpu_s` the processor seconds of the busiest control process, and `snapshot_bytes` the bytes of a
-    snapshot per gateway.
+    `states` are the gateways' states when all have the first snapshot, `elapsed_s` the seconds from the start
+    of the first gateway until then, `control_cpu_s` the processor seconds of the busiest control process, and
+    `snapshot_bytes` the bytes of a snapshot per gateway.
     """
 
     states: list[GatewayState]
@@ -167,7 +167,11 @@
         )
 
     def measure_changes(self, rest: RestMeasurement) -> ChangeMeasurement:
-        """Apply changes one after another and measure their cost beyond the load at rest."""
+        """Apply changes one after another and measure their cost.
+
+        A gateway's bytes and processor time at rest are subtracted; the processor time of the control process
+        includes its load at rest.
+        """
         before = FleetUsage.take(self.fleet)
         bytes_before = self.watch_bytes()
         control_cpu_before = self.control_cpu_s()
--- a/granitedock/lab/scale/events.py
+++ b/granitedock/lab/scale/events.py
@@ -16,7 +16,7 @@
 PARTITION_S = 3600.0
 RELEASE_S = 3600.0
 CONSECUTIVE_FAILURES = 3  # A gateway ejects a host after this many (`policy/outlier_ejection.py`).
-# The longest wait of a follower before it reconnects (`configuration/follower.py`, `follower_transport.py`).
+# The longest backoff of a follower before it reconnects (`configuration/follower_timing.py`).
 MAX_RECONNECT_S = 1.5
 CONNECT_S = 1.0
 
--- a/granitedock/lab/scale/figures.py
+++ b/granitedock/lab/scale/figures.py
@@ -68,7 +68,7 @@
 
 
 def format_factor(factor: float) -> str:
-    """Format the factor by which a budget is exceeded."""
+    """Format the total divided by the budget; an infinite factor is `without end`."""
     return "without end" if isinf(factor) else f"{format_value(factor)}x"
 
 
--- a/granitedock/lab/scale/results.py
+++ b/granitedock/lab/scale/results.py
@@ -19,9 +19,8 @@
 from granitedock.lab.scale.requests import RequestCost
 from granitedock.lab.scale.view import ViewCost
 
-Cost = (
-    HostCost | PlanCost | ViewCost | RequestCost | CallCost | FleetCost | DocumentCost | ConfigurationCost
-)  # One measurement of any kind.
+# One measurement of any kind.
+Cost = HostCost | PlanCost | ViewCost | RequestCost | CallCost | FleetCost | DocumentCost | ConfigurationCost
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitedock/lab/scale/role_figures.py
+++ b/granitedock/lab/scale/role_figures.py
@@ -17,7 +17,7 @@
 from granitedock.lab.scale.fleet import FleetCost
 from granitedock.lab.scale.tables import format_value
 
-COUNTER_CONNECTIONS = 4  # The most connections of one gateway, as in `service/limits.py`.
+COUNTER_CONNECTIONS = 4  # The most connections of one gateway (`MAX_COUNTER_LINKS` in `service/limits.py`).
 COUNTER_WINDOWS = 3  # The windows after which a counter's name expires.
 REQUEST_BYTES = 160.0  # A request of the laboratory's load; the operators give no size.
 RESPONSE_BYTES = 60.0
--- a/granitedock/lab/scenario.py
+++ b/granitedock/lab/scenario.py
@@ -116,10 +116,11 @@
 class Fault(StrictModel):
     """A fault of the timeline on `target`, which starts at `at_s` and lasts `for_s` (0: until the run ends).
 
-    `factor` multiplies service times, and `rate` is the share of requests affected. A link fault affects the
-    links between the target and `other_side`: other gateways, `counter`, `discovery` or `hosts`; an empty
-    value stands for all other gateways. An impaired link loses the share `rate` of the datagrams, delays them
-    by `late_ms` plus at most `jitter_ms`, and duplicates the share `duplicated`.
+    `factor` multiplies service times (`slow`), or is the delay of endpoint lists in seconds (`late_lists`).
+    `rate` is the share of requests affected. A link fault affects the links between the target and
+    `other_side`: other gateways, `counter`, `discovery` or `hosts`; an empty value stands for all other
+    gateways. An impaired link loses the share `rate` of the datagrams, delays them by `late_ms` plus at most
+    `jitter_ms`, and duplicates the share `duplicated`.
     """
 
     at_s: NonNegative
--- a/granitedock/lab/simulators/membership_simulation.py
+++ b/granitedock/lab/simulators/membership_simulation.py
@@ -24,7 +24,7 @@
 from granitedock.membership.timing import Timing
 
 EPOCH_UNIX_MS = 1_700_000_000_000  # start of the simulated run
-DISTINCT_START_TIMES = 7  # processes started at the same time get start times spread over so many ms
+DISTINCT_START_TIMES = 7  # processes started at the same time get this many start times, 1 ms apart
 CLUSTER = "sim"
 SETTINGS_CHECKSUM = 1
 CONNECTION_REFUSAL_MS = 1.0  # until the kernel refuses a connection to a port without a process
--- a/granitedock/model_checking/gateway_world.py
+++ b/granitedock/model_checking/gateway_world.py
@@ -115,7 +115,7 @@
     def attempt_key(attempt: Attempt) -> tuple[str, int]:
         """Return the name of the request and the number of `attempt`, which is the request's newest."""
         request = attempt.request
-        return request.parsed.id.decode(), len(request.attempts)  # type: ignore[attr-defined]  # The service's
+        return request.parsed.id.decode(), len(request.attempts)  # type: ignore[attr-defined]  # A service's request.
 
     # Possible moves.
 
--- a/granitedock/model_checking/gateway_world_shape.py
+++ b/granitedock/model_checking/gateway_world_shape.py
@@ -9,7 +9,7 @@
 from granitedock.service.limits import Limits
 
 START_MS = 1_000_000.0  # Unix time at which a window of the plan begins.
-HORIZON_MS = 2600.0  # Time does not pass after this: it is past every deadline and past a drain's grace.
+HORIZON_MS = 2600.0  # Time from START_MS after which no time passes: after every deadline and drain grace.
 DEADLINE_MS = 1000  # Deadline in the clients' requests.
 LATENCY_OBJECTIVE_MS = 400
 IDEMPOTENCY_WINDOW_MS = 300
@@ -54,9 +54,9 @@
     """The size of the world.
 
     `requests` has a request class for each request, `read`, `mark` or `once`, with a ! for a customer under a
-    ceiling; clients send them to the gateways in turn. Each gateway serves `warm_up_requests` at once before
-    the first move, so that it keeps connections, has measured its hosts as fast and cancels attempts that
-    hang.
+    ceiling; clients send them to the gateways in turn. Each gateway serves `warm_up_requests` concurrently
+    before the first move, so that it keeps connections, has measured its hosts as fast and cancels attempts
+    that hang.
     """
 
     gateways: int = 2
--- a/granitedock/model_checking/modelled_gateway.py
+++ b/granitedock/model_checking/modelled_gateway.py
@@ -133,7 +133,7 @@
         self.timers_started += 1
         heapq.heappush(self.timers, (timer.due, self.timers_started, timer))
 
-    def connect_host(self, connection: HostConnection, address: str) -> None:  # noqa: ARG002 - Of GatewayIO.
+    def connect_host(self, connection: HostConnection, address: str) -> None:  # noqa: ARG002 - GatewayIO's signature.
         """Schedule the event in which a connection to a host is established or refused."""
         name, number = self.world.attempt_key(connection.attempt)  # type: ignore[arg-type]  # Never None here.
         self.world.pending.add((move_names.HOST_CONNECT, self.number, name, number), connection)
--- a/granitedock/model_checking/trace.py
+++ b/granitedock/model_checking/trace.py
@@ -79,10 +79,8 @@
 
 def read_gateway_shape(fields: dict[str, Any]) -> GatewayWorldShape:
     """Return the shape of a world of gateways from its fields in a file. Raises KeyError or TypeError."""
-    field_names = {
-        "tasks": "requests",
-        "warm": "warm_up_requests",
-    }  # From the file's names to this program's.
+    # The names of fields by their names in the file, where these differ.
+    field_names = {"tasks": "requests", "warm": "warm_up_requests"}
     renamed = {field_names.get(name, name): value for name, value in fields.items()}
     return GatewayWorldShape(**(renamed | {"requests": tuple(fields["tasks"])}))
 
--- a/granitedock/simulator_adapter/batches.py
+++ b/granitedock/simulator_adapter/batches.py
@@ -83,7 +83,9 @@
                     raise before_hello_error(name)
                 session.on_endpoint_list(event[2], self.endpoint_records(event))
             elif name == STOP:
-                self.sessions.pop(instance, None)  # Drops its pending commands, as its requests are void.
+                self.sessions.pop(
+                    instance, None
+                )  # The pending commands are dropped: the instance's requests are void.
                 session = None
             elif name == HELLO:
                 session = self.sessions[instance] = Session(now, event[1], event[2])
@@ -93,7 +95,7 @@
         return session.take_commands() if session is not None else []
 
     def endpoint_records(self, event: Event) -> list[EndpointRecord]:
-        """Return the records of the endpoint list in an event; a list that was not fetched has none."""
+        """Return the records of the endpoint list in an event; a list that could not be fetched has none."""
         return (
             [] if event[2] == ENDPOINT_LIST_FAILED else lookup(self.endpoint_lists, event[1], "endpoint list")
         )
--- a/granitedock/simulator_adapter/session.py
+++ b/granitedock/simulator_adapter/session.py
@@ -44,7 +44,8 @@
     """One instance on the wire, and the EffectHandler of its gateway.
 
     The parameters of the `on_...` methods are the fields of the wire's events, in their order, with times in
-    ms. The methods raise MalformedBatchError for an unknown id, name or code, unless stated otherwise.
+    ms. The methods raise MalformedBatchError for an unknown id, name or code, unless stated otherwise, and
+    IndexError for an unknown attempt number.
     """
 
     def __init__(self, now: float, seed: int, settings: dict[str, Any]) -> None:
