--- a/benchmarks/outlier_detection.py
+++ b/benchmarks/outlier_detection.py
@@ -112,7 +112,7 @@
 }
 
 
-def play(case: Case) -> tuple[Case, Result]:
+def run_case(case: Case) -> tuple[Case, Result]:
     """Run one case, and return it with its result."""
     count, size = case.gateways, SIZES[case.gateways]
     offers = [OfferedLoad(key, PLAN, size.rate * count / CUSTOMERS, count) for key in range(CUSTOMERS)]
@@ -176,7 +176,7 @@
     ]
     results: dict[tuple[str, int, bool], list[Result]] = defaultdict(list)
     with ProcessPoolExecutor(os.cpu_count()) as pool:
-        for case, result in pool.map(play, cases):
+        for case, result in pool.map(run_case, cases):
             results[case.fault, case.gateways, case.detection].append(result)
     click.echo(
         "| fault | gateways | lost without | with | ratio | served without | with | good hosts ejected "
--- a/benchmarks/quota_sharing.py
+++ b/benchmarks/quota_sharing.py
@@ -143,7 +143,7 @@
 Results = dict[tuple[str, int, bool], list[Result]]
 
 
-def play(case: Case) -> tuple[Case, Result]:
+def run_case(case: Case) -> tuple[Case, Result]:
     """Run one case, and return it with its result."""
     offer = OfferedLoad(161, PLAN, 4 * RATE, case.gateways)
     simulation = QuotaSimulation(
@@ -182,7 +182,7 @@
     ]
     results: Results = defaultdict(list)
     with ProcessPoolExecutor(os.cpu_count()) as pool:
-        for case, result in pool.map(play, cases, chunksize=4):
+        for case, result in pool.map(run_case, cases, chunksize=4):
             results[case.fault, case.gateways, case.sharing].append(result)
     click.echo(
         "| fault | gateways | without: mean, max | with: mean, min, max | worst minute without | with |"
--- a/granitedock/lab/cluster/cluster.py
+++ b/granitedock/lab/cluster/cluster.py
@@ -4,8 +4,8 @@
 discovery, and proxies on all links between them. A test or a scenario's timeline kills (SIGKILL), pauses
 (SIGSTOP), resumes (SIGCONT), stops (SIGTERM) and restarts gateways, and cuts or impairs links. The cluster
 ends only the processes that it started, by their ids, also when a test fails. The emulators run on one
-Twisted reactor in a thread of this process. Everything public in this module may be called from any thread
-except the reactor's.
+Twisted reactor in a thread of this process. Everything public in this module, apart from
+`GatewayCluster.build`, may be called from any thread except the reactor's.
 """
 
 from __future__ import annotations
--- a/granitedock/lab/faults/datagram_proxy.py
+++ b/granitedock/lab/faults/datagram_proxy.py
@@ -98,8 +98,8 @@
         """Close a gateway's socket after its process has ended.
 
         The kernel then refuses datagrams to this address, as it does for any port without a listener. If a
-        link to this gateway is cut, the socket stays open and silent instead. Returns None, or a Deferred
-        that fires when the socket is closed.
+        link to this gateway is cut, the socket stays open and silent instead. Returns a Deferred that fires
+        when the socket is closed, or None if it stays open or is closed already.
         """
         gateway = self.gateways[name]
         is_cut = any(self.faults.on(other, name).cut for other in self.gateways)
@@ -110,7 +110,10 @@
         return port.stopListening()
 
     def stop(self) -> list[Any]:
-        """Close all sockets; returns a Deferred, or None, for each."""
+        """Close all sockets.
+
+        Returns for each a Deferred that fires when it is closed, or None if it is closed already.
+        """
         ports = [gateway.port for gateway in self.gateways.values() if gateway.port is not None]
         for gateway in self.gateways.values():
             gateway.port = None
--- a/granitedock/lab/faults/tcp_proxy.py
+++ b/granitedock/lab/faults/tcp_proxy.py
@@ -215,7 +215,10 @@
         ]
 
     def stop(self) -> Any:
-        """Close the listener and all connections; returns a Deferred, or None."""
+        """Close the listener and all connections.
+
+        Returns a Deferred that fires when the listener is closed, or None if it is closed already.
+        """
         self.faults.listeners.remove(self.apply_faults)
         for filler in self.fillers:
             filler.close()
--- a/granitedock/lab/load/generator.py
+++ b/granitedock/lab/load/generator.py
@@ -1,4 +1,4 @@
-"""Open-loop load on gateways: requests are sent at random times, however slow the answers are.
+"""Open-loop load on gateways: requests are sent at scheduled times, however slow the answers are.
 
 As the platform's front does, each request goes to one gateway of its customer's subset, drawn at random from
 those with an open connection. A gateway whose connections have ended is left out until it accepts one again.
--- a/granitedock/lab/scale/role_figures.py
+++ b/granitedock/lab/scale/role_figures.py
@@ -21,7 +21,7 @@
 COUNTER_WINDOWS = 3  # The windows after which a counter's name expires.
 REQUEST_BYTES = 160.0  # A request of the laboratory's load; the operators give no size.
 RESPONSE_BYTES = 60.0
-MAX_HOST_CONNECTIONS = 400.0  # The limit in `service/limits.py` for a gateway with 1,024 descriptors.
+MAX_HOST_CONNECTIONS = 400.0  # Rounded from 398, the limit in `service/limits.py` with 1,024 descriptors.
 
 
 def counter_figures(model: CapacityModel) -> list[CapacityFigure]:
--- a/granitedock/lab/scale/view.py
+++ b/granitedock/lab/scale/view.py
@@ -16,8 +16,8 @@
 class ViewCost:
     """One gateway's part of the cost at rest, in a cluster of `gateways` gateways.
 
-    Datagrams and bytes sent, and processor ms, each per second. The processor time includes that of the
-    simulated network.
+    The costs are datagrams and bytes sent, and processor ms, each per second. The processor time includes
+    that of the simulated network.
     """
 
     gateways: int
--- a/granitedock/lab/scenario.py
+++ b/granitedock/lab/scenario.py
@@ -102,7 +102,7 @@
     customer: Annotated[int, Field(ge=0)]
     request_class: str = Field(alias="product")
     plan: str
-    rate: Positive  # requests per second
+    rate: Positive  # requests per second of a steady load; bursts do not use it
     shape: Literal["steady", "bursts"] = "steady"
     burst_size: Annotated[int, Field(ge=1)] = 50
     burst_every_s: Positive = 5.0
--- a/granitedock/lab/scenario_runner.py
+++ b/granitedock/lab/scenario_runner.py
@@ -80,16 +80,16 @@
         if scenario.fleet.membership:
             elapsed_s = cluster.wait_for_agreement(range(cluster.count), JOIN_TIMEOUT_S)
             show_line(f"views agree after {elapsed_s:.1f} s")
-        clients = cluster_load(cluster)
+        generator = cluster_load(cluster)
         cluster.restart_timeline()
-        clients.start()
-        run_timeline(cluster, clients, show_line)
-        records = clients.stop()
+        generator.start()
+        run_timeline(cluster, generator, show_line)
+        records = generator.stop()
         faults = [fault.model_dump(by_alias=True) for fault in scenario.timeline]
         run_storage.save(Run(scenario.name, scenario.length_s, faults, records), folder)
         for line in summary(records):
             show_line(line)
-        unmet = violations(clients, cluster) + unmet_expectations(scenario, records, show_line)
+        unmet = violations(generator, cluster) + unmet_expectations(scenario, records, show_line)
     return show_unmet(unmet, show_line)
 
 
@@ -104,8 +104,8 @@
     scenario = load(path)
     check_addresses(path, scenario, addresses)
     length_s = seconds or scenario.length_s
-    clients = LoadGenerator(scenario, addresses)
-    run = Run(scenario.name, length_s, [], clients.run(length_s))
+    generator = LoadGenerator(scenario, addresses)
+    run = Run(scenario.name, length_s, [], generator.run(length_s))
     for line in report.report_lines(run):
         show_line(line)
     if out is not None:
@@ -113,7 +113,7 @@
         folder.mkdir(parents=True, exist_ok=True)
         run_storage.save(run, folder)
         report.plot([run], folder / PLOT_FILE)
-    return show_unmet(violations(clients), show_line)
+    return show_unmet(violations(generator), show_line)
 
 
 def check_addresses(path: str, scenario: Scenario, addresses: list[str]) -> None:
@@ -136,7 +136,7 @@
     return NOT_MET if unmet else OK
 
 
-def run_timeline(cluster: GatewayCluster, clients: LoadGenerator, show_line: ShowLine) -> None:
+def run_timeline(cluster: GatewayCluster, generator: LoadGenerator, show_line: ShowLine) -> None:
     """Begin and end the faults of gateways at their times, until the end of the scenario.
 
     The emulators begin and end their own faults.
@@ -144,16 +144,16 @@
     scenario = cluster.scenario
     for step in timeline_steps(scenario):
         fault = scenario.timeline[step.position]
-        time.sleep(max(0.0, step.at_s - clients.now_s()))
+        time.sleep(max(0.0, step.at_s - generator.now_s()))
         description = f"{fault.kind} {fault.target} {fault.other_side} {step.step}"
-        show_line(f"{clients.now_s():6.1f} s  {description}")
+        show_line(f"{generator.now_s():6.1f} s  {description}")
         if step.step == Step.ENDS:
             cluster.end_fault(fault)
             continue
         cluster.begin_fault(fault)
         if scenario.fleet.membership and fault.kind in (FaultKind.KILL, FaultKind.STOP):
-            show_detection_time(cluster, clients, show_line)
-    time.sleep(max(0.0, scenario.length_s - clients.now_s()))
+            show_detection_time(cluster, generator, show_line)
+    time.sleep(max(0.0, scenario.length_s - generator.now_s()))
 
 
 def timeline_steps(scenario: Scenario) -> Iterator[TimelineStep]:
@@ -173,14 +173,14 @@
     return bool(gateway_numbers(fault.target, gateways)) and TargetKind.GATEWAY in TARGETS[fault.kind]
 
 
-def show_detection_time(cluster: GatewayCluster, clients: LoadGenerator, show_line: ShowLine) -> None:
+def show_detection_time(cluster: GatewayCluster, generator: LoadGenerator, show_line: ShowLine) -> None:
     """Wait until the running gateways see exactly themselves as live, and show the elapsed time."""
     live = [gateway.number for gateway in cluster.gateways if gateway.is_running() and not gateway.paused]
-    began_s = clients.now_s()
+    began_s = generator.now_s()
     try:
         elapsed_s = cluster.wait_for_agreement(live, DETECTION_TIMEOUT_S)
     except ClusterError as error:
-        show_line(f"{clients.now_s():6.1f} s  views differ: {error}")
+        show_line(f"{generator.now_s():6.1f} s  views differ: {error}")
     else:
         show_line(f"{began_s:6.1f} s  all views agree after {elapsed_s:.1f} s")
 
--- a/granitedock/model_checking/explore.py
+++ b/granitedock/model_checking/explore.py
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Exploration:
-    """The result of a search. `complete`: every state was visited, without reaching the limit of states."""
+    """The result of a search. `complete` is False if it ended at the limit of states."""
 
     states: int = 0
     moves: int = 0
