--- a/granitedock/lab/emulators/counter.py
+++ b/granitedock/lab/emulators/counter.py
@@ -53,9 +53,9 @@
     def __init__(self) -> None:
         self.increments: defaultdict[bytes, deque[Increment]] = defaultdict(deque)
 
-    def add(self, name: bytes, number: float, life_ms: float, now_ms: float) -> float:
-        """Add `number` to a name's total for `life_ms`; returns the total."""
-        self.increments[name].append(Increment(now_ms + life_ms, number))
+    def add(self, name: bytes, amount: float, life_ms: float, now_ms: float) -> float:
+        """Add `amount` to a name's total for `life_ms`; returns the total."""
+        self.increments[name].append(Increment(now_ms + life_ms, amount))
         return self.total(name, now_ms)
 
     def total(self, name: bytes, now_ms: float) -> float:
@@ -162,11 +162,11 @@
         if len(words) != TALLY_WORDS or words[0] != b"TALLY":
             return b"-ERR unknown call\r\n"
         try:
-            number, life_ms = float(words[2]), float(words[3])
+            amount, life_ms = float(words[2]), float(words[3])
         except ValueError:
             return b"-ERR not a number\r\n"
         now_ms = self.now_ms()
-        total = self.counts.add(words[1], number, life_ms, now_ms)
+        total = self.counts.add(words[1], amount, life_ms, now_ms)
         stale = self.frozen_counts or self.stale_counts
         if stale is not None:
             total = stale.total(words[1], now_ms)
--- a/granitedock/model_checking/trace.py
+++ b/granitedock/model_checking/trace.py
@@ -90,7 +90,7 @@
     classes = [request.rstrip(CEILING_MARK) for request in shape.requests]
     if not classes or any(request_class not in REQUEST_CLASSES for request_class in classes):
         class_names = ", ".join(REQUEST_CLASSES)
-        message = f"no tasks: {shape.requests}; they are of {class_names}, with a ! under a ceiling"
+        message = f"no tasks: {shape.requests}; expected {class_names}, with a ! under a ceiling"
         raise TraceError(message)
     if min(shape.gateways, shape.hosts) < 1 or min(shape.faults, shape.warm_up_requests) < 0:
         message = "a world needs at least 1 gateway and 1 host; faults and warm-up requests are at least 0"
