--- a/granitedock/lab/cluster/cluster.py
+++ b/granitedock/lab/cluster/cluster.py
@@ -4,8 +4,8 @@
 discovery, and proxies on all links between them. A test or a scenario's timeline kills (SIGKILL), pauses
 (SIGSTOP), resumes (SIGCONT), stops (SIGTERM) and restarts gateways, and cuts or impairs links. The cluster
 ends only the processes that it started, by their ids, also when a test fails. The emulators run on one
-Twisted reactor in a thread of this process. Everything public in this module may be called from any thread
-except the reactor's.
+Twisted reactor in a thread of this process. Everything public in this module, apart from
+`GatewayCluster.build`, may be called from any thread except the reactor's.
 """
 
 from __future__ import annotations
@@ -46,8 +46,8 @@
     def __init__(self, scenario: Scenario, directory: Path, membership: dict[str, Any] | None = None) -> None:
         """Claim a loopback network. Raises NoNetworkError.
 
-        `membership` holds keys of the operators' membership file in addition to the addresses and seeds that
-        the cluster fills in. It applies only if the scenario enables membership.
+        `membership` holds keys of the operators' membership file, which extend or replace those that the
+        cluster fills in. It applies only if the scenario enables membership.
         """
         self.scenario = scenario
         self.directory = Path(directory)
--- a/granitedock/lab/load/generator.py
+++ b/granitedock/lab/load/generator.py
@@ -1,4 +1,4 @@
-"""Open-loop load on gateways: requests are sent at random times, however slow the answers are.
+"""Open-loop load on gateways: requests are sent at scheduled times, however slow the answers are.
 
 As the platform's front does, each request goes to one gateway of its customer's subset, drawn at random from
 those with an open connection. A gateway whose connections have ended is left out until it accepts one again.
@@ -22,7 +22,7 @@
 
 RECONNECT_S = 0.1
 CONNECT_TIMEOUT_S = 2
-BUSY_PENDING_REQUESTS = 16  # a further connection is opened once so many requests wait on each
+BUSY_PENDING_REQUESTS = 16  # a further connection is opened once this many requests wait on each
 MAX_CONNECTIONS_PER_GATEWAY = 8
 POLL_S = 0.02
 STOP_GRACE_S = 0.05  # wait beyond the last deadline
