--- a/granitedock/__main__.py
+++ b/granitedock/__main__.py
@@ -30,7 +30,7 @@
 
 
 class LazyGroup(click.Group):
-    """A group that imports a command's module when the command runs, so that a start imports no other."""
+    """A group that imports a command's module when it is looked up, so that a command imports no other."""
 
     def list_commands(self, context: click.Context) -> list[str]:  # noqa: ARG002 - click passes a context
         """Return the names of all commands without importing their modules."""
--- a/granitedock/event_log.py
+++ b/granitedock/event_log.py
@@ -19,7 +19,7 @@
 
 
 class DescriptorWriter:
-    """Writes lines to a file descriptor, each whole and without buffering."""
+    """Writes lines to a file descriptor, each in one unbuffered write."""
 
     def __init__(self, log: EventLog, descriptor: int) -> None:
         self.log = log
--- a/granitedock/gateway_process.py
+++ b/granitedock/gateway_process.py
@@ -1,7 +1,7 @@
 """One gateway process: the service and, where enabled, membership and the configuration service.
 
-This is the only module that depends on the service as well as on these optional components. Each component is
-imported only if it is enabled.
+In a running gateway, this is the only module that joins the service with these optional components. Each
+component is imported only if it is enabled.
 """
 
 from __future__ import annotations
--- a/granitedock/membership_services.py
+++ b/granitedock/membership_services.py
@@ -1,6 +1,6 @@
 """The services that exchange payloads over membership: quota sharing and outlier detection, with their I/O.
 
-This is the only module that depends on membership as well as on these services.
+In a running gateway, this is the only module that joins membership with these services.
 """
 
 from __future__ import annotations
@@ -147,7 +147,7 @@
         self.log = transport.log
         self.name = transport.local_member.membership.local.name
         self.sharing = sharing
-        self.written_change_count = 0  # The number of the newest row in the file.
+        self.written_change_count = 0  # The usage's `change_count` at the last write.
         self.is_writing = False
 
     def read(self, now: float) -> None:
@@ -167,7 +167,7 @@
         self.log.event("snapshot read", file=str(self.path), rows=len(rows), of_use=used)
 
     def write(self) -> None:
-        """Write the rows in a separate thread if there are new ones and no write is in progress.
+        """Write the rows in a separate thread if any have changed and no write is in progress.
 
         A write to a slow disk may take a tenth of a second or more. A separate thread prevents time-outs of
         counter calls and attempts, which a blocked event loop would cause; the cost is that the file is older
--- a/granitedock/platform_settings.py
+++ b/granitedock/platform_settings.py
@@ -1,6 +1,6 @@
 """Decoding of the platform's settings into the policy's types, for the service and the simulator's adapter.
 
-The keys of the records are the platform's names; only this module translates them.
+The keys of the records are the platform's names; the policy uses none of them.
 """
 
 from __future__ import annotations
@@ -59,8 +59,8 @@
 def plan(record: Record, window_ms: float = 0.0) -> Plan:
     """Decode one plan; a number that is absent or null is read as 0.
 
-    `window_ms` has the meaning it has in `Plan`. The fields are read without a call of
-    `number_or_zero` for each, because a deployment has tens of thousands of plans.
+    `window_ms` has the meaning it has in `Plan`. The fields are read without a call of `number_or_zero` for
+    each, because a deployment has tens of thousands of plans.
     """
     field = record.get
     return Plan(
--- a/granitedock/policy/circuit_breaker.py
+++ b/granitedock/policy/circuit_breaker.py
@@ -1,8 +1,8 @@
 """The circuit breaker around the counter, the budget of a call, and the share of requests that is counted.
 
 The breaker opens after five failures in a row and is half-open for one trial after the quarantine. Apart from
-its states, each failure cuts the share of requests that is counted, which relieves an overloaded counter
-gradually.
+its states, each late, rejected or unsent call cuts the share of requests that is counted, which relieves an
+overloaded counter gradually.
 """
 
 from __future__ import annotations
@@ -14,11 +14,13 @@
 from granitedock.state_table import advance
 
 FAILURES_TO_OPEN = 5  # Consecutive failures that open the breaker.
-# An open breaker makes no call for this multiple of the shortest latency objective.
+# An open breaker lets no request be counted for this multiple of the shortest latency objective.
 QUARANTINE_OBJECTIVE_MULTIPLE = 1.5
-# Calls that can wait are made after this multiple of the shortest latency objective without a failed call.
+# Calls that can wait are made after this multiple of the shortest latency objective without a call that was
+# late, rejected or unsent.
 FAILURE_FREE_OBJECTIVE_MULTIPLE = 5.0
-COUNTED_SHARE_FACTOR = 0.8  # A failure multiplies the share of requests that is counted by this.
+# A late, rejected or unsent call multiplies the share of requests that is counted by this.
+COUNTED_SHARE_FACTOR = 0.8
 COUNTED_SHARE_STEP = 0.03  # A success adds this to the share of requests that is counted.
 MIN_COUNTED_SHARE = 0.1
 MAX_CREDIT_CALLS = 2.0  # Calls that may be made at once after requests that made none.
@@ -49,7 +51,7 @@
         self.quarantine_until = 0.0
         self.now = 0.0
         self.log = log_decision
-        self.failed_at = float("-inf")
+        self.failed_at = float("-inf")  # When the counted share was last reduced.
         self.counted_share = 1.0
         self.call_credit = 1.0
         self.quarantine_ms = QUARANTINE_OBJECTIVE_MULTIPLE * latency_objective_ms
@@ -79,15 +81,16 @@
     def has_spare_capacity(self) -> bool:
         """Return whether the counter has room for calls that can wait.
 
-        The counter has room where all requests are counted and no call has failed for `failure_free_ms`.
+        The counter has room where all requests are counted and the counted share was not reduced for
+        `failure_free_ms`.
         """
         return self.counted_share >= 1.0 and self.now - self.failed_at > self.failure_free_ms
 
     def call_budget_ms(self, max_ms: float) -> float:
         """Return how long to wait for a call, in ms.
 
-        Prevents timeouts of a counter that is only slower than assumed; the cost is the requests that the
-        wait makes late.
+        `max_ms` limits the wait only above `CALL_BUDGET_MS`. Prevents timeouts of a counter that is only
+        slower than assumed; the cost is the requests that the wait makes late.
         """
         mean = self.call_times.mean(self.now, 1.0, 0.0)
         return max(CALL_BUDGET_MS, min(max_ms, CALL_BUDGET_MEAN_MULTIPLE * mean))
@@ -95,7 +98,8 @@
     def reduce_counted_share(self) -> None:
         """Reduce the share of requests that is counted.
 
-        A late or rejected call indicates an overloaded counter; a connection that breaks does not.
+        A call that is late, rejected or could not be sent indicates an overloaded counter; a connection that
+        breaks during a call does not.
         """
         self.failed_at = self.now
         self.counted_share = max(MIN_COUNTED_SHARE, COUNTED_SHARE_FACTOR * self.counted_share)
@@ -108,7 +112,7 @@
         return BreakerEvent.TRIPPED if self.failures >= FAILURES_TO_OPEN else None
 
     def start_quarantine(self, _: CircuitBreaker) -> None:
-        """Start the quarantine: no calls until it ends, then one trial."""
+        """Start the quarantine: no request is counted until it ends, then one trial."""
         self.quarantine_until = self.now + self.quarantine_ms
 
     def reset(self, _: CircuitBreaker) -> None:
--- a/granitedock/policy/gateway.py
+++ b/granitedock/policy/gateway.py
@@ -35,7 +35,7 @@
 )
 from granitedock.state_table import advance
 
-# Mean answer times after which an attempt at a silent host is cancelled, so that it can be retried.
+# Mean answer times after which an attempt at a silent host is cancelled, so that the request can be retried.
 SILENCE_CHECK_MULTIPLE = 3.0
 
 
@@ -84,7 +84,7 @@
         """Apply the end of an attempt.
 
         `final` means that the answer of the attempt is the answer of the request. `units`, where above 0, is
-        the actual cost of the request, and the counted usage is adjusted to it.
+        the actual cost of the request; if the outcome is DONE, the counted usage is adjusted to it.
         """
         request = attempt.request
         attempt.outcome = outcome
@@ -129,14 +129,14 @@
         self.rate_limiter.refund(request)
 
     def send_over_quota(self, request: Request) -> RequestEvent:
-        """Send a request over quota only where its plan gains more by that than it costs."""
+        """Refund a request over quota, and send it only where its plan gains more by that than it costs."""
         self.rate_limiter.refund(request)
         if request.plan.over_quota_weight > request.plan.over_quota_cost:
             return self.send(request)
         return RequestEvent.NO_HOST
 
     def send(self, request: Request) -> RequestEvent:
-        """Send the next attempt, if a host is expected to answer in time and the ceiling has room."""
+        """Send the next attempt if a host has capacity for it; the first also needs room in the ceiling."""
         account: QuotaAccount = request.customer.account
         load_balancer = self.load_balancer
         counted = self.rate_limiter.is_counted(request)
@@ -160,8 +160,9 @@
     def cancel_if_silent(self, request: Request) -> None:
         """Cancel the latest attempt if its host has answered nothing since the attempt was sent.
 
-        Prevents requests from waiting for hosts that hang, vanish or lose answers. A host that has answered
-        since then is only slow: its attempt continues, and the check is scheduled again.
+        The attempt continues where no retry could follow it. Prevents requests from waiting for hosts that
+        hang, vanish or lose answers. A host that has answered since then is only slow: its attempt continues,
+        and the check is scheduled again.
         """
         attempt = request.attempts[-1]
         retry_budget = self.load_balancer.retry_budget
@@ -173,7 +174,8 @@
     def reject_or_fail(self, request: Request) -> None:
         """Give the single final answer at once.
 
-        The answer is a rejection where a repeat by the client does no harm, and an error otherwise.
+        The answer is a rejection where a repeat by the client does no harm, and an error otherwise. The units
+        of a request that was never sent are refunded.
         """
         if not request.attempts:
             self.rate_limiter.refund(request)
@@ -221,7 +223,7 @@
         return request.received_at + request_class.latency_objective_ms
 
     def schedule_silence_check(self, attempt: Attempt) -> None:
-        """Schedule a silence check if a retry after it could still be answered within the objective."""
+        """Schedule a silence check if a retry after it is permitted and could be answered in time."""
         request = attempt.request
         if retry_condition(request) is RepeatCondition.NEVER or not self.permitted.cancel:
             return
@@ -232,9 +234,10 @@
             self.effects.start_timer(SILENCE_CHECK_MULTIPLE * mean_ms, attempt)
 
     def retry_after_ms(self, request: Request) -> float:
-        """Return the time after which a repeat may succeed, at most the permitted maximum.
+        """Return the time in ms after which a repeat may succeed, at most the permitted maximum.
 
-        By then a host has answered, and the quota and the ceiling have room for the request.
+        It is the longest of the mean answer time and the waits until the burst and, for a request that was
+        never sent, the ceiling have room.
         """
         account: QuotaAccount = request.customer.account
         waits_ms = [self.load_balancer.estimates.mean_answer_ms(self.now)]
--- a/granitedock/policy/host_health.py
+++ b/granitedock/policy/host_health.py
@@ -31,8 +31,8 @@
         self.reinstated_at = 0.0
         self.answered_at = now
         self.in_flight: dict[Attempt, None] = {}  # In the order of sending, oldest first.
-        # Sums of answer times, and of the attempts in flight here when the answered one was sent, itself
-        # included.
+        # Sums of answer times divided by the request's relative work, and of the attempts in flight here when
+        # the answered one was sent, itself included.
         self.service_time = RollingWindow(SERVICE_TIME_SPAN_MS)
-        # Until when the host is expected to reject requests of a plan.
+        # The time until which the host is expected to reject requests of a plan.
         self.plan_refused_until: dict[Plan, float] = {}
--- a/granitedock/policy/load_balancer.py
+++ b/granitedock/policy/load_balancer.py
@@ -28,14 +28,14 @@
 )
 from granitedock.random_source import RandomSource
 
-MAX_DRAWS = 12  # Hosts drawn to choose one for a request.
+MAX_DRAWS = 12  # Largest number of hosts drawn to choose one for a request.
 # Limits of the expected answer time. The first two are shares of the latency objective and apply to a mean
-# request; requests that the counter did not admit have the lower one, so that they are rejected first.
+# request; requests that are not counted have the lower one, so that they are rejected first.
 MAX_QUEUE_SHARE = 0.45
 MAX_QUEUE_SHARE_UNCOUNTED = 0.4
 MAX_TIME_LEFT_SHARE = 0.8  # Of the time left for the request, for its own expected answer time.
-# Mean attempts of this gateway per host. Below it, a host that has none of them may still be busy with
-# requests of other gateways.
+# Mean number of attempts of this gateway in flight per host. Below it, a host that has none of them may still
+# be busy with requests of other gateways.
 SUFFICIENT_ATTEMPTS_PER_HOST = 0.4
 
 
@@ -73,7 +73,7 @@
     def update_endpoints(self, updates: list[EndpointUpdate], complete: bool) -> None:
         """Apply updates of the endpoint list; a complete list removes the hosts that it does not name.
 
-        A removed host stays tracked until its last attempt in flight has ended.
+        A removed host stays tracked until the first update after its last attempt in flight has ended.
         """
         if complete:
             for host in self.tracked_hosts:
@@ -81,7 +81,8 @@
         for update in updates:
             host = update.host
             if host.health is None or update.started_at > host.started_at:
-                host.health = HostHealth(self.now)  # A restart voids all earlier measurements.
+                # The host is new, or its restart voids earlier measurements.
+                host.health = HostHealth(self.now)
             host.size = update.size
             host.machine_type = update.machine_type
             host.zone = update.zone
@@ -111,7 +112,8 @@
         """Choose a host by power of two choices: of two drawn at random, the one expected to answer sooner.
 
         Draws further hosts where that one exceeds `max_queue_ms` or where drawn ones are not eligible, since
-        another may have capacity. Where the slow-start credit suffices, a warming host is drawn first.
+        another may have capacity. Where the slow-start credit suffices, a warming host is drawn first; other
+        warming hosts, and hosts already tried if there are enough others, are skipped.
         Without an eligible host the result is the ineligible one drawn last, or None if there is none either.
         """
         self.refresh_if_due()
@@ -144,7 +146,7 @@
         """Draw one host at random.
 
         From all ready hosts it draws in proportion to their registered sizes, because the attempts of one
-        gateway are too few to show how much capacity a host has.
+        gateway are too few to show how much capacity a host has. From fewer hosts it draws uniformly.
         """
         sizes = self.cumulative_sizes if hosts is self.ready else range(1, len(hosts) + 1)
         return hosts[bisect(sizes, self.random.fraction() * sizes[-1])]
@@ -169,7 +171,7 @@
         return shortest_ms * self.estimates.relative_value(request, self.now)
 
     def is_overloaded(self, host: Host, request: Request, max_queue_ms: float) -> bool:
-        """Whether the chosen host is expected to answer too late for the request to be sent there."""
+        """Return whether the chosen host is expected to answer too late for the request to be sent there."""
         objective = request.request_class.latency_objective_ms
         time_left_ms = min(request.received_at + objective, request.deadline) - self.now
         expected_ms = self.expected_answer_ms(host)
@@ -185,10 +187,10 @@
         )
 
     def should_probe_overdue_host(self, lateness: float) -> bool:
-        """Whether to send to a host that is expected to answer late but has no attempt of this gateway.
+        """Return whether to send to a host without attempts of this gateway that is expected to answer late.
 
         `lateness` is the expected answer time as a multiple of its limit, infinite where no time is left;
-        then the request is never sent. With too few attempts per host the chance to send it is
+        the request is then not sent. With too few attempts per host the chance to send it is
         1 / lateness**2, otherwise it is always sent. Prevents overload that this gateway cannot see because
         it has too few attempts; the cost is requests rejected without need where the estimate is wrong.
         """
--- a/granitedock/policy/load_estimates.py
+++ b/granitedock/policy/load_estimates.py
@@ -18,7 +18,7 @@
 
 
 class LoadEstimates:
-    """Keeps rolling means over all hosts, in ms; those of one host are in its `HostHealth`."""
+    """Keeps rolling means over all hosts, of times in ms; those of one host are in its `HostHealth`."""
 
     def __init__(self, latency_objective_ms: float) -> None:
         self.initial_answer_ms = INITIAL_ANSWER_SHARE * latency_objective_ms
@@ -36,7 +36,8 @@
     def relative_work(self, now: float, *group: object) -> float:
         """Return the mean answer time of a group of requests as a multiple of that of all requests.
 
-        For a request class alone it is the answer time per unit. It is 1 for a group without answers.
+        For a request class alone each answer is weighted by its request's units. It is 1 for a group without
+        answers.
         """
         mean = self.answer_times[()].mean(now, INITIAL_WEIGHT_ANSWERS, self.initial_answer_ms)
         return (
--- a/granitedock/policy/outlier_ejection.py
+++ b/granitedock/policy/outlier_ejection.py
@@ -18,7 +18,7 @@
 Log = Callable[[str], None]
 CONSECUTIVE_FAILURES_TO_EJECT = 3
 EJECTION_MULTIPLE = 3.0  # Ejection time, in multiples of the shortest latency objective.
-SILENCE_MULTIPLE = 4.0  # Time without any answer, in multiples of the mean answer time.
+SILENCE_MULTIPLE = 4.0  # Time without an answer that makes a host silent, in mean answer times.
 # Shortest time-out that counts as a failure of the host, in multiples of the mean answer time.
 CONCLUSIVE_TIMEOUT_MULTIPLE = 2.0
 
@@ -42,7 +42,7 @@
         self.panic_mode = 2 * len(unhealthy) > len(ready)
 
     def is_silent(self, host: Host) -> bool:
-        """Whether a host with attempts in flight has sent no answer for too long.
+        """Return whether a host with attempts in flight has sent no answer for too long.
 
         Detects hosts that accept requests and answer none, and machines that vanish without closing their
         connections.
@@ -56,7 +56,10 @@
         return self.now - since > SILENCE_MULTIPLE * self.estimates.mean_answer_ms(self.now)
 
     def is_eligible(self, host: Host, request: Request) -> bool:
-        """Whether no evidence of this or other gateways rules out sending the request to the host."""
+        """Return whether no evidence of this or other gateways rules out sending the request to the host.
+
+        In panic mode only an earlier refusal of the plan rules the host out.
+        """
         health: HostHealth = host.health
         if self.now < health.plan_refused_until.get(request.plan, 0.0):
             return False
@@ -72,7 +75,7 @@
         return health.state is HostState.HEALTHY and not self.is_silent(host)
 
     def attempt_started(self, attempt: Attempt) -> None:
-        """Record an attempt in flight; the first one after an ejection starts the host's probation."""
+        """Record an attempt in flight; the first one at an ejected host starts its probation."""
         health: HostHealth = attempt.host.health
         advance(HOST, health, HostEvent.EJECTION_OVER, self)
         health.in_flight[attempt] = None
@@ -87,7 +90,7 @@
             self.detector.attempt_finished(attempt.host, outcome, took_ms, objective, self.now)
 
     def is_inconclusive(self, outcome: Outcome, took_ms: float) -> bool:
-        """Whether the outcome is no evidence about the host.
+        """Return whether the outcome is no evidence about the host.
 
         This holds for a time-out that comes early because of the client's short deadline, and for an attempt
         that was never sent.
@@ -115,7 +118,7 @@
     # Effects of the state table `HOST`.
 
     def count_failure(self, health: HostHealth) -> HostEvent | None:
-        """Count a consecutive failure; returns the event that ejects the host once there are too many."""
+        """Count a consecutive failure, and return the event that ejects the host once there are too many."""
         health.failures += 1
         return HostEvent.TRIPPED if health.failures >= CONSECUTIVE_FAILURES_TO_EJECT else None
 
--- a/granitedock/policy/ports.py
+++ b/granitedock/policy/ports.py
@@ -89,11 +89,11 @@
         ...
 
     def reject(self, request: Request, retry_after_ms: float | None) -> None:
-        """Answer that the request did not run and may be repeated, after `retry_after_ms` if given."""
+        """Answer with a rejection: the client may repeat the request, after `retry_after_ms` if given."""
         ...
 
     def fail(self, request: Request) -> None:
-        """Answer with an error, as the request may have run."""
+        """Answer with an error, as the request may have run and its repeat could do harm."""
         ...
 
     def cancel(self, attempt: Attempt) -> None:
--- a/granitedock/policy/quota_account.py
+++ b/granitedock/policy/quota_account.py
@@ -16,14 +16,16 @@
 MAX_NAME_TTL_MS = 60000.0  # The counter's longest TTL of a name.
 NAME_TTL_WINDOWS = 3.0  # TTL of a name, in windows.
 BURST_SLACK_UNITS = 0.5  # Tolerance beyond the burst, for delays.
-FROZEN_AFTER_TOTALS = 4  # Totals in a row, unchanged by this gateway's increments, that carry no information.
+# Consecutive totals, unchanged by this gateway's increments, after which totals carry no information.
+FROZEN_AFTER_TOTALS = 4
 LOST_BURST_DIVISOR = 4  # A total that falls by more than the burst divided by this has lost units.
 
 
 class QuotaAccount:
     """Holds one customer's quota state at this gateway, in units and ms.
 
-    The `subset_size` gateways from number `subset_start` serve the customer.
+    The `subset_size` gateways from number `subset_start` serve the customer. `process_started_at` is when
+    this process started; a ceiling fills from `now` where that is later, as by default.
     """
 
     def __init__(
@@ -45,12 +47,13 @@
         self.current = 0.0  # Last total of this window's name.
         self.previous = 0.0  # Last total of the previous window's name.
         self.quota = SharedQuota(plan, subset_start, self.subset_size, self.window_ms)
-        # The fields up to `uncounted_before` are for gateways that share uncounted units, of this window.
+        # The next fields, up to `uncounted_before`, are used where gateways share uncounted units. They are
+        # of the current window, unless noted otherwise.
         self.unreported = 0.0  # Units of this gateway that the next increment includes.
         self.added_by_this_gateway = 0.0
         self.last_total = 0.0  # Total as the counter returned it.
         self.lost = 0.0  # Units that the counter has lost.
-        self.unchanged_totals = 0
+        self.unchanged_totals = 0  # Consecutive totals that did not change; not reset with the window.
         self.uncounted = 0.0  # Units of other gateways that the counter does not know.
         self.uncounted_before = 0.0  # Such units of the window before.
         self.burst_usage = 0.0  # Units used beyond what the rate has refilled, as of `burst_usage_at`.
@@ -65,7 +68,8 @@
         """Return the bucket for the even share of a hard ceiling, or None without a ceiling.
 
         The bucket fills from the start of the process, from as low a level as the slack allows, as that start
-        may be a restart. An account evicted earlier has been idle for longer than the time credited here.
+        may be a restart. At most half of `MAX_NAME_TTL_MS` is credited; an account evicted earlier has been
+        idle for longer than that.
         """
         plan = self.plan
         if plan.ceiling_rate <= 0:
@@ -78,7 +82,8 @@
     def advance_window(self, now: float) -> None:
         """Start the window of `now` if it is not the current one.
 
-        The previous count is the last total of the previous window's name, less the pending refund.
+        The previous count is the last total of the previous window's name, less the pending refund, or 0
+        where windows were skipped.
         """
         window = int(now // self.window_ms)
         if window != self.window:
@@ -103,9 +108,9 @@
         """Return the total including units that the counter does not know.
 
         Other gateways admitted `uncounted` of them in the call's window and `uncounted_before` in the window
-        before. Prevents excess admissions after a counter restarts empty or with old totals: where a total
-        falls by more than the others would refund meanwhile, or below what this gateway alone added, the lost
-        units stay counted until the window ends.
+        before; the latter only raise the burst usage. Prevents excess admissions after a counter restarts
+        empty or with old totals: where a total falls by more than the others would refund meanwhile, or below
+        what this gateway alone added, the lost units stay counted until the window ends.
         """
         if call.window == self.window:
             shortfall = self.last_total + call.amount - total
@@ -123,8 +128,8 @@
     def total_is_frozen(self, call: CounterCall, total: float) -> bool:
         """Return whether the total counts as no answer because the counter's totals are frozen.
 
-        Prevents decisions by a counter whose totals do not change: one that is equal to the last digit after
-        several increments of this gateway carries no information.
+        Prevents decisions by a counter whose totals do not change: a total that is the same to the last digit
+        after several increments of this gateway carries no information.
         """
         if call.window == self.window and call.amount > 0:
             self.unchanged_totals = self.unchanged_totals + 1 if total == self.last_total else 0
@@ -133,8 +138,9 @@
     def apply_total(self, call: CounterCall, total: float, now: float, shared: bool = False) -> None:
         """Apply a total to the count and the burst usage.
 
-        Units that others added since the last total are treated as spread over that time. `shared` is set
-        where gateways exchange uncounted units.
+        Units that others added since the last total are treated as spread over that time. A total of the
+        window before only replaces the previous count. `shared` is set where gateways exchange uncounted
+        units.
         """
         if call.window == self.window:
             added_by_others = total - self.current - call.amount
@@ -145,7 +151,7 @@
                 # applies, as no gateway reports windows that have ended.
                 counted_usage = self.burst_usage - self.plan.rate * (now - self.burst_usage_at)
                 usage = max(usage - added_by_others, counted_usage + call.carried)
-            # The local bucket already holds the units that are carried or that timed out.
+            # The local bucket already covers units that are carried, and those of a call that timed out.
             added_by_call = 0.0 if call.timed_out else call.amount - call.carried
             self.burst_usage = max(0.0, max(0.0, usage + added_by_others) + added_by_call)
             self.current = total
--- a/granitedock/policy/rate_limiter.py
+++ b/granitedock/policy/rate_limiter.py
@@ -21,9 +21,11 @@
 from granitedock.policy.states import BreakerEvent, BreakerState, RequestEvent, RequestState
 from granitedock.policy.types import CounterCall, Customer, Outcome, Request
 
-CALL_BUDGET_SHARE = 0.25  # Longest wait for a call, as a share of the latency objective.
-IDLE_TTL_WINDOWS = 2.0  # Windows without a request after which an account is evicted.
-PROVED_NOT_ADDED = -1.0  # Marks in `CounterCall.recorded_uncounted` a call that the counter did not add.
+# Longest wait for a call, as a share of the latency objective, unless `CALL_BUDGET_MS` is longer.
+CALL_BUDGET_SHARE = 0.25
+IDLE_TTL_WINDOWS = 2.0  # Windows without a request after which an account without a ceiling is evicted.
+# Marks in `CounterCall.recorded_uncounted` a call whose units were proved not to be added.
+PROVED_NOT_ADDED = -1.0
 
 
 class RateLimiter:
@@ -44,7 +46,7 @@
         self.membership: MembershipPort | None = None  # View of the other gateways.
         self.quota_sharing: QuotaSharingPort | None = None  # Exchanges uncounted units between gateways.
         self.open_account = QuotaAccount  # Replaced by another function where plans change in service.
-        self.accounts: dict[Customer, None] = {}  # Ordered by last inspection, the oldest first.
+        self.accounts: dict[Customer, None] = {}  # Ordered by last use or inspection, the oldest first.
 
     # Accounts.
 
@@ -52,7 +54,8 @@
         """Return the customer's account, and create it if the customer has none.
 
         Prevents a flood of customers seen only once from accumulating accounts: each request inspects one
-        account and evicts it if it was idle for its TTL. A new account is equivalent except for its ceiling.
+        account and evicts it if it was idle for its TTL and has no attempt in flight. A new account is
+        equivalent except for its ceiling, so an account with a ceiling has a longer TTL.
         """
         customer = request.customer
         if customer.account is None:
@@ -141,7 +144,7 @@
         return RequestEvent.WITHIN_QUOTA
 
     def is_counted(self, request: Request) -> bool:
-        """Return whether the counter admitted the request or has no part in the decision.
+        """Return whether the counter added the request's units in time or has no part in the decision.
 
         The counter has no part in a plan without a rate, nor in any plan while the breaker is open.
         """
@@ -195,7 +198,7 @@
     def update_account(
         self, account: QuotaAccount, call: CounterCall, outcome: Outcome, total: float | None
     ) -> None:
-        """Apply the outcome of a call to the account; `total` is None where none arrived."""
+        """Apply the outcome of a call to the account; `total` is None if none came or totals are frozen."""
         account.advance_window(self.now)
         if total is not None:
             self.breaker.call_times.add(self.now, self.now - call.sent_at, 1.0)
@@ -222,9 +225,9 @@
     # Refunds and adjustments.
 
     def refund(self, request: Request) -> None:
-        """Refund the units of a request that is not sent, once only.
+        """Refund the units of a request that is over quota or is not sent, once only.
 
-        The units of a call that has no total yet are refunded when the call ends.
+        Where the call has not ended yet and the request is never sent, they are refunded when the call ends.
         """
         call = request.counter_call
         request.counter_call = None
@@ -235,7 +238,7 @@
         """Add units to the counter name that the call used; negative units are a refund.
 
         The next increment of that name includes them, or a separate call sends them at once while the counter
-        has spare capacity.
+        has spare capacity. Units of a window that is no longer the current one are ignored.
         """
         account: QuotaAccount | None = call.customer.account if call is not None else None
         if call is None or account is None or call.window != account.window or not units:
@@ -253,7 +256,7 @@
     ) -> float:
         """Return the counter's total corrected by the units that others admitted beyond it.
 
-        The correction covers the call's window and the window before.
+        Those of the call's window are added to the total; those of the window before raise the burst usage.
         """
         key = call.customer.key
         uncounted = sharing.uncounted_elsewhere(key, call.window, account.quota, self.now)
@@ -275,10 +278,11 @@
             call.recorded_uncounted = request.units
 
     def reconcile(self, call: CounterCall, outcome: Outcome, sharing: QuotaSharingPort) -> None:
-        """Reconcile the uncounted units of a call whose outcome is known.
+        """Reconcile the uncounted units of a call that has ended.
 
         The units are those that it carried and those admitted while it was pending. If the call was applied,
-        they are counted now; if it never ran, the next increment includes them.
+        they are counted now; if it never ran, the next increment includes them. Where it may have been
+        applied, they stay reported.
         """
         account: QuotaAccount | None = call.customer.account
         units = call.carried + call.recorded_uncounted
--- a/granitedock/policy/request_lifecycle.py
+++ b/granitedock/policy/request_lifecycle.py
@@ -4,7 +4,8 @@
 
 from granitedock.policy.states import RequestEvent, RequestState
 
-# A state and an event give the next state and the name of a `Gateway` method, which returns the next event.
+# A state and an event give the next state and the name of a `Gateway` method or None. The method returns the
+# next event or None.
 REQUEST = {
     (RequestState.NEW, RequestEvent.RECEIVED): (RequestState.CHECKING_QUOTA, "check_quota"),
     (RequestState.CHECKING_QUOTA, RequestEvent.WITHIN_QUOTA): (RequestState.CHOOSING_HOST, "send"),
--- a/granitedock/policy/retry_budget.py
+++ b/granitedock/policy/retry_budget.py
@@ -7,7 +7,7 @@
 from granitedock.rolling_window import RollingWindow
 
 RETRY_RATIO = 0.15  # Retries per first attempt.
-MIN_RETRIES = 3.0  # Retries allowed within the span, however few first attempts there are.
+MIN_RETRIES = 3.0  # Retries within the span beyond the ratio, however few first attempts there are.
 SPAN_MS = 5000.0
 
 
@@ -20,7 +20,7 @@
     def attempt_started(self, request: Request, now: float) -> None:
         """Count the latest attempt of the request as a first attempt or as a retry.
 
-        An attempt after earlier ones that all never ran counts as neither.
+        An attempt after earlier ones of which none ran counts as neither.
         """
         never_ran = [earlier.outcome in NEVER_RAN for earlier in request.attempts[:-1]]
         self.attempts.add(now, float(not never_ran), float(not all(never_ran)))
--- a/granitedock/policy/retry_rules.py
+++ b/granitedock/policy/retry_rules.py
@@ -1,8 +1,8 @@
 """What is still allowed for a request that may have run: a retry, or a rejection that invites a repeat.
 
-The request class decides: idempotent requests are repeated without limits, keyed ones only within the
-idempotency window and at hosts that drop the repeat, and non-idempotent ones never. A request that provably
-never ran is allowed both.
+The request class decides: idempotent requests may be repeated at any time and host, keyed ones only within
+the idempotency window and at hosts that drop the repeat, and non-idempotent ones never. A request that
+provably never ran is allowed both.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
 
 def within_idempotency_window(request: Request, execution: Attempt, now: float) -> bool:
-    """Return whether hosts still remember the idempotency key of the request since that attempt."""
+    """Return whether hosts still remember the request's idempotency key from that attempt."""
     return now - execution.sent_at < request.request_class.idempotency_window_ms
 
 
--- a/granitedock/policy/slow_start.py
+++ b/granitedock/policy/slow_start.py
@@ -16,7 +16,7 @@
 from granitedock.policy.types import GatewaySettings, Host, Request
 from granitedock.random_source import RandomSource
 
-# While no host is warm, this share of the load that the settings allow is sent without credit.
+# While no host is warm, this share of the load that the settings allow is sent without earned credit.
 UNPROVEN_SHARE = 0.25
 MAX_CREDIT_REQUESTS = 2.0  # In mean requests.
 MIN_HOST_SIZE = 1e-9
@@ -41,7 +41,7 @@
         """Return the share of a host's capacity that its age shows it can serve, at most 1.
 
         A host that answers again after its ejection may have restarted without an update of the endpoint
-        list, so its age counts from its probation.
+        list, so its age counts from the end of its probation.
         """
         warm_up_began_at = max(host.started_at, host.health.reinstated_at)
         if not warm_up_began_at or self.settings.warm_up_ms <= 0:
@@ -75,7 +75,8 @@
 
         `ready_size` is the registered size of all ready hosts. Prevents the sum of all gateways from
         overloading warming hosts; the cost is that, in a fleet that warms up as a whole, most requests must
-        wait. There a few requests are sent without credit, so that answers begin and the load can grow.
+        wait. There a few requests are sent without earned credit, so that answers begin and the load can
+        grow.
         """
         if not self.warm_size and self.cumulative_capacities:
             self.credit += (
--- a/granitedock/policy/types.py
+++ b/granitedock/policy/types.py
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayIdentity:
-    """The number of a gateway, the number of all gateways, and the seed of its random choices."""
+    """A gateway's own number, the count of all gateways, and the seed of the gateway's random choices."""
 
     seed: int
     number: int
@@ -205,7 +205,8 @@
     answered: bool = False
     applied: bool = False
     # Used if gateways share uncounted units: `carried` are the uncounted units added with this call, and
-    # `recorded_uncounted` are the units of its own request, if that was admitted without the total.
+    # `recorded_uncounted` are the units of its own request, if that was admitted without the total, or
+    # `PROVED_NOT_ADDED`.
     carried: float = 0.0
     recorded_uncounted: float = 0.0
 
