--- a/granitedock/configuration/change_log.py
+++ b/granitedock/configuration/change_log.py
@@ -1,4 +1,4 @@
-"""The latest versions at a control process: lines, digests, and the time each became known. No I/O."""
+"""The latest versions at a control process: lines, digests, and when each version became known. No I/O."""
 
 from __future__ import annotations
 
@@ -8,19 +8,22 @@
 from granitedock.configuration.messages import VersionedChange
 
 MAX_VERSIONS = 4096
-MAX_LINE_ENTRIES = 250  # A larger change is sent as a snapshot in pages, so that no line stalls a loop.
+MAX_LINE_ENTRIES = 250  # A larger change is sent as a snapshot in pages: a long line blocks an event loop.
 
 
 @dataclass(slots=True)
 class ChangeLog:
-    """Line, digest and time of each retained version; `known_at` is in ms of the process's clock."""
+    """Line, digest and time of each retained version; `known_at` is in ms of the process's clock.
+
+    A version has no line if its change has more than MAX_LINE_ENTRIES entries or if it arrived as a snapshot.
+    """
 
     lines: dict[int, bytes] = field(default_factory=dict)
     digests: dict[int, int] = field(default_factory=dict)
     known_at: dict[int, float] = field(default_factory=dict)
 
     def add(self, change: VersionedChange, now: float) -> None:
-        """Add the newest version, and evict the oldest one above MAX_VERSIONS."""
+        """Add the newest version, and evict the oldest one if there are more than MAX_VERSIONS."""
         if len(change.edit) <= MAX_LINE_ENTRIES:
             self.lines[change.version] = encode(change)
         self.digests[change.version] = change.digest
--- a/granitedock/configuration/control_client.py
+++ b/granitedock/configuration/control_client.py
@@ -15,7 +15,10 @@
 
 
 def request(address: str, method: str, path: str, body: bytes | None, timeout_s: float) -> Record:
-    """Return the object in the control process's response. Raises ControlRequestError."""
+    """Send a request and return the JSON object in its response.
+
+    Raises ControlRequestError if there is no such response or its status is not 200.
+    """
     host, _, port = address.rpartition(":")
     try:
         connection = HTTPConnection(host.strip("[]"), int(port), timeout=timeout_s)
@@ -34,7 +37,7 @@
 
 
 def apply(address: str, change: bytes, timeout_s: float) -> AppliedChangeRecord:
-    """Send a change in JSON text to be applied. Raises ControlRequestError."""
+    """Send a change in JSON text, and return the version that it made. Raises ControlRequestError."""
     return cast(AppliedChangeRecord, request(address, "POST", http_paths.CHANGES, change, timeout_s))
 
 
--- a/granitedock/configuration/control_connection.py
+++ b/granitedock/configuration/control_connection.py
@@ -32,9 +32,9 @@
 from granitedock.configuration.messages import InForce, Resend, VersionedChange
 from granitedock.configuration.watch_request import parse_watch_request
 
-MAX_REPORT_LINE_BYTES = 4096  # The limit of one line that a follower sends.
+MAX_REPORT_LINE_BYTES = 4096  # Limit of an incomplete line from a follower.
 MAX_LOGGED_REASON_CHARACTERS = 200
-IDLE_TIMEOUT_MS = 30_000.0  # For a connection that is no watch and completes no request.
+IDLE_TIMEOUT_MS = 30_000.0  # Limit of the time without a completed request, except on a watch.
 MAX_LINES_PER_TURN = 8  # Lines written to one follower in one turn of the event loop.
 JSON_HEADERS = [("Content-Type", "application/json")]
 WATCH_HEADERS = [("Content-Type", "application/x-ndjson"), ("Transfer-Encoding", "chunked")]
@@ -60,7 +60,7 @@
         ...
 
     def request_rejected(self, reason: str) -> None:
-        """Count and log a malformed request or report."""
+        """Count and log a request that is answered with an error, or a malformed report."""
         ...
 
     def change_applied(self, change: VersionedChange, source: str) -> None:
@@ -87,7 +87,9 @@
         self.buffer = LineBuffer(MAX_REPORT_LINE_BYTES)
         self.paused = False  # Whether the transport applies backpressure.
         self.ended = False
-        self.idle_since = server.node.clock()  # Time of the connection's start or of its last response.
+        self.idle_since = (
+            server.node.clock()
+        )  # Time of the connection's start or of its last completed request.
 
     @property
     def writable(self) -> bool:
--- a/granitedock/configuration/control_node.py
+++ b/granitedock/configuration/control_node.py
@@ -42,7 +42,7 @@
 from granitedock.configuration.replicated_document import ReplicatedDocument
 
 PAGE_ENTRIES = 250  # A snapshot page of 250 entries is about 30 KB and is read in about 1 ms.
-NO_CLASS_REMAINS = "classes: none would be left"
+NO_CLASS_REMAINS = "classes: the change would remove the last request class"
 
 
 class ControlNode:
@@ -118,7 +118,7 @@
         return versioned_change
 
     def with_windows(self, edit: Edit) -> Edit:
-        """Return the edit with a window in each plan that it upserts."""
+        """Return the edit with a window length in each plan that it upserts."""
         plans = edit.upserts.get(Section.PLANS, ())
         completed = tuple(with_window(plan, self.record(Section.PLANS, plan["Name"])) for plan in plans)
         upserts = dict(edit.upserts)
@@ -147,7 +147,7 @@
             raise ChangeRejectedError(source, [problem])
         return self.apply(Change(0, edit_from_platform_settings(settings)), source)
 
-    # Methods of `DocumentConsumer`, which the replicated document calls at a replica.
+    # Methods of `DocumentConsumer`. The writer uses `make_value` only, a replica all of them.
 
     @staticmethod
     def make_value(_section: Section, record: Record) -> bytes:
--- a/granitedock/configuration/control_process.py
+++ b/granitedock/configuration/control_process.py
@@ -1,4 +1,4 @@
-"""Runs one control process, the writer or a replica, until SIGTERM (`granitedock control`)."""
+"""Runs one control process, the writer or a replica, until SIGTERM or SIGINT (`granitedock control`)."""
 
 from __future__ import annotations
 
@@ -84,7 +84,10 @@
             self.node.import_settings(settings, source)
 
     def end(self) -> Any:
-        """Stop following and serving. Returns a Deferred that fires when the listener has stopped."""
+        """Stop following and serving, and close the store.
+
+        Returns a Deferred that fires when the listener has stopped.
+        """
         if self.transport is not None:
             self.transport.stop()
         ended = self.server.close()
@@ -93,9 +96,10 @@
 
 
 def run(file: ControlFile, settings: Record | None, source: str) -> int:
-    """Serve until SIGTERM or SIGINT; the `settings` of a platform file become version 1 of an empty store.
+    """Serve until SIGTERM or SIGINT, and return the process's exit status. Raises ConfigurationError.
 
-    Returns the process's exit status. Raises ConfigurationError.
+    The `settings` of a platform file become version 1 of an empty store; None imports nothing. `source` names
+    that file.
     """
     process = ControlProcess(file)
     if settings is not None:
--- a/granitedock/configuration/control_server.py
+++ b/granitedock/configuration/control_server.py
@@ -61,7 +61,10 @@
         self.notify(self.node.publisher.start_queued_snapshots())
 
     def heartbeat(self) -> None:
-        """Send heartbeats and close connections whose snapshot has stalled; runs every HEARTBEAT_S."""
+        """Send heartbeats, and close connections that are idle or whose snapshot has stalled.
+
+        Runs every HEARTBEAT_S.
+        """
         if self.port is None:
             return
         publisher = self.node.publisher
@@ -86,7 +89,10 @@
             self.start_queued_snapshots()
 
     def request_rejected(self, reason: str) -> None:
-        """Count and log a malformed request or report; the caller closes its connection."""
+        """Count and log a request that is answered with an error, or a malformed report.
+
+        The caller closes its connection.
+        """
         self.node.publisher.counts["refused"] += 1
         self.log("request rejected", why=reason)
 
--- a/granitedock/configuration/document.py
+++ b/granitedock/configuration/document.py
@@ -115,14 +115,15 @@
     def prepare(self, edit: Edit) -> PreparedEdit[Value]:
         """Compute the effect of the edit without applying it.
 
-        Raises ConfigurationError for the removal of an entry that does not exist.
+        Raises ConfigurationError for the removal of an entry that does not exist, or for a record of which
+        `make_value` cannot make a value.
         """
         digest = self.digest
         entries: list[PreparedEntry[Value]] = []
         removals: list[tuple[Section, str]] = []
         for section, name in edit.removed():
             if name not in self.digests[section]:
-                problem = f"{section.value}.remove: {name!r} is not there"
+                problem = f"{section.value}.remove: {name!r} does not exist"
                 raise ConfigurationError(problem)
             digest -= self.digests[section][name]
             removals.append((section, name))
--- a/granitedock/configuration/document_store.py
+++ b/granitedock/configuration/document_store.py
@@ -50,7 +50,10 @@
 
 
 class DocumentStore:
-    """One process's copy of the document on disk. All methods raise StoreError."""
+    """One process's copy of the document on disk.
+
+    Opening, loading and writing raise StoreError.
+    """
 
     def __init__(self, path: Path, cluster: str) -> None:
         self.path = path
--- a/granitedock/configuration/follower.py
+++ b/granitedock/configuration/follower.py
@@ -38,7 +38,7 @@
 
 
 def ignore_count(_name: str) -> None:
-    """Ignore a count that only the follower's own counters record."""
+    """Do nothing; with this default of `report_count`, only the follower's own counters record events."""
 
 
 class Follower:
@@ -116,7 +116,8 @@
     def reject(self, connection: Connection, reason: str, now: float) -> None:
         """Reject a response that is no watch on this cluster's configuration.
 
-        Covers another HTTP status, another cluster, and a line that is not a valid message.
+        The reasons are another HTTP status, another cluster, a line that is not a valid message, and a
+        message that cannot be applied.
         """
         self.now = now
         self.count("refused")
@@ -126,7 +127,10 @@
         self.advance(connection, ConnectionEvent.REJECTED)
 
     def line_received(self, connection: Connection, line: bytes, now: float) -> None:
-        """Handle one line from the control process, without its line end; an empty line is a heartbeat."""
+        """Handle one line from the control process, without its line end; an empty line is a heartbeat.
+
+        A line of a connection that has been replaced is ignored.
+        """
         self.now = now
         expected = connection.state in (ConnectionState.AWAITING_FIRST_LINE, ConnectionState.FOLLOWING)
         if connection is not self.connection or not expected:
@@ -144,9 +148,10 @@
             self.reject(connection, str(error), now)
 
     def check_timeouts(self, now: float) -> None:
-        """Abandon the connection if it is silent or behind, or to return to the first address.
+        """Abandon the connection if no line arrives on it, or if its control process remains behind.
 
-        Called periodically.
+        Also abandons it when the return to the first address is due and no snapshot is being received. Must
+        be called periodically.
         """
         self.now = now
         connection = self.connection
@@ -185,7 +190,10 @@
         self.transport.connect(connection, connection.address)
 
     def try_next_address(self, connection: Connection) -> None:
-        """Connect to the next address after a backoff, unless this connection has already been replaced."""
+        """Connect to the next address after a backoff.
+
+        Does nothing if this connection has already been replaced or the follower has been stopped.
+        """
         if connection is self.connection and self.running:
             self.connect_later(self.schedule.advance_address())
 
--- a/granitedock/configuration/follower_connection.py
+++ b/granitedock/configuration/follower_connection.py
@@ -113,7 +113,10 @@
 
 
 class FollowerTransport:
-    """The `TransportPort` of one follower on a Twisted reactor; `role` is `gateway` or `replica`."""
+    """The `TransportPort` of one follower on a Twisted reactor; `role` is `gateway` or `replica`.
+
+    `counts` receives the numbers of bytes in and out; with None, the transport has a counter of its own.
+    """
 
     follower: Follower  # Set by `start`.
 
@@ -147,7 +150,7 @@
     def connect(self, connection: Connection, address: str) -> None:
         """Start connecting.
 
-        A process that has run out of file descriptors is handled like a failed connection.
+        An error of the call itself, such as that no file descriptor is free, counts as a failed connection.
         """
         host, _, port = address.rpartition(":")
         factory = WatchFactory(self, connection)
@@ -167,7 +170,7 @@
             connection.network.abort()
 
     def call_later(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Call `callback` after `delay_ms`, once the follower's clock has been updated."""
+        """After `delay_ms`, update the follower's clock and call `callback`."""
 
         def update_clock_and_call() -> None:
             self.follower.now = self.now()
--- a/granitedock/configuration/follower_ports.py
+++ b/granitedock/configuration/follower_ports.py
@@ -56,7 +56,7 @@
         ...
 
     def call_later(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Call `callback` after `delay_ms`, once the follower's clock has been updated."""
+        """After `delay_ms`, update the follower's clock and call `callback`."""
         ...
 
 
--- a/granitedock/configuration/follower_session.py
+++ b/granitedock/configuration/follower_session.py
@@ -28,8 +28,8 @@
 class FollowerSession:
     """One connection of a gateway or a replica; times are in ms of the process's clock.
 
-    `cursor` is the last version written to the follower, or initially the version that it reports on
-    connecting. `version` and `digest` are those that the follower reports to have in force.
+    `cursor` is the last version written to the follower, at first the version that it reported when it
+    connected. `version` and `digest` are those that the follower reports to have in force.
     """
 
     name: str
@@ -39,16 +39,19 @@
     version: int
     digest: int
     connected_at: float
-    progressed_at: float
+    progressed_at: float  # Time of the last line for this follower.
     remaining_lines: Iterator[bytes] | None = None  # Unsent lines of the snapshot in progress.
-    snapshot_version: int = 0
+    snapshot_version: int = 0  # Version of the last snapshot that was started.
     queued: bool = False  # Whether the session waits for a snapshot slot.
-    greeting: bytes = b""
+    greeting: bytes = b""  # Line to write before all others; empty if there is none.
 
 
 @dataclass(frozen=True, slots=True)
 class FollowerStatus:
-    """The status of one follower; `lag_ms` is the time since the first version that it lacks became known."""
+    """The status of one follower.
+
+    `lag_ms` is the time since the first version that it lacks became known, or 0 if it lacks none.
+    """
 
     name: str
     role: str
--- a/granitedock/configuration/follower_states.py
+++ b/granitedock/configuration/follower_states.py
@@ -17,7 +17,7 @@
     CONNECTING = "dialling"
     AWAITING_FIRST_LINE = "asked"
     FOLLOWING = "following"
-    ABANDONED = "gone"  # Another connection has replaced it.
+    ABANDONED = "gone"  # Another connection has replaced it, or the follower has stopped.
 
     __hash__ = object.__hash__
 
@@ -51,7 +51,7 @@
 
 @dataclass(eq=False, slots=True)
 class Connection:
-    """One connection to a control process, opened or not yet. Times are in ms of the follower's clock."""
+    """One connection to a control process, from before it is opened. Times are ms of the follower's clock."""
 
     address: str
     state: ConnectionState = ConnectionState.CLOSED
--- a/granitedock/configuration/follower_timing.py
+++ b/granitedock/configuration/follower_timing.py
@@ -21,7 +21,8 @@
     behind_timeout_ms: float = 3000.0  # Limit for a control process that stays behind the follower.
     backoff_base_ms: float = 100.0
     backoff_max_ms: float = 1500.0
-    return_after_ms: float = 60_000.0  # Minimum of the random delay; the maximum is twice as long.
+    # Minimum of the random delay before the return to the first address; the maximum is twice as long.
+    return_after_ms: float = 60_000.0
 
 
 def address_order(name: str, addresses: list[str]) -> list[str]:
@@ -62,7 +63,8 @@
         """Advance to the next address and return the backoff before connecting to it, in ms.
 
         Prevents a burst of reconnecting followers at a control process: each consecutive failure doubles the
-        wait, and jitter takes half to all of it. Trying the next address covers an address that has failed.
+        maximum wait up to `backoff_max_ms`, and the wait is a random time from half of it to all of it. The
+        next address is tried because the present one may have failed for long.
         """
         self.position += 1
         max_wait_ms = min(self.timing.backoff_max_ms, self.timing.backoff_base_ms * 2**self.failures)
--- a/granitedock/configuration/gateway_attachment.py
+++ b/granitedock/configuration/gateway_attachment.py
@@ -50,7 +50,7 @@
         self.reactor = reactor
         self.event_log = event_log
         self.applier = GatewayApplier(state, clock)
-        self.copy: LocalCopy | None = None
+        self.copy: LocalCopy | None = None  # Not set without a copy file, or if the copy cannot be used.
         # Records of the incoming snapshot, for the copy.
         self.snapshot_records: list[tuple[Section, Record]] = []
         self.document: ReplicatedDocument[Entry] = ReplicatedDocument(self)
@@ -80,7 +80,7 @@
         self.transport.start(self.follower)
 
     def stop(self) -> None:
-        """Stop following, and write the queued part of the copy."""
+        """Stop following, and write the queued part of the copy within its time limit."""
         self.transport.stop()
         if self.copy is not None:
             self.copy.stop()
@@ -121,7 +121,7 @@
     def drop_copy(self, reason: str) -> None:
         """Drop the copy; the gateway continues without it.
 
-        Prevents growing memory use, because nothing drains the copy's queue any more.
+        Prevents the copy's queue from growing without limit, because its thread has ended.
         """
         self.copy = None
         self.snapshot_records = []
--- a/granitedock/configuration/gateway_state.py
+++ b/granitedock/configuration/gateway_state.py
@@ -1,4 +1,7 @@
-"""Ports of a running gateway to which its configuration is applied; defined here only."""
+"""Ports of a running gateway to which its configuration is applied.
+
+The configuration is applied through these ports alone.
+"""
 
 from __future__ import annotations
 
--- a/granitedock/configuration/local_copy.py
+++ b/granitedock/configuration/local_copy.py
@@ -43,7 +43,10 @@
         self.thread = Thread(target=self.write_queued, daemon=True)
 
     def read(self) -> CopiedDocument | None:
-        """Return the copied document, or None if there is none yet. Raises StoreError."""
+        """Return the copied document, or None if the file does not exist.
+
+        Raises StoreError for a file that cannot be used as a store.
+        """
         if not self.path.exists():
             return None
         store = DocumentStore(self.path, self.cluster)
@@ -62,7 +65,7 @@
         self.queue.put(item)
 
     def stop(self) -> None:
-        """Write the queued items, within the time limit for the shutdown of the process."""
+        """Wait until the queued items are written, for at most STOP_TIMEOUT_S; the process shuts down."""
         self.queue.put(None)
         self.thread.join(STOP_TIMEOUT_S)
 
--- a/granitedock/configuration/message_handler.py
+++ b/granitedock/configuration/message_handler.py
@@ -1,8 +1,8 @@
 """Applies each message from a control process to a follower's document. No I/O.
 
 The version in force never decreases. A change that does not apply to the version in force causes a request
-for a snapshot, at most once per connection; a message that is not allowed at this point raises
-MalformedLineError.
+for a snapshot, at most once per connection; a message that is not allowed in the current state
+raises MalformedLineError.
 """
 
 from __future__ import annotations
@@ -73,7 +73,8 @@
     def handle_current(self, connection: Connection, message: Current, now: float) -> None:
         """Handle the version of a control process that has nothing newer to send.
 
-        An older version marks the control process as behind; another digest causes a snapshot request.
+        An older version marks the control process as behind; a newer one, or another digest of the same
+        version, causes a snapshot request.
         """
         self.check_cluster(message.cluster)
         if message.version < self.document.version:
--- a/granitedock/configuration/plan_transition.py
+++ b/granitedock/configuration/plan_transition.py
@@ -67,11 +67,11 @@
 
 
 def carry_over_unseen(account: QuotaAccount, plan: Plan, at: float) -> QuotaAccount:
-    """Return the account under another plan of a customer that had no account at this gateway.
+    """Return an account under another plan, for a customer without an account here when the plan changed.
 
     Prevents a fresh burst under new counter names when this gateway cannot know the usage under the old ones.
-    The cost: a customer that is first seen here before the burst has refilled after such a change gets its
-    rate but no burst yet.
+    The cost is that a customer that is first seen here before the burst has refilled after such a change gets
+    its rate but no burst yet.
     """
     new = carry_over(account, plan, at)
     if new.window_ms != account.window_ms:
--- a/granitedock/configuration/publisher.py
+++ b/granitedock/configuration/publisher.py
@@ -71,8 +71,9 @@
     ) -> FollowerSession:
         """Open a session for a follower that has `version` in force.
 
-        Prevents a process that is behind the follower from replacing its newer version: the first line then
-        states the version of this process, and no older version is ever sent.
+        If the follower's version is newer, or the same with the same digest, the first line states the
+        version of this process. Prevents a process that is behind the follower from replacing the follower's
+        newer version by an older one.
         """
         session = FollowerSession(name, role, connection, version, version, digest, now, now)
         self.sessions[session] = None
@@ -180,7 +181,10 @@
     # Status.
 
     def lag_ms(self, session: FollowerSession, now: float) -> float:
-        """Return for how many ms the first version that the follower lacks has been known here; 0 if none."""
+        """Return for how many ms the first version that the follower lacks has been known here.
+
+        Returns 0 if it lacks none, and the time since it connected if that version is no longer logged.
+        """
         if session.version >= self.version:
             return 0.0
         return now - self.log.known_at.get(session.version + 1, session.connected_at)
--- a/granitedock/configuration/settings.py
+++ b/granitedock/configuration/settings.py
@@ -40,7 +40,7 @@
 
 
 class GatewayFile(StrictModel):
-    """The control processes that a gateway follows, and the file that keeps its configuration on restart."""
+    """The control processes that a gateway follows, and the file of its local copy (None: no copy)."""
 
     enabled: bool
     cluster: Cluster = "granitedock"
--- a/granitedock/configuration/snapshot_progress.py
+++ b/granitedock/configuration/snapshot_progress.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class SnapshotProgress:
-    """A snapshot being received; `skipped`: it is older than the version in force and has no effect."""
+    """A snapshot being received; with `skipped` it is older than the version in force and has no effect."""
 
     header: SnapshotBegins
     skipped: bool
@@ -18,7 +18,7 @@
 
 
 def check_page(progress: SnapshotProgress | None, page: Page) -> SnapshotProgress:
-    """Check that the page is the next of its snapshot, and return the snapshot. Raises MalformedLineError."""
+    """Check that the page is the next of its snapshot, and return its progress. Raises MalformedLineError."""
     if progress is None or page.number != progress.next_page:
         problem = f"snapshot page {page.number} received out of order"
         raise MalformedLineError(problem)
@@ -27,7 +27,7 @@
 
 
 def check_end(progress: SnapshotProgress | None, end: SnapshotEnds) -> SnapshotProgress:
-    """Check that all pages precede the end, and return the snapshot. Raises MalformedLineError."""
+    """Check that all pages precede the end, and return the progress. Raises MalformedLineError."""
     if (
         progress is None
         or progress.next_page != progress.header.pages
