--- a/granitedock/configuration/control_node.py
+++ b/granitedock/configuration/control_node.py
@@ -42,7 +42,7 @@
 from granitedock.configuration.replicated_document import ReplicatedDocument
 
 PAGE_ENTRIES = 250  # A snapshot page of 250 entries is about 30 KB and is read in about 1 ms.
-NO_CLASS_REMAINS = "classes: the change would remove the last request class"
+NO_CLASS_REMAINS = "classes: the change would leave the document without a request class"
 
 
 class ControlNode:
@@ -127,7 +127,7 @@
         return Edit(upserts, edit.removals)
 
     def check_class_remains(self, prepared: PreparedEdit[bytes], source: str) -> None:
-        """Raise ChangeRejectedError if the prepared edit would remove the last request class.
+        """Raise ChangeRejectedError if the document would have no request class after the prepared edit.
 
         Prevents gateways from receiving a document without any class, with which they can serve no request.
         """
--- a/granitedock/configuration/local_copy.py
+++ b/granitedock/configuration/local_copy.py
@@ -65,7 +65,7 @@
         self.queue.put(item)
 
     def stop(self) -> None:
-        """Wait until the queued items are written, for at most STOP_TIMEOUT_S; the process shuts down."""
+        """End the thread once it has written the queued items, and wait for it for at most STOP_TIMEOUT_S."""
         self.queue.put(None)
         self.thread.join(STOP_TIMEOUT_S)
 
--- a/granitedock/configuration/plan_transition.py
+++ b/granitedock/configuration/plan_transition.py
@@ -40,7 +40,7 @@
 
 
 class PlanEnd(NamedTuple):
-    """The time at which the plan of this name changed."""
+    """The time at which a plan of this name was changed or removed."""
 
     at: float
     name: str
--- a/granitedock/membership/anti_entropy.py
+++ b/granitedock/membership/anti_entropy.py
@@ -54,9 +54,9 @@
     def sync(self) -> None:
         """Send one page of the member table to a random live member, as a push.
 
-        Over several intervals the whole table is sent. Prevents tables from staying different after gossip
-        that every sender lost; the cost is half a datagram in each interval, the same with forty members as
-        with a thousand.
+        Over several intervals the whole table is sent. Prevents tables from staying different after an update
+        of which a member received no datagram; the cost is half a datagram in each interval, the same with
+        forty members as with a thousand.
         """
         state = self.state
         state.timers[Timer.SYNC] = state.now + state.timing.sync_ms * (0.5 + state.random.random())
@@ -92,8 +92,9 @@
     # Members that are not reachable.
 
     def join(self) -> None:
-        """Contact the missing seeds and the old addresses of removed members.
+        """Contact seeds and old addresses of removed members at which no live member is known.
 
+        Contacts one such address at random while another member is live, and up to SEEDS_PER_JOIN otherwise.
         The attempts are repeated at growing random intervals. Prevents a gateway from staying alone, or on
         one side of a partition, for ever; the cost is an occasional datagram to an address at which no
         process may listen.
@@ -128,7 +129,8 @@
         """Ping one member that is not live, with the claim that it is not live.
 
         If the member is live after all, it refutes the claim, and both sides of a former partition discover
-        each other.
+        each other. A dead member, whose end is not proved, also gets a connection probe; a member that
+        announced its shutdown gets neither.
         """
         state = self.state
         state.timers[Timer.REVIVE] = NEVER
--- a/granitedock/membership/connection_probe.py
+++ b/granitedock/membership/connection_probe.py
@@ -9,7 +9,7 @@
 
 
 class ConnectionProbes:
-    """Counts refusals: the first causes a second probe, and two with a time between them are proof."""
+    """Counts refusals: the first causes a second probe, and two at least `knock_ms` / 2 apart are proof."""
 
     def __init__(self, state: ProtocolState, updater: MemberUpdater) -> None:
         self.state = state
--- a/granitedock/membership/connection_prober.py
+++ b/granitedock/membership/connection_prober.py
@@ -1,4 +1,4 @@
-"""Sending of connection probes, which a kernel refuses if no process listens at the target port."""
+"""Sends connection probes, which a kernel refuses if no process listens at the target port."""
 
 from __future__ import annotations
 
--- a/granitedock/membership/member_slots.py
+++ b/granitedock/membership/member_slots.py
@@ -122,7 +122,7 @@
         )
 
     def silent_slots(self, now: float) -> dict[int, float]:
-        """Return the slots whose gateway may be serving unseen, with the time since it counts as ended.
+        """Return the slots whose gateway may be serving unseen, with the time when its end was recorded.
 
         The gateway did not announce its end, and no fresh connection probe from here proves that no process
         listens at its address.
--- a/granitedock/membership/membership.py
+++ b/granitedock/membership/membership.py
@@ -101,9 +101,9 @@
         """Set the clock for an input and detect a pause of this process.
 
         A gap in the local clock means that this process was paused or starved of CPU time. The outstanding
-        probes are then dropped, suspicions start again, and for `suspect_ms` no member is suspected or
-        declared dead. Prevents false suspicions of other members by a member that was paused; the cost is
-        that failures within that time are detected later.
+        probes are then dropped, suspicions start again, and for `suspect_ms` this member neither suspects a
+        member for an unanswered probe nor declares one dead. Prevents false suspicions of other members by a
+        member that was paused; the cost is that failures within that time are detected later.
         """
         state = self.state
         gap = now - self.expected_at
--- a/granitedock/membership/merge.py
+++ b/granitedock/membership/merge.py
@@ -1,4 +1,4 @@
-"""Merging of claims from other members, and refutation of claims about the local member."""
+"""Merges claims of other members, and refutes claims about the local member."""
 
 from __future__ import annotations
 
--- a/granitedock/membership/messages.py
+++ b/granitedock/membership/messages.py
@@ -17,7 +17,7 @@
     PING = 0  # `number` is the sequence number, `word` the target's name.
     ACK = 1  # `number` is the ping's, `word` the name of the member that answered it.
     PING_REQ = 2  # Asks for an indirect probe of the member `word`, whose address is in the updates.
-    NACK = 3  # `number` is the requester's: the target has not answered the helper either.
+    NACK = 3  # `number` is the requester's; the target has not answered the helper's ping in time.
     GOSSIP = 4  # Carries only updates.
     PULL = 5  # Asks for the members with names after `word`.
     PAGE = 6  # Some members; `word` is the name to resume after, empty at the end of the table.
--- a/granitedock/membership/probe.py
+++ b/granitedock/membership/probe.py
@@ -70,7 +70,7 @@
         state.timers[Timer.PROBE_TIMEOUT] = state.now + state.awareness.scaled(state.timing.timeout_ms)
 
     def probe_timed_out(self) -> None:
-        """Start indirect probes, and send a connection probe, after the direct probe timed out.
+        """After a timeout of the direct probe, probe indirectly, ping again and send a connection probe.
 
         The connection probe shows whether a process listens at the target's address.
         """
--- a/granitedock/membership/protocol_state.py
+++ b/granitedock/membership/protocol_state.py
@@ -37,7 +37,8 @@
         self.connection_probes: list[str] = []
         self.changes: list[MemberChange] = []
         self.counts: Counter[str] = Counter()
-        # After a pause of this process, no member is suspected or declared dead before this time.
+        # After a pause of this process, it neither suspects a member for an unanswered probe nor declares one
+        # dead before this time.
         self.suspicion_suspended_until = LONG_AGO
         self.sequence_number = 0
 
@@ -54,7 +55,7 @@
         word: str = "",
         first: Sequence[MemberUpdate] = (),
     ) -> None:
-        """Send a message with the updates `first` and as many queued updates as fit."""
+        """Send a message with the updates `first` and, except in a page, as many queued updates as fit."""
         used_bytes = sum(update_size(update) for update in first)
         queued: list[MemberUpdate] = []
         if kind != MessageKind.PAGE:
--- a/granitedock/membership/udp_transport.py
+++ b/granitedock/membership/udp_transport.py
@@ -1,6 +1,7 @@
 """The I/O of membership: one datagram socket, connection probes, timers, log and counters.
 
-This module owns the socket and the only clock that the protocol uses. It does not interpret observations.
+This module owns the socket and the only clock that the protocol uses. The protocol's
+decisions are made elsewhere.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from granitedock.membership.settings import MembershipFile, settings_checksum
 
 MAX_READS_PER_TURN = 16  # Datagrams read per turn of the event loop, so that requests are served in between.
-MALFORMED_LINES_PER_S = 1  # Log lines about malformed datagrams.
+MALFORMED_LINES_PER_S = 1  # Limit of the log lines about malformed datagrams.
 
 
 class Log(Protocol):
--- a/granitedock/outlier_detection/attempt_statistics.py
+++ b/granitedock/outlier_detection/attempt_statistics.py
@@ -16,11 +16,14 @@
 
 @dataclass(slots=True)
 class AttemptStatistics:
-    """Statistics of one host; times are ms of the detector's clock, -1 for an event that did not occur."""
+    """Statistics of one host; times are ms of the detector's clock, but `host_started_at` is in Unix ms.
+
+    `failed_at` and `answered_at` are -1 if there was no failure or no answer.
+    """
 
     host_started_at: float = 0.0
     failures: int = 0  # Consecutive failures.
-    timeouts: int = 0  # The timeouts among the failures.
+    timeouts: int = 0  # The timed-out and cancelled attempts among the failures.
     overloads: int = 0
     failed_at: float = -1.0
     answered_at: float = -1.0
--- a/granitedock/outlier_detection/detector.py
+++ b/granitedock/outlier_detection/detector.py
@@ -1,10 +1,12 @@
 """The outlier detector: decides which hosts are ejected, and which gateways probe them.
 
-Attempts of this gateway take precedence. Observations of other gateways count only if they are from live
-members, fresh, negative from several gateways, and not outnumbered or equalled by positive ones. A gateway
-with negative observations of most hosts is distrusted, because its own network is the likelier cause.
-Ejections are limited to a share of the hosts and never include the last host of a zone. Outlier detection
-only reduces the requests sent to a host and never adds any. No I/O; times are ms of one clock.
+A recent answer to this gateway itself takes precedence over failures that others observed. Observations of
+other gateways count only if they are from live members, fresh, negative from several gateways, and not
+outnumbered or equalled by positive ones. That a host drains needs one observation only, and precedes answers.
+A gateway with negative observations of many hosts is distrusted, because its own network is the likelier
+cause. Ejections are limited to a share of the ready hosts and never include the last ready host of a zone.
+Outlier detection only reduces the requests sent to a host and never adds any. No I/O; times are ms of one
+clock.
 """
 
 from __future__ import annotations
@@ -43,7 +45,7 @@
     """Outlier detection of one gateway (implements `policy.ports.OutlierDetectionPort`).
 
     `started_at` is the start time of the gateway's process (Unix ms). `live_members` returns the names of the
-    live gateways, including this one, in order.
+    live gateways, including this one, sorted.
     """
 
     def __init__(
@@ -59,7 +61,7 @@
         self.observations = Observations(
             gateway, started_at, settings.max_observations, EXPIRY_TTL_MULTIPLE * settings.observation_ttl_ms
         )
-        self.statistics: dict[str, AttemptStatistics] = {}  # by host name
+        self.statistics: dict[str, AttemptStatistics] = {}  # By host name.
         self.hosts: dict[str, Host] = {}
         self.ejected: dict[str, EjectionReason] = {}
         self.distrusted: set[str] = set()
@@ -92,8 +94,8 @@
     def is_ejected(self, host: Host, non_idempotent: bool, now: float) -> bool:
         """Return whether the host is ejected for this request; see OutlierDetectionPort.
 
-        A failing host is half-open for the gateways in their probe turn: they probe it with
-        requests, except with those that must not be sent again.
+        A failing host is half-open for the gateways in their probe turn: they probe it with requests, except
+        with those that must not be sent again.
         """
         self.update_verdicts(now)
         reason = self.ejected.get(host.name)
@@ -114,8 +116,8 @@
         """Return whether this gateway is among the probers of this host in the current turn.
 
         The live members take turns in the order of their names, with a different start for each host. Where
-        membership views differ, more or fewer gateways probe the host for a turn. Some gateways probe in
-        every turn, so that the recovery of a host is detected although each gateway has few requests.
+        membership views differ, more or fewer gateways probe the host for a turn. Each turn has at least one
+        prober, so that the recovery of a host is detected although each gateway has few requests.
         """
         members = self.live_members()
         turn = int(now // self.settings.probe_turn_ms) + zlib.crc32(host.encode())
@@ -134,7 +136,7 @@
         return statistics
 
     def update_hosts(self, hosts: dict[str, Host], now: float) -> None:
-        """Apply this gateway's endpoint list: publish changed statuses and remove hosts that it lacks."""
+        """Apply this gateway's endpoint list: publish changed statuses and forget absent hosts."""
         self.hosts = hosts
         for name, host in hosts.items():
             statistics = self._statistics_of(host)
--- a/granitedock/outlier_detection/observations.py
+++ b/granitedock/outlier_detection/observations.py
@@ -34,7 +34,7 @@
     failures: int  # Consecutive failures.
     failure_age_ms: int  # Time since the last failure.
     answer_age_ms: int  # Time since the last answer.
-    timeouts: int = 0  # The timeouts among the failures.
+    timeouts: int = 0  # The timed-out and cancelled attempts among the failures.
     overloads: int = 0  # Recent rejections because the host had no capacity.
     latency_percent: int = 0  # Recent answer times, in percent of the latency objective.
     in_flight: int = 0
--- a/granitedock/outlier_detection/settings.py
+++ b/granitedock/outlier_detection/settings.py
@@ -11,7 +11,7 @@
 
     observation_ttl_ms: float = 6000.0  # Older observations are ignored.
     local_answer_ttl_ms: float = 2000.0  # A local answer this recent outweighs all observations of others.
-    min_failures: int = 3  # Sum of the consecutive failures over the gateways.
+    min_failures: int = 3  # Minimum sum of the consecutive failures over the gateways.
     min_gateways: int = 2
     max_ejection_share: float = 0.25  # The share of the ready hosts that may be ejected.
     # A gateway with negative observations of at least this share of the hosts, and of at least this number of
@@ -19,7 +19,7 @@
     distrust_share: float = 0.5
     distrust_min_hosts: int = 3
     probe_turn_ms: float = 1000.0  # In each turn, some of the live gateways may probe an ejected host.
-    gateways_per_prober: int = 20  # One prober in a turn for so many live gateways, and at least one.
+    gateways_per_prober: int = 20  # Live gateways per prober in a turn; there is at least one prober.
     verdict_interval_ms: float = 100.0
     broadcast_interval_ms: float = 200.0
     refresh_interval_ms: float = 1000.0  # Between broadcasts of an observation that still applies.
--- a/granitedock/outlier_detection/verdicts.py
+++ b/granitedock/outlier_detection/verdicts.py
@@ -22,7 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The verdict that a host should be ejected, and the number of gateways that support it."""
+    """The verdict that a host should be ejected.
+
+    `gateways` is the number of gateways that support it. For a draining host, the number of all observations
+    is added, so that its ejection precedes those of failing hosts when ejections are limited.
+    """
 
     host: str
     reason: EjectionReason
@@ -81,9 +85,10 @@
     settings: OutlierDetectionSettings,
     now: float,
 ) -> set[str]:
-    """Return the gateways with negative observations of most hosts.
+    """Return the other live gateways with negative observations of many of the `host_count` hosts.
 
-    The likelier cause of such observations is the gateway's own network.
+    These are at least `distrust_share` of the hosts and at least `distrust_min_hosts`. The likelier cause of
+    such observations is the gateway's own network.
     """
     negative: Counter[str] = Counter()
     for by_gateway in observations.by_host.values():
@@ -101,7 +106,7 @@
 ) -> list[Verdict]:
     """Return the verdicts that may be carried out; those that most gateways support take precedence.
 
-    At most `max_share` of the `ready` hosts are ejected, and never the last host of a zone.
+    At most `max_share` of the `ready` hosts are ejected, and never the last ready host of a zone.
     """
     max_ejections = int(max_share * len(ready))
     remaining_in_zone = Counter(hosts[name].zone for name in ready)
--- a/granitedock/quota_sharing/bound.py
+++ b/granitedock/quota_sharing/bound.py
@@ -20,11 +20,11 @@
 from granitedock.membership.timing import Timing
 from granitedock.policy.types import Plan
 
-BROADCAST_ROUNDS = 5  # Gossip reaches all of up to 1,000 members within so many rounds.
+BROADCAST_ROUNDS = 5  # Gossip reaches all of up to 1,000 members within this many rounds.
 MINUTE_MS = 60_000
 BASELINE_GATEWAYS = 40  # The fleet size to which DETECTION_PERIODS, in probe periods, applies.
 DETECTION_PERIODS = 10
-PERIODS_PER_DOUBLING = 5
+PERIODS_PER_DOUBLING = 5  # Probe periods added for each doubling of the fleet.
 
 
 def detection_ms(timing: Timing, gateways: int = BASELINE_GATEWAYS) -> float:
@@ -60,7 +60,7 @@
     broadcast_interval_ms: float,
     gateways: int = BASELINE_GATEWAYS,
 ) -> Excess:
-    """Return the terms for one plan and a subset of `subset_size` in a fleet of `gateways`."""
+    """Return the units of each case for one plan and a subset of `subset_size` in a fleet of `gateways`."""
     burst = plan.burst / subset_size
     rate = plan.rate / subset_size
     return Excess(
--- a/granitedock/quota_sharing/presence.py
+++ b/granitedock/quota_sharing/presence.py
@@ -2,8 +2,9 @@
 
 Prevents unused quota after a partition between gateways that all still reach the counter: each side would
 reserve the other's shares although the counter's totals include all that it admits. The cost is load on the
-counter alone, two calls and two reads for each silent slot in each interval, and only while a member is
-silent. No I/O; times are Unix ms.
+counter alone: in each interval one increment, and two reads for each of at most `presence_reads` silent
+slots. It arises only while a member is silent to this gateway or others suspect this gateway. No I/O; times
+are Unix ms.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 from granitedock.quota_sharing.settings import QuotaSharingSettings
 
 PRESENCE_CUSTOMER = Customer(-1)  # Marks presence calls; no customer has this key.
-SUSPECTED_INTERVALS = 15  # Presence calls continue for so many intervals after others suspected this gateway.
-PRESENCE_VALID_EPOCHS = 2  # A confirmed presence is valid for so many epochs.
-PRESENCE_RETENTION_EPOCHS = 3  # The counter keeps a presence name for so many epochs.
+SUSPECTED_INTERVALS = 15  # Presence calls continue for this many intervals after a suspicion.
+PRESENCE_VALID_EPOCHS = 2  # A confirmed presence is valid for this many epochs.
+PRESENCE_RETENTION_EPOCHS = 3  # The counter keeps a presence name for this many epochs.
 # Odd 64-bit constants of integer hash functions; they spread slots and epochs over the counter's names.
 SLOT_MULTIPLIER = 0x9E3779B97F4A7C15
 EPOCH_MULTIPLIER = 0xD6E8FEB86659FD93
@@ -62,15 +63,19 @@
         return calls
 
     def valid_until(self, call: CounterCall, total: float) -> float | None:
-        """Return until when the slot of a finished call (its `window`) counts as present, or None."""
+        """Return the time until which the slot of a finished call (its `window`) counts as present.
+
+        Returns None if the call shows no presence of another slot.
+        """
         if call.customer is not PRESENCE_CUSTOMER or total <= 0 or call.window == self.local_slot:
             return None
         return call.sent_at + PRESENCE_VALID_EPOCHS * self.settings.presence_epoch_ms
 
     def _call(self, slot: int, epoch: int, amount: float, now: float) -> CounterCall:
-        """Return an increment of the presence name of a slot and epoch.
+        """Return a counter call on the presence name of a slot and epoch; an `amount` of 0 only reads it.
 
-        Presence names do not overlap the names of customers' windows. The call's `window` is the slot.
+        The name coincides with the name of a customer's window only by chance. The call's `window` is the
+        slot.
         """
         name = (slot * SLOT_MULTIPLIER + epoch * EPOCH_MULTIPLIER + NAME_OFFSET) % NAME_SPACE
         ttl_ms = PRESENCE_RETENTION_EPOCHS * self.settings.presence_epoch_ms
--- a/granitedock/quota_sharing/reserve.py
+++ b/granitedock/quota_sharing/reserve.py
@@ -14,8 +14,8 @@
 def reserve(quota: SharedQuota, window: int, silent_since: float, now: float) -> float:
     """Return the units of this window that a silent gateway of the subset may have admitted.
 
-    The reserve is the gateway's even share of the rate since `silent_since`, plus its even share of the burst
-    if the silence began within the window.
+    The reserve is the gateway's even share of the rate for the part of the window from `silent_since` to
+    `now`, plus its even share of the burst if the silence began within the window.
     """
     window_start = window * quota.window_ms
     window_end = window_start + quota.window_ms
@@ -29,8 +29,8 @@
 
     def __init__(self, settings: QuotaSharingSettings) -> None:
         self.settings = settings
-        self.silent_since: dict[int, float] = {}  # by member slot
-        self.present_until: dict[int, float] = {}  # by silent member slot whose presence was confirmed
+        self.silent_since: dict[int, float] = {}  # By member slot.
+        self.present_until: dict[int, float] = {}  # By silent slot whose presence was confirmed.
 
     def refresh(self, silent_slots: Mapping[int, float], now: float, steady_now: float) -> None:
         """Replace the set of silent members.
@@ -38,7 +38,7 @@
         `silent_slots` gives the time at which each slot was declared silent, on the steady clock of the
         membership. It contains the slots that this gateway has known as live, and that are no longer live,
         whose gateway neither announced its departure nor was proved stopped by a recent connection probe of
-        this gateway.
+        this gateway. A slot that has been silent for more than `max_reserve_ms` gets no reserve.
         """
         for slot in [slot for slot in self.silent_since if slot not in silent_slots]:
             del self.silent_since[slot]
--- a/granitedock/quota_sharing/settings.py
+++ b/granitedock/quota_sharing/settings.py
@@ -15,4 +15,4 @@
     presence_interval_ms: float = 2000.0  # Between presence calls to the counter while any member is silent.
     presence_epoch_ms: float = 4000.0  # Each epoch has its own presence names, so that presence expires.
     presence_reads: int = 8  # Silent member slots read from the counter in one interval.
-    max_rows: int = 20_000
+    max_rows: int = 20_000  # Usage rows stored; further ones are dropped.
--- a/granitedock/quota_sharing/sharing.py
+++ b/granitedock/quota_sharing/sharing.py
@@ -1,7 +1,7 @@
 """Quota sharing of one gateway: the policy's port, and the broadcasts to other gateways.
 
-For each customer whose total the counter gives, other gateways may have admitted units that the counter does
-not include. Gateways that are reachable broadcast these units (`uncounted_usage`). For silent gateways of the
+Other gateways may have admitted units for a customer that the counter's total does not include. Gateways that
+are reachable broadcast these units (`uncounted_usage`). For silent gateways of the
 customer's subset, a reserve of their even share is kept (`reserve`), unless their presence at the counter is
 confirmed (`presence`). The sum of admitted units therefore stays within the allowance whichever gateways are
 partitioned from the counter, from each other, or from both. Quota sharing only adds to the usage that counts:
@@ -105,7 +105,7 @@
     # Interface to the transport.
 
     def restore(self, rows: list[UsageRow], now: float) -> int:
-        """Merge the rows of a snapshot and return how many of them have not expired."""
+        """Merge the rows of a snapshot that have not expired, and return the number of rows added."""
         rows_before = self.usage.row_count
         for row in rows:
             if row.started_at != self.usage.started_at:
