--- a/granitedock/configuration/control_node.py
+++ b/granitedock/configuration/control_node.py
@@ -42,7 +42,7 @@
 from granitedock.configuration.replicated_document import ReplicatedDocument
 
 PAGE_ENTRIES = 250  # A snapshot page of 250 entries is about 30 KB and is read in about 1 ms.
-NO_CLASS_REMAINS = "classes: the change would leave the document without a request class"
+NO_CLASS_REMAINS = "classes: none would be left"
 
 
 class ControlNode:
--- a/granitedock/configuration/document.py
+++ b/granitedock/configuration/document.py
@@ -123,7 +123,7 @@
         removals: list[tuple[Section, str]] = []
         for section, name in edit.removed():
             if name not in self.digests[section]:
-                problem = f"{section.value}.remove: {name!r} does not exist"
+                problem = f"{section.value}.remove: {name!r} is not there"
                 raise ConfigurationError(problem)
             digest -= self.digests[section][name]
             removals.append((section, name))
--- a/granitedock/configuration/message_codec.py
+++ b/granitedock/configuration/message_codec.py
@@ -54,19 +54,19 @@
 
 def field_error(name: str, expected: str, value: Any) -> MalformedLineError:
     """Return the error for a field with an invalid value."""
-    return MalformedLineError(f"{name}: expected {expected}, got {value!r:.60}")
+    return MalformedLineError(f"{name}: {expected} wanted, not {value!r:.60}")
 
 
 def form_error(place: str, expected: str) -> MalformedLineError:
     """Return the error for a part of a line that does not have the expected form."""
-    return MalformedLineError(f"{place}: expected {expected}")
+    return MalformedLineError(f"{place}: {expected} wanted")
 
 
 def decode_whole_number(record: Record, name: str) -> int:
     """Decode a non-negative integer. Raises MalformedLineError."""
     value = record.get(name)
     if type(value) is not int or value < 0:
-        raise field_error(name, "a non-negative integer", value)
+        raise field_error(name, "a whole number from 0 is", value)
     return value
 
 
@@ -78,14 +78,14 @@
             return int(value, 16)
     except ValueError:
         pass
-    raise field_error("digest", f"{DIGEST_DIGITS} hex digits", value)
+    raise field_error("digest", f"{DIGEST_DIGITS} hex digits are", value)
 
 
 def decode_text(record: Record, name: str) -> str:
     """Decode a string. Raises MalformedLineError."""
     value = record.get(name)
     if type(value) is not str:
-        raise field_error(name, "a string", value)
+        raise field_error(name, "a text is", value)
     return value
 
 
@@ -99,15 +99,15 @@
         place = section.value
         part = record.get(place, {})
         if type(part) is not dict:
-            raise form_error(place, "an object")
+            raise form_error(place, "an object is")
         records = part.get("upsert", [])
         names = part.get("remove", [])
         if type(records) is not list or type(names) is not list:
-            raise form_error(place, "lists in upsert and remove")
+            raise form_error(place, "lists are")
         if not all(type(entry) is dict and type(entry.get("Name")) is str for entry in records):
-            raise form_error(f"{place}.upsert", "objects with a Name")
+            raise form_error(f"{place}.upsert", "objects with a Name are")
         if not all(type(name) is str for name in names):
-            raise form_error(f"{place}.remove", "names")
+            raise form_error(f"{place}.remove", "names are")
     return edit_from_record(record)
 
 
@@ -117,7 +117,7 @@
     digest = decode_digest(record)
     at_ms = record.get("at_ms")
     if not isinstance(at_ms, int | float) or type(at_ms) is bool:
-        raise form_error("at_ms", "a number")
+        raise form_error("at_ms", "a number is")
     return VersionedChange(version, digest, float(at_ms), decode_edit(record))
 
 
@@ -145,7 +145,7 @@
     name = record.get("type") if type(record) is dict else None
     kind = KINDS.get(name) if type(name) is str else None
     if kind is None:
-        problem = f"not a message of a known type: {line[:60]!r}"
+        problem = f"no message: {line[:60]!r}"
         raise MalformedLineError(problem)
     if kind is Resend:
         return Resend()
--- a/granitedock/configuration/watch_request.py
+++ b/granitedock/configuration/watch_request.py
@@ -52,12 +52,12 @@
     version_digits = single_value(fields, "after")
     digest_digits = single_value(fields, "digest")
     if cluster != local_cluster:
-        raise HttpError(HTTPStatus.CONFLICT, [f"cluster: expected {local_cluster!r}, got {cluster!r}"])
+        raise HttpError(HTTPStatus.CONFLICT, [f"cluster: this is {local_cluster!r}, not {cluster!r}"])
     try:
         version = int(version_digits)
         digest = int(digest_digits, 16)
     except ValueError:
         raise HttpError(
-            HTTPStatus.BAD_REQUEST, ["after, digest: expected an integer and hex digits"]
+            HTTPStatus.BAD_REQUEST, ["after, digest: a whole number and hex digits are wanted"]
         ) from None
     return WatchRequest(name, role, cluster, version, digest)
--- a/granitedock/membership/settings.py
+++ b/granitedock/membership/settings.py
@@ -99,9 +99,7 @@
     require_order("suspect_most_ms", "forget_ms")
     require_order("gap_ms", "suspect_ms")
     if file.listen.startswith("0.0.0.0:") and file.advertise is None:
-        errors.append(
-            (("advertise",), "must be set if listen is 0.0.0.0, at which no other member can reach this one")
-        )
+        errors.append((("advertise",), "must be named where listen is every address"))
     return errors
 
 
--- a/granitedock/membership/udp_transport.py
+++ b/granitedock/membership/udp_transport.py
@@ -1,7 +1,7 @@
 """The I/O of membership: one datagram socket, connection probes, timers, log and counters.
 
-This module owns the socket and the only clock that the protocol uses. The protocol's
-decisions are made elsewhere.
+This module owns the socket and the only clock that the protocol uses. The decisions of the
+protocol are made elsewhere.
 """
 
 from __future__ import annotations
