--- a/granitedock/configuration/change_log.py
+++ b/granitedock/configuration/change_log.py
@@ -8,7 +8,8 @@
 from granitedock.configuration.messages import VersionedChange
 
 MAX_VERSIONS = 4096
-MAX_LINE_ENTRIES = 250  # A larger change is sent as a snapshot in pages: a long line blocks an event loop.
+# A larger change is sent as a snapshot in pages, so that no line blocks an event loop for long.
+MAX_LINE_ENTRIES = 250
 
 
 @dataclass(slots=True)
--- a/granitedock/configuration/control_connection.py
+++ b/granitedock/configuration/control_connection.py
@@ -87,9 +87,8 @@
         self.buffer = LineBuffer(MAX_REPORT_LINE_BYTES)
         self.paused = False  # Whether the transport applies backpressure.
         self.ended = False
-        self.idle_since = (
-            server.node.clock()
-        )  # Time of the connection's start or of its last completed request.
+        # Time of the connection's start or of its last completed request.
+        self.idle_since = server.node.clock()
 
     @property
     def writable(self) -> bool:
--- a/granitedock/configuration/errors.py
+++ b/granitedock/configuration/errors.py
@@ -32,7 +32,7 @@
 
 
 class VersionConflictError(ChangeRejectedError):
-    """A change whose base is not the current version, as when another change was applied first."""
+    """A change whose base is not the current version, for example because another was applied first."""
 
     def __init__(self, source: str, base: int, version: int) -> None:
         super().__init__(source, [f"base: the present version is {version}, not {base}"])
--- a/granitedock/configuration/follower_timing.py
+++ b/granitedock/configuration/follower_timing.py
@@ -64,7 +64,7 @@
 
         Prevents a burst of reconnecting followers at a control process: each consecutive failure doubles the
         maximum wait up to `backoff_max_ms`, and the wait is a random time from half of it to all of it. The
-        next address is tried because the present one may have failed for long.
+        next address is tried because the present one may be down for long.
         """
         self.position += 1
         max_wait_ms = min(self.timing.backoff_max_ms, self.timing.backoff_base_ms * 2**self.failures)
--- a/granitedock/configuration/gateway_attachment.py
+++ b/granitedock/configuration/gateway_attachment.py
@@ -50,7 +50,7 @@
         self.reactor = reactor
         self.event_log = event_log
         self.applier = GatewayApplier(state, clock)
-        self.copy: LocalCopy | None = None  # Not set without a copy file, or if the copy cannot be used.
+        self.copy: LocalCopy | None = None  # None without a copy file, or if it cannot be used.
         # Records of the incoming snapshot, for the copy.
         self.snapshot_records: list[tuple[Section, Record]] = []
         self.document: ReplicatedDocument[Entry] = ReplicatedDocument(self)
--- a/granitedock/configuration/message_handler.py
+++ b/granitedock/configuration/message_handler.py
@@ -1,8 +1,8 @@
 """Applies each message from a control process to a follower's document. No I/O.
 
 The version in force never decreases. A change that does not apply to the version in force causes a request
-for a snapshot, at most once per connection; a message that is not allowed in the current state
-raises MalformedLineError.
+for a snapshot, at most once per connection; a message that is not allowed in the current state raises
+MalformedLineError.
 """
 
 from __future__ import annotations
--- a/granitedock/outlier_detection/detector.py
+++ b/granitedock/outlier_detection/detector.py
@@ -136,7 +136,7 @@
         return statistics
 
     def update_hosts(self, hosts: dict[str, Host], now: float) -> None:
-        """Apply this gateway's endpoint list: publish changed statuses and forget absent hosts."""
+        """Apply this gateway's endpoint list: publish changed statuses, drop statistics of absent hosts."""
         self.hosts = hosts
         for name, host in hosts.items():
             statistics = self._statistics_of(host)
--- a/granitedock/outlier_detection/verdicts.py
+++ b/granitedock/outlier_detection/verdicts.py
@@ -24,8 +24,8 @@
 class Verdict:
     """The verdict that a host should be ejected.
 
-    `gateways` is the number of gateways that support it. For a draining host, the number of all observations
-    is added, so that its ejection precedes those of failing hosts when ejections are limited.
+    `gateways` ranks verdicts when ejections are limited. For a failing host it is the number of gateways with
+    failures; for a draining host it is the number of observations plus the number of those with `draining`.
     """
 
     host: str
--- a/granitedock/quota_sharing/presence.py
+++ b/granitedock/quota_sharing/presence.py
@@ -3,8 +3,8 @@
 Prevents unused quota after a partition between gateways that all still reach the counter: each side would
 reserve the other's shares although the counter's totals include all that it admits. The cost is load on the
 counter alone: in each interval one increment, and two reads for each of at most `presence_reads` silent
-slots. It arises only while a member is silent to this gateway or others suspect this gateway. No I/O; times
-are Unix ms.
+slots. These calls are made only while a member is silent to this gateway or others suspect this gateway. No
+I/O; times are Unix ms.
 """
 
 from __future__ import annotations
--- a/granitedock/quota_sharing/sharing.py
+++ b/granitedock/quota_sharing/sharing.py
@@ -1,9 +1,9 @@
 """Quota sharing of one gateway: the policy's port, and the broadcasts to other gateways.
 
 Other gateways may have admitted units for a customer that the counter's total does not include. Gateways that
-are reachable broadcast these units (`uncounted_usage`). For silent gateways of the
-customer's subset, a reserve of their even share is kept (`reserve`), unless their presence at the counter is
-confirmed (`presence`). The sum of admitted units therefore stays within the allowance whichever gateways are
+are reachable broadcast these units (`uncounted_usage`). For silent gateways of the customer's subset, a
+reserve of their even share is kept (`reserve`), unless their presence at the counter is confirmed
+(`presence`). The sum of admitted units therefore stays within the allowance whichever gateways are
 partitioned from the counter, from each other, or from both. Quota sharing only adds to the usage that counts:
 it never admits more than the counter's total alone would. No I/O; times are Unix ms.
 """
