--- a/granitedock/configuration/control_node.py
+++ b/granitedock/configuration/control_node.py
@@ -118,7 +118,7 @@
         return versioned_change
 
     def with_windows(self, edit: Edit) -> Edit:
-        """Return the edit with a window in each plan that it upserts."""
+        """Return the edit with a window length in each plan that it upserts."""
         plans = edit.upserts.get(Section.PLANS, ())
         completed = tuple(with_window(plan, self.record(Section.PLANS, plan["Name"])) for plan in plans)
         upserts = dict(edit.upserts)
@@ -127,7 +127,7 @@
         return Edit(upserts, edit.removals)
 
     def check_class_remains(self, prepared: PreparedEdit[bytes], source: str) -> None:
-        """Raise ChangeRejectedError if the prepared edit would remove the last request class.
+        """Raise ChangeRejectedError if the document would have no request class after the prepared edit.
 
         Prevents gateways from receiving a document without any class, with which they can serve no request.
         """
@@ -147,7 +147,7 @@
             raise ChangeRejectedError(source, [problem])
         return self.apply(Change(0, edit_from_platform_settings(settings)), source)
 
-    # Methods of `DocumentConsumer`, which the replicated document calls at a replica.
+    # Methods of `DocumentConsumer`. The writer uses `make_value` only, a replica all of them.
 
     @staticmethod
     def make_value(_section: Section, record: Record) -> bytes:
--- a/granitedock/configuration/document.py
+++ b/granitedock/configuration/document.py
@@ -115,7 +115,8 @@
     def prepare(self, edit: Edit) -> PreparedEdit[Value]:
         """Compute the effect of the edit without applying it.
 
-        Raises ConfigurationError for the removal of an entry that does not exist.
+        Raises ConfigurationError for the removal of an entry that does not exist, or for a record of which
+        `make_value` cannot make a value.
         """
         digest = self.digest
         entries: list[PreparedEntry[Value]] = []
