--- a/tests/configuration/test_configuration_processes.py
+++ b/tests/configuration/test_configuration_processes.py
@@ -34,17 +34,17 @@
 
 
 @contextmanager
-def gateway(tmp_path, addresses, **more):
+def following_gateway(tmp_path, addresses, **more):
     file = GatewayFile(enabled=True, cluster=CLUSTER, control=list(addresses), **more)
-    live = LoopbackGateway(tmp_path, configuration=file)
+    gateway = LoopbackGateway(tmp_path, configuration=file)
     try:
-        yield live
+        yield gateway
     finally:
-        live.configuration.transport.follower.running = False
-        live.close()
+        gateway.configuration.transport.follower.running = False
+        gateway.close()
 
 
-def until(live, predicate, clock=time.monotonic):
+def run_until(gateway, predicate, clock=time.monotonic):
     """Run the gateway's loop until the predicate holds; its clock follows `clock()`, the real time in s.
 
     The gateway's clock advances by at most MAX_STEP_MS between runs of the loop. This prevents a delayed test
@@ -54,103 +54,104 @@
     last = began = clock()
     while not predicate():
         now = clock()
-        assert now - began < TIME_LIMIT_S, live.log_events[-5:]
-        live.now_ms, last = live.now_ms + min(MAX_STEP_MS, 1000.0 * (now - last)), now
-        live.run_loop(2)
+        assert now - began < TIME_LIMIT_S, gateway.log_events[-5:]
+        gateway.now_ms, last = gateway.now_ms + min(MAX_STEP_MS, 1000.0 * (now - last)), now
+        gateway.run_loop(2)
 
 
-def wait_until_in_force(live, version):
-    until(live, lambda: live.configuration.document.version >= version)
+def wait_until_in_force(gateway, version):
+    run_until(gateway, lambda: gateway.configuration.document.version >= version)
 
 
 def change(base, put=(), remove=()):
     return json.dumps({"base": base, "plans": {"upsert": list(put), "remove": list(remove)}}).encode()
 
 
-def served(live, client_peer, name="read"):
+def serve_request(gateway, client_peer, name="read"):
     """Send one request through the gateway and its host, and return the client's response."""
-    client_peer.send(live.request(name))
-    host = attempt(live)
+    client_peer.send(gateway.request(name))
+    host = accept_attempt(gateway)
     host.send(VALUE)
-    return answer_of(live, client_peer)
+    return wait_for_answer(gateway, client_peer)
 
 
-def attempt(live):
+def accept_attempt(gateway):
     """Return the host's end of the next attempt, after reading its request."""
     connections = []
-    until(
-        live, lambda: connections or connections.extend(filter(None, [live.accept_at_host()])) or connections
+    run_until(
+        gateway,
+        lambda: connections or connections.extend(filter(None, [gateway.accept_at_host()])) or connections,
     )
     connections[0].wait_until_readable()
     assert b"API." in connections[0].read()
     return connections[0]
 
 
-def answer_of(live, client_peer):
+def wait_for_answer(gateway, client_peer):
     """Wait for the client's response and return it."""
     reads = []
-    until(live, lambda: reads.append(client_peer.read()) or reads[-1])
+    run_until(gateway, lambda: reads.append(client_peer.read()) or reads[-1])
     return reads[-1]
 
 
 def test_a_change_applies_between_requests_and_a_request_in_flight_keeps_its_plan(tmp_path):
-    with control_processes(3, 1) as (writer,), gateway(tmp_path, [writer.address]) as live:
-        wait_until_in_force(live, 1)
-        assert "tenant-00001" in live.state_machine.requests.plans
-        first, second = live.client(), live.client()
-        live.counter_answers = False  # The counter withholds its reply.
-        first.send(live.request())
-        until(live, lambda: live.state_machine.requests.in_flight)
+    with control_processes(3, 1) as (writer,), following_gateway(tmp_path, [writer.address]) as gateway:
+        wait_until_in_force(gateway, 1)
+        assert "tenant-00001" in gateway.state_machine.requests.plans
+        first, second = gateway.client(), gateway.client()
+        gateway.counter_answers = False  # The counter withholds its reply.
+        first.send(gateway.request())
+        run_until(gateway, lambda: gateway.state_machine.requests.in_flight)
         control_client.apply(writer.address, change(1, remove=["p"]), 5.0)
-        wait_until_in_force(live, 2)
-        live.counter_answers = True
-        attempt(live).send(VALUE)
-        assert answer_of(live, first) == VALUE
-        second.send(live.request())
-        assert answer_of(live, second) == b"-ERR unknown product or plan\r\n"
+        wait_until_in_force(gateway, 2)
+        gateway.counter_answers = True
+        accept_attempt(gateway).send(VALUE)
+        assert wait_for_answer(gateway, first) == VALUE
+        second.send(gateway.request())
+        assert wait_for_answer(gateway, second) == b"-ERR unknown product or plan\r\n"
         assert control_client.apply(writer.address, change(2, [PLAN]), 5.0)["version"] == 3
-        wait_until_in_force(live, 3)
-        assert served(live, live.client()) == VALUE
+        wait_until_in_force(gateway, 3)
+        assert serve_request(gateway, gateway.client()) == VALUE
 
 
-def test_a_delayed_test_process_fails_no_request_in_flight(live):
+def test_a_delayed_test_process_fails_no_request_in_flight(make_gateway):
     """Guards against a jump of the gateway's clock while the counter's reply is outstanding.
 
     A delay of 4.1 s, applied in one step, replaced the counter's connection and failed the request.
     """
-    gateway = live()
+    gateway = make_gateway()
     client = gateway.client()
     gateway.counter_answers = False  # The counter withholds its reply.
     client.send(gateway.request())
-    until(gateway, lambda: gateway.state_machine.requests.in_flight)
+    run_until(gateway, lambda: gateway.state_machine.requests.in_flight)
     before_ms, readings_s, rounds = gateway.now_ms, [0.0, 4.1], []
 
     def real_time():
         return readings_s.pop(0) if len(readings_s) > 1 else readings_s[0]
 
-    until(gateway, lambda: rounds.append(gateway.now_ms) or len(rounds) > 2, real_time)
+    run_until(gateway, lambda: rounds.append(gateway.now_ms) or len(rounds) > 2, real_time)
     assert before_ms < gateway.now_ms <= before_ms + MAX_STEP_MS
     gateway.counter_answers = True
-    attempt(gateway).send(VALUE)
-    assert answer_of(gateway, client) == VALUE
+    accept_attempt(gateway).send(VALUE)
+    assert wait_for_answer(gateway, client) == VALUE
 
 
 def test_without_a_control_process_a_gateway_serves_and_restarts_with_its_last_configuration(tmp_path):
     copy = str(tmp_path / "g.copy")
     with control_processes(3, 1) as (writer,):
-        with gateway(tmp_path, [writer.address], copy_file=copy) as live:
-            wait_until_in_force(live, 1)
+        with following_gateway(tmp_path, [writer.address], copy_file=copy) as gateway:
+            wait_until_in_force(gateway, 1)
             control_client.apply(writer.address, change(1, [PLAN | {"Name": "new"}]), 5.0)
-            wait_until_in_force(live, 2)
+            wait_until_in_force(gateway, 2)
             writer.process.kill()
-            until(live, lambda: live.configuration.follower.counts["dials"] >= 3)
-            assert "new" in live.state_machine.requests.plans
-            assert served(live, live.client()) == VALUE
-            live.configuration.stop()
-        with gateway(tmp_path, [writer.address], copy_file=copy) as live:
-            assert live.configuration.document.version == 2
-            assert "new" in live.state_machine.requests.plans
-            assert served(live, live.client()) == VALUE
+            run_until(gateway, lambda: gateway.configuration.follower.counts["dials"] >= 3)
+            assert "new" in gateway.state_machine.requests.plans
+            assert serve_request(gateway, gateway.client()) == VALUE
+            gateway.configuration.stop()
+        with following_gateway(tmp_path, [writer.address], copy_file=copy) as gateway:
+            assert gateway.configuration.document.version == 2
+            assert "new" in gateway.state_machine.requests.plans
+            assert serve_request(gateway, gateway.client()) == VALUE
 
 
 def test_a_corrupt_copy_is_logged_and_the_gateway_starts_without_it(tmp_path):
@@ -158,11 +159,13 @@
     copy.write_bytes(b"no store at all" * 100)
     with (
         control_processes(2, 1) as (writer,),
-        gateway(tmp_path, [writer.address], copy_file=str(copy)) as live,
+        following_gateway(tmp_path, [writer.address], copy_file=str(copy)) as gateway,
     ):
-        rejections = [figures for event, figures in live.log_events if event == "configuration copy rejected"]
+        rejections = [
+            figures for event, figures in gateway.log_events if event == "configuration copy rejected"
+        ]
         assert rejections and str(copy) in rejections[0]["why"]
-        wait_until_in_force(live, 1)
+        wait_until_in_force(gateway, 1)
 
 
 PAGE = b"<html><body>Please sign in</body></html>\n"
@@ -191,7 +194,7 @@
     other_server = Server()
     with (
         control_processes(2, 1) as (writer,),
-        gateway(tmp_path, [other_server.address, writer.address]) as live,
+        following_gateway(tmp_path, [other_server.address, writer.address]) as gateway,
     ):
         peers = []
 
@@ -207,16 +210,16 @@
                         peers[0].send(answer[at : at + 65536])
                     except OSError:
                         break  # The gateway has rejected the connection meanwhile.
-                    live.run_loop(1)
-            return live.configuration.document.version >= 1
+                    gateway.run_loop(1)
+            return gateway.configuration.document.version >= 1
 
         answered.done = False
-        until(live, answered)
+        run_until(gateway, answered)
         reasons = [
-            figures["why"] for event, figures in live.log_events if event == "control connection rejected"
+            figures["why"] for event, figures in gateway.log_events if event == "control connection rejected"
         ]
         assert len(reasons) == 1 and why in reasons[0], reasons
-        assert live.configuration.follower.counts["refused"] == 1
+        assert gateway.configuration.follower.counts["refused"] == 1
     other_server.sock.close()
 
 
@@ -227,38 +230,38 @@
     only the reconnect backoff grows with it, and the backoff has reached its maximum.
     """
     link_faults = LinkFaults(1)
-    ways = [("replica", "writer"), ("writer", "replica")]
+    directions = [("replica", "writer"), ("writer", "replica")]
     with control_processes(3, 1) as (writer,):
-        wire = on_reactor(TcpProxy, reactor, link_faults, "replica", "writer", "127.0.0.1:0", writer.address)
-        replica = start_control(tmp_path, "replica", [wire.address], None)
+        proxy = on_reactor(TcpProxy, reactor, link_faults, "replica", "writer", "127.0.0.1:0", writer.address)
+        replica = start_control(tmp_path, "replica", [proxy.address], None)
         try:
             wait_for_version([replica], 1)
-            with gateway(tmp_path, [replica.address]) as live:
-                wait_until_in_force(live, 1)
-                on_reactor(link_faults.set, CUT, ways)
+            with following_gateway(tmp_path, [replica.address]) as gateway:
+                wait_until_in_force(gateway, 1)
+                on_reactor(link_faults.set, CUT, directions)
                 for base in (1, 2, 3):
                     plan = PLAN | {"Refill": 1000 + base}
                     control_client.apply(writer.address, change(base, [plan]), 5.0)
                 # The replica has abandoned its connection, and its attempts to reconnect fail.
-                until(live, lambda: replica.status()["following"]["counts"]["dials"] >= 4)
-                assert live.configuration.document.version == 1
+                run_until(gateway, lambda: replica.status()["following"]["counts"]["dials"] >= 4)
+                assert gateway.configuration.document.version == 1
                 fresh = start_control(tmp_path, "late", [replica.address], None)
                 try:
                     wait_for_version([fresh], 1)  # Served from the replica's own store.
                 finally:
                     fresh.process.kill()
                     fresh.process.wait()
-                assert served(live, live.client()) == VALUE
-                healed = time.monotonic()
-                on_reactor(link_faults.set, NO_FAULT, ways)
-                wait_until_in_force(live, 4)
-                assert time.monotonic() - healed < 10.0
-                assert live.state_machine.requests.plans["p"].rate == pytest.approx(1.003)
+                assert serve_request(gateway, gateway.client()) == VALUE
+                healed_at = time.monotonic()
+                on_reactor(link_faults.set, NO_FAULT, directions)
+                wait_until_in_force(gateway, 4)
+                assert time.monotonic() - healed_at < 10.0
+                assert gateway.state_machine.requests.plans["p"].rate == pytest.approx(1.003)
         finally:
             replica.process.kill()
             replica.process.wait()
             replica.process.stdout.close()
-            on_reactor(wire.stop)
+            on_reactor(proxy.stop)
 
 
 def test_followers_of_a_killed_control_process_follow_the_remaining_ones(tmp_path):
--- a/tests/configuration/test_replication.py
+++ b/tests/configuration/test_replication.py
@@ -18,9 +18,11 @@
 def test_a_follower_converges_whatever_lines_are_lost_or_doubled_and_connections_cut(
     tmp_path_factory, steps, seed
 ):
-    """Lines are lost and doubled, connections are cut, and the follower changes between two control
-    processes, one of which lags. Its version must never decrease, and once the faults stop it must have the
-    writer's version, digest and plans."""
+    """Guards against a follower whose version decreases, or that stays behind once the faults stop.
+
+    Lines are lost and doubled, connections are cut, and the follower changes between two control processes,
+    one of which lags. At the end it must have the writer's version, digest and plans.
+    """
     folder = tmp_path_factory.mktemp("any")
     rng = Random(seed)
     writer, replica = control_node(folder / "w.db", plans=3), control_node(folder / "r.db", plans=3)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -95,7 +95,7 @@
 
 
 @pytest.fixture
-def live(tmp_path):
+def make_gateway(tmp_path):
     """A factory of gateways on real sockets (`loopback.LoopbackGateway`), which are closed after the test."""
     from loopback import LoopbackGateway
 
--- a/tests/golden/test_golden_story.py
+++ b/tests/golden/test_golden_story.py
@@ -21,7 +21,9 @@
 BUSY, FAILED = b"-BUSY\r\n", b"-ERR failed\r\n"
 CUSTOMER = b"00000000000000a1"
 OVER_QUOTA = b"00000000000000b2"
-OTHER_GATEWAYS_UNITS = 1000.0  # What the counter adds to the total of a customer who is over the quota.
+OTHER_GATEWAYS_UNITS = (
+    1000.0  # Initial total of each name that is first counted while `over_quota` is not empty.
+)
 
 
 def begin_shutdown(harness):
@@ -189,7 +191,7 @@
             if (
                 not self.discovery_silent
                 and self.now_ms >= self.next_heartbeat_ms
-                and getattr(watch, "headed", False)
+                and getattr(watch, "head_sent", False)
                 and watch in self.connections
             ):
                 self.next_heartbeat_ms = self.now_ms + 1000.0
@@ -296,7 +298,7 @@
 
 
 def discovery_and_counter_that_fail(scenario):
-    """An open watch goes silent and the next is answered; counter connections reset with calls in flight."""
+    """An open watch goes silent and the next is answered; counter connections close with calls in flight."""
     scenario.discovery_silent = True
     scenario.pass_ms(4000)
     scenario.discovery_silent = False
@@ -379,7 +381,7 @@
 def run_scenario(tmp_path):
     """Run the scenario; return its transcript, when the process ended, and the final counters.
 
-    The recording contains the names of the functions that are its parts.
+    The recording contains the name of each part's function, with spaces instead of underscores.
     """
     scenario = RecordedScenario(tmp_path, 3)
     try:
--- a/tests/golden/test_outer_names.py
+++ b/tests/golden/test_outer_names.py
@@ -1,10 +1,10 @@
-"""Each name that leaves the process stands in the code, letter for letter.
+"""Each name that leaves the process occurs in the code, letter for letter.
 
-`outer_names.txt` has one name a line: fields and values of messages to clients, hosts, the counter, discovery
-and peers; stored columns, record keys and file names; keys of settings files, of the platform file and of
-`deploy/balancer.toml`; sub-commands, options and environment variables; counters, metrics and log events;
-events and commands of the simulator's adapter. Guards against a rename that changes what other processes,
-stored files and operators' tools read.
+`outer_names.txt` lists one name per line: fields and values of messages to clients, hosts, the counter,
+discovery and peers; stored columns, record keys and file names; keys of settings files, of the platform file
+and of `deploy/balancer.toml`; sub-commands, options and environment variables; counters, metrics and log
+events; events and commands of the simulator's adapter. Guards against a rename that changes what other
+processes, stored files and operators' tools read.
 """
 
 import re
@@ -15,7 +15,7 @@
 
 
 def missing_names(names, text):
-    """The names that do not stand in the text as whole words."""
+    """Return the names that do not occur in the text as whole words."""
     return [
         name for name in names if not re.search(rf"(?<![A-Za-z0-9_]){re.escape(name)}(?![A-Za-z0-9_])", text)
     ]
@@ -30,7 +30,7 @@
     return "\n".join(path.read_text() for path in files)
 
 
-def test_each_name_that_leaves_the_process_stands_in_the_code():
+def test_each_name_that_leaves_the_process_occurs_in_the_code():
     assert missing_names(outer_names(), code_text()) == []
 
 
--- a/tests/helpers/loopback.py
+++ b/tests/helpers/loopback.py
@@ -190,7 +190,7 @@
         return self.watches[-1]
 
     def next_watch(self, within_ms=6000.0):
-        """Advance the clock until a new watch opens, and return it; earlier ones get no answer."""
+        """Advance the clock until a new watch opens, and return it; no watch is answered meanwhile."""
         end, seen = self.now_ms + within_ms, self.newest_watch()
         while self.newest_watch() is seen:
             assert self.now_ms < end
@@ -200,8 +200,8 @@
     def send_list(self, **more):
         """Send a full endpoint list on the newest watch."""
         watch = self.newest_watch()
-        head = b"" if getattr(watch, "headed", False) else WATCH_RESPONSE_HEAD
-        watch.headed = True
+        head = b"" if getattr(watch, "head_sent", False) else WATCH_RESPONSE_HEAD
+        watch.head_sent = True
         watch.send(head + chunk(json.dumps(self.endpoint_list(**more)).encode() + b"\n"))
         self.run_loop()
 
--- a/tests/helpers/planted_faults.py
+++ b/tests/helpers/planted_faults.py
@@ -70,7 +70,7 @@
 
 
 def keep_cancelled_attempts(monkeypatch):
-    """Repeat a cancelled attempt while its connection stays open."""
+    """Leave the connection of a cancelled attempt open while the request is retried."""
     cancel_waiting = HostConnections.cancel_waiting
 
     def cancel_without_effects(self, connection):
@@ -116,7 +116,7 @@
     monkeypatch.setattr(MemberSlots, "is_vacant", lambda self, now, slot: slot in self.vacancies)
 
 
-def never_search_for_ended_members(monkeypatch):
+def disable_anti_entropy(monkeypatch):
     """Disable anti-entropy, so that members that are not live are never contacted again."""
     timers = {"revive": Timer.REVIVE, "sync": Timer.SYNC, "join": Timer.JOIN}
     for method, timer in timers.items():
--- a/tests/lab/test_cluster.py
+++ b/tests/lab/test_cluster.py
@@ -80,7 +80,7 @@
         with socket.create_connection((host, int(port)), timeout=1) as connection:
             connection.sendall(b"*1\r\n$4\r\nPING\r\n")
             assert connection.recv(64) == b"+PONG\r\n"
-            cluster.cut([0], "counter", "in")  # requests arrive, but replies are buffered
+            cluster.cut([0], "counter", "in")  # Requests arrive, but replies are buffered.
             connection.sendall(b"*1\r\n$4\r\nPING\r\n")
             connection.settimeout(0.3)
             with raises(TimeoutError):
--- a/tests/lab/test_counter_emulator.py
+++ b/tests/lab/test_counter_emulator.py
@@ -50,7 +50,8 @@
             # The partition delays the reply.
             assert call(connection, encode_call(7, 1.0, 10_000), wait_s=0.3) == b""
             time.sleep(max(0.0, 2.2 - (time.monotonic() - start_s)))
-            assert call(connection, b"", wait_s=0.5) == b"$3\r\n4.5\r\n"  # sent after the partition
+            assert call(connection, b"", wait_s=0.5) == b"$3\r\n4.5\r\n"  # Sent after the partition.
         time.sleep(max(0.0, 4.4 - (time.monotonic() - start_s)))
         with socket.create_connection((host, int(port))) as connection:
-            assert call(connection, encode_call(7, 1.0, 10_000)) == b"$1\r\n1\r\n"  # restarted without totals
+            # The counter has restarted without totals.
+            assert call(connection, encode_call(7, 1.0, 10_000)) == b"$1\r\n1\r\n"
--- a/tests/lab/test_discovery_emulator.py
+++ b/tests/lab/test_discovery_emulator.py
@@ -58,7 +58,8 @@
         start_s = time.monotonic()
         connection = watch(address)
         assert received_lifecycles(connection, start_s + 1.6) == ["in_service", "terminating"]
-        assert received_lifecycles(connection, start_s + 2.5) is None  # down: the watch is closed
+        # Discovery is down, and the watch is closed.
+        assert received_lifecycles(connection, start_s + 2.5) is None
         time.sleep(max(0.0, 3.4 - (time.monotonic() - start_s)))
         with watch(address) as second_watch:
             # Discovery is up again and writes the current list.
--- a/tests/lab/test_host_emulators.py
+++ b/tests/lab/test_host_emulators.py
@@ -61,6 +61,6 @@
         assert ask(addresses["east/0"]) == VALUE
         assert ask(addresses["east/1"], wait_s=0.3) == b""
         time.sleep(max(0.0, 2.3 - (time.monotonic() - start_s)))
-        assert ask(addresses["east/0"]) is None  # killed: there is no listener
+        assert ask(addresses["east/0"]) is None  # Killed, so that there is no listener.
         time.sleep(max(0.0, 4.5 - (time.monotonic() - start_s)))
-        assert ask(addresses["east/0"]) == VALUE  # restarted
+        assert ask(addresses["east/0"]) == VALUE  # Restarted.
--- a/tests/lab/test_host_faults.py
+++ b/tests/lab/test_host_faults.py
@@ -31,7 +31,7 @@
 def test_a_host_is_slow_only_for_its_warm_up_time_after_each_start():
     assert host_condition([], 5, 4_999, up_since_ms=0).slowdown > 1.0
     assert host_condition([], 5, 5_000, up_since_ms=0).slowdown == 1.0
-    assert host_condition([], 5, 30_000, up_since_ms=26_000).slowdown > 1.0  # after a restart at 26 s
+    assert host_condition([], 5, 30_000, up_since_ms=26_000).slowdown > 1.0  # Restarted at 26 s.
 
 
 def test_faults_affect_their_share_of_requests_and_the_same_seed_gives_the_same_replies():
--- a/tests/lab/test_rule_checks.py
+++ b/tests/lab/test_rule_checks.py
@@ -1,6 +1,6 @@
 """Checks of the five rules from outside the gateways.
 
-They guard against checks that miss a violation, so that a faulty gateway passes, and against checks that
+The tests guard against checks that miss a violation, so that a faulty gateway passes, and against checks that
 report permitted behaviour as a violation.
 """
 
@@ -48,7 +48,7 @@
 
 RESET = [attempt(10.1, reply="reset"), attempt(10.2, host="b")]
 CASES = {
-    # name: (start of the expected line, the request, its attempts)
+    # By name: the start of the expected line, or "" for none; the request; its attempts.
     "answered in time": ("", client_request(), [attempt(10.0)]),
     "answered late": (
         "rule 1: task 1 at gateway/0 was answered 100 ms late",
@@ -121,7 +121,7 @@
     """
     changes = [(9.0, frozenset()), (10.0, frozenset({"a"})), (14.0, frozenset())]
     lists = [WrittenList(*change) for change in changes]
-    # Gateway 0 is notified of the drain at 10 s, or else another gateway is.
+    # In the first check gateway 0 is notified of the drain at 10 s, in the second gateway 1.
     for at_s, permitted in ((10.9, True), (11.2, False), (14.1, True)):
         request = ClientRequest(1, 0, 161, "read", 1.0, at_s, 1000.0, RequestOutcome.DONE, 100.0)
         reported = rule_violations(Observations([request], [attempt(at_s)], lists={0: lists}))
@@ -177,7 +177,7 @@
             # The load generator ends the connection with a reset.
             with connection, connection.makefile("rb") as reader, suppress(OSError):
                 count = 0
-                while reader.readline():  # the header of an array, which its items follow
+                while reader.readline():  # The header of an array; its items follow.
                     for _ in range(4):
                         size = int(reader.readline()[1:])
                         reader.read(size + 2)
@@ -266,10 +266,11 @@
         cluster.add_host_fault("west/2", "kill", for_s=1.0)
         cluster.restart_counter(type(cluster.counter.counts)())
         time.sleep(1.5)
-        cluster.cut([0], "discovery")  # for longer than a watch may stay silent
+        cluster.cut([0], "discovery")  # For longer than a watch may stay silent.
         cluster.restart(1)
         cluster.wait_until_ready(1)
-        for n in range(3):  # all hosts of one zone slow down
+        # All hosts of one zone slow down.
+        for n in range(3):
             cluster.add_host_fault(f"east/{n}", "slow", for_s=2.0, factor=20)
         time.sleep(4)
         cluster.heal()
@@ -286,7 +287,7 @@
             "once",
         }
         replies = {attempt.reply for host in cluster.hosts for attempt in host.attempts}
-        assert {"value", "half", "silent", "reset"} <= replies  # requests did meet the faults
+        assert {"value", "half", "silent", "reset"} <= replies  # Some requests met the faults.
         lists = [written for discovery in cluster.discoveries for written in discovery.written_lists]
         assert any(written.unavailable for written in lists)
         assert any(host.starts for host in cluster.hosts)
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -1,4 +1,4 @@
-"""Check how costs grow at small sizes, in messages, bytes and Python calls, and check the page's tables."""
+"""The growth of costs at small sizes, in messages, bytes and Python calls, and the page's tables."""
 
 import sys
 from dataclasses import replace
@@ -36,7 +36,7 @@
 
 
 def test_endpoint_list_costs_grow_linearly_and_an_update_has_a_constant_size():
-    """Guard against a full list that costs more than linear time, and updates that grow with the list.
+    """Guards against a full list that costs more than linear time, and updates that grow with the list.
 
     Either happens if the gateway goes over all hosts for each host, or an update repeats the whole list.
     """
@@ -55,7 +55,7 @@
 
 
 def test_platform_file_calls_and_memory_grow_linearly_with_its_plans():
-    """Guard against a validation that costs more than linear time, as when each plan visits all others."""
+    """Guards against a validation that costs more than linear time, as when each plan visits all others."""
     costs = [plans.measure(count) for count in (200, 400, 800)]
     assert growth_form(costs, "plans", "file_bytes") == "linear"
     assert growth_form(costs, "plans", "memory_mb") == "linear"
@@ -68,14 +68,14 @@
 
 
 def test_snapshot_bytes_and_document_memory_grow_linearly_with_the_plans():
-    """Guard against a document whose snapshot or memory grows faster than its plans."""
+    """Guards against a document whose snapshot or memory grows faster than its plans."""
     costs = [documents.measure(count) for count in (200, 800)]
     assert growth_form(costs, "plans", "snapshot_bytes") == "linear"
     assert growth_form(costs, "plans", "memory_mb") == "linear"
 
 
 def test_duplicate_plan_names_are_detected_in_one_pass_over_the_plans():
-    """Guard against a search for duplicate names that passes over all plans once for each name.
+    """Guards against a search for duplicate names that passes over all plans once for each name.
 
     A platform file of 21,000 plans is then read in 3.8 s instead of 0.06 s.
     """
@@ -93,14 +93,14 @@
 
 
 def test_membership_load_per_gateway_does_not_grow_with_the_cluster():
-    """Guard against a membership protocol in which each gateway's messages or bytes grow with the cluster."""
+    """Guards against a membership protocol in which a gateway's messages or bytes grow with the cluster."""
     costs = [view.measure(count, 2.0) for count in (40, 120)]
     assert growth_form(costs, "gateways", "messages_a_second") == "flat"
     assert growth_form(costs, "gateways", "bytes_a_second") == "flat"
 
 
 def test_hollow_gateways_on_real_sockets_get_the_list_and_small_updates(monkeypatch):
-    """Guard against updates that grow with the list, as when discovery sends all hosts for each change."""
+    """Guards against updates that grow with the list, as when discovery sends all hosts for each change."""
     monkeypatch.setattr(hollow_fleet, "MAX_PROCESSES", 2)
     monkeypatch.setattr(fleet, "REST_S", 0.5)
     monkeypatch.setattr(fleet, "CHANGES", 3)
@@ -112,7 +112,7 @@
 
 
 def test_sizes_that_exceed_the_machine_are_rejected(monkeypatch):
-    """Guard against a run that exhausts the machine's descriptors or memory."""
+    """Guards against a run that exhausts the machine's descriptors or memory."""
     with pytest.raises(ScaleError, match="descriptors"):
         command.check_sizes(replace(FULL, counter_connections=(10**9,)))
     with pytest.raises(ScaleError, match="MB"):
@@ -122,7 +122,7 @@
 
 
 def test_line_is_fitted_and_page_sections_are_filled_by_name():
-    """Guard against a wrong slope, text outside its section, and a section that no table fills."""
+    """Guards against a wrong slope, text outside its section, and a section that no table fills."""
     costs = [plans.PlanCost(count, 10 * count + 5, 1.0, 1.0, 1.0, 1.0) for count in (1, 2, 5)]
     line = fit_line(costs, "plans", "file_bytes")
     assert (round(line.slope, 6), round(line.intercept, 6)) == (10, 5)
@@ -133,7 +133,7 @@
 
 
 def test_malformed_results_are_rejected_with_the_file_name(tmp_path):
-    """Guard against a results file of another format that fails without naming the file."""
+    """Guards against a results file of another format that fails without naming the file."""
     path = tmp_path / "scale.json"
     path.write_text('{"machine": {}}')
     with pytest.raises(ScaleError, match=r"scale\.json: no results of lab scale"):
@@ -155,7 +155,7 @@
 
 
 def test_missing_configuration_service_is_first_over_budget_and_figures_are_slope_by_count(tmp_path):
-    """Guard against tables that hide an exceeded budget or miscalculate a figure, and lost results."""
+    """Guards against tables that hide an exceeded budget or miscalculate a figure, and lost results."""
     results = synthetic_results()
     exceeded = over_budget(role_figures(results, OperatorSize()))
     assert exceeded[0].name.startswith("a change in force") and isinf(exceeded[0].factor)
@@ -172,7 +172,7 @@
 
 
 def test_operator_size_gives_rates_per_gateway_and_per_second():
-    """Guard against rates that are divided by the wrong count or period."""
+    """Guards against rates that are divided by the wrong count or period."""
     size = OperatorSize()
     assert size.requests_a_gateway == 160.0
     assert round(size.changes_a_second, 4) == 0.0127
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -6,7 +6,7 @@
 import time
 
 import orjson
-from process_fleet import WITHIN_S, world
+from process_fleet import AGREEMENT_LIMIT_S, fleet_scenario
 from pytest import mark, raises
 
 from granitedock.lab.cluster.cluster import GatewayCluster
@@ -18,11 +18,11 @@
 
 
 def start_cluster(count, tmp_path, view=None):
-    return GatewayCluster(world(count), tmp_path, view)
+    return GatewayCluster(fleet_scenario(count), tmp_path, view)
 
 
 def reported_ended(cluster, *live):
-    """Return which of these live, reachable gateways some gateway reported as dead or gone."""
+    """Return which of these gateways, all live and reachable, some gateway has reported as dead or gone."""
     reported = set()
     for gateway in cluster.gateways:
         for event in gateway.events():
@@ -35,20 +35,20 @@
     """Three simultaneous ends may be missed, and old claims may end the restarted processes."""
     with start_cluster(10, tmp_path) as cluster:
         cluster.wait_until_ready()
-        cluster.wait_for_agreement(range(10), WITHIN_S)
+        cluster.wait_for_agreement(range(10), AGREEMENT_LIMIT_S)
         cluster.kill(7, 8, 9)
-        cluster.wait_for_agreement(range(7), WITHIN_S)
+        cluster.wait_for_agreement(range(7), AGREEMENT_LIMIT_S)
         assert set(cluster.member_states(0).values()) == {"alive", "gone"}  # Proved, not only unreachable.
         started_at = {row["seat"]: row["born_ms"] for row in cluster.view(0)["members"]}
         cluster.start(7, 8, 9)
-        cluster.wait_for_agreement(range(10), WITHIN_S)
+        cluster.wait_for_agreement(range(10), AGREEMENT_LIMIT_S)
         restarted_at = {row["seat"]: row["born_ms"] for row in cluster.view(0)["members"]}
         assert all(restarted_at[n] > started_at[n] for n in (7, 8, 9)) and all(
             restarted_at[n] == started_at[n] for n in range(1, 7)
         )
         # A gateway announces its shutdown by SIGTERM, so that no other has to suspect it.
         assert cluster.stop(5) == [0]
-        cluster.wait_for_agreement(set(range(10)) - {5}, WITHIN_S)
+        cluster.wait_for_agreement(set(range(10)) - {5}, AGREEMENT_LIMIT_S)
         assert cluster.member_states(0)[5] == "left"
         assert not reported_ended(cluster, *range(7))
         command = subprocess.run(
@@ -64,11 +64,11 @@
     """Claims about the previous process must not apply to the new one, which has a later start time."""
     with start_cluster(5, tmp_path) as cluster:
         cluster.wait_until_ready()
-        cluster.wait_for_agreement(range(5), WITHIN_S)
+        cluster.wait_for_agreement(range(5), AGREEMENT_LIMIT_S)
         for n in range(5):
             cluster.restart(n)
             cluster.wait_until_ready(n)
-            cluster.wait_for_agreement(range(5), WITHIN_S)
+            cluster.wait_for_agreement(range(5), AGREEMENT_LIMIT_S)
         time.sleep(2)
         cluster.wait_for_agreement(range(5), 1)
         assert all(gateway.starts == 2 for gateway in cluster.gateways)
@@ -78,24 +78,24 @@
     """Both sides declare each other dead, and must discover each other without a restart."""
     with start_cluster(8, tmp_path) as cluster:
         cluster.wait_until_ready()
-        cluster.wait_for_agreement(range(8), WITHIN_S)
+        cluster.wait_for_agreement(range(8), AGREEMENT_LIMIT_S)
         cluster.cut(range(3), range(3, 8))
-        cluster.wait_for_agreement(range(3), WITHIN_S)
-        cluster.wait_for_agreement(range(3, 8), WITHIN_S)
+        cluster.wait_for_agreement(range(3), AGREEMENT_LIMIT_S)
+        cluster.wait_for_agreement(range(3, 8), AGREEMENT_LIMIT_S)
         assert "gone" not in cluster.member_states(0).values()  # Missing messages prove no end.
         cluster.heal()
-        cluster.wait_for_agreement(range(8), WITHIN_S)
+        cluster.wait_for_agreement(range(8), AGREEMENT_LIMIT_S)
 
 
 def test_members_on_one_way_cut_stay_alive_through_indirect_probes(tmp_path):
     """Direct probes over a link that loses all datagrams in one direction fail at both ends."""
     with start_cluster(5, tmp_path) as cluster:
         cluster.wait_until_ready()
-        cluster.wait_for_agreement(range(5), WITHIN_S)
+        cluster.wait_for_agreement(range(5), AGREEMENT_LIMIT_S)
         cluster.cut([0], [1], "out")
         cluster.cut([2], [3, 4], "in")
         time.sleep(8)
-        cluster.wait_for_agreement(range(5), WITHIN_S)
+        cluster.wait_for_agreement(range(5), AGREEMENT_LIMIT_S)
         assert not reported_ended(cluster, *range(5))
 
 
@@ -103,12 +103,12 @@
     """After a pause, the acks of all other members seem to be overdue."""
     with start_cluster(5, tmp_path) as cluster:
         cluster.wait_until_ready()
-        cluster.wait_for_agreement(range(5), WITHIN_S)
+        cluster.wait_for_agreement(range(5), AGREEMENT_LIMIT_S)
         cluster.pause(1)
-        cluster.wait_for_agreement([0, 2, 3, 4], WITHIN_S)
+        cluster.wait_for_agreement([0, 2, 3, 4], AGREEMENT_LIMIT_S)
         time.sleep(1)
         cluster.resume(1)
-        cluster.wait_for_agreement(range(5), WITHIN_S)
+        cluster.wait_for_agreement(range(5), AGREEMENT_LIMIT_S)
         assert cluster.view(1)["counts"]["slept"] >= 1
         assert not reported_ended(cluster, 0, 2, 3, 4)
 
@@ -120,10 +120,10 @@
             LinkFault(lost=0.1, delay_ms=20, jitter_ms=60, duplicated=0.1), range(6), range(6)
         )
         cluster.wait_until_ready()
-        cluster.wait_for_agreement(range(6), 2 * WITHIN_S)
+        cluster.wait_for_agreement(range(6), 2 * AGREEMENT_LIMIT_S)
         time.sleep(6)
         cluster.kill(5)
-        cluster.wait_for_agreement(range(5), 2 * WITHIN_S)
+        cluster.wait_for_agreement(range(5), 2 * AGREEMENT_LIMIT_S)
         assert not reported_ended(cluster, *range(5))
 
 
@@ -132,12 +132,12 @@
     unused_address = "127.0.0.1:9"
     with start_cluster(3, tmp_path) as cluster:
         cluster.wait_until_ready()
-        cluster.wait_for_agreement(range(3), WITHIN_S)
+        cluster.wait_for_agreement(range(3), AGREEMENT_LIMIT_S)
         cluster.kill(0)  # The only seed.
-        cluster.wait_for_agreement([1, 2], WITHIN_S)
-        cluster.start(0)  # It knows no seed but itself: the others have to contact it.
-        cluster.wait_for_agreement(range(3), WITHIN_S)
-    with GatewayCluster(world(2), tmp_path, {"seeds": [unused_address]}) as cluster:
+        cluster.wait_for_agreement([1, 2], AGREEMENT_LIMIT_S)
+        cluster.start(0)  # The seed knows no seed but itself, so that the others have to contact it.
+        cluster.wait_for_agreement(range(3), AGREEMENT_LIMIT_S)
+    with GatewayCluster(fleet_scenario(2), tmp_path, {"seeds": [unused_address]}) as cluster:
         cluster.wait_until_ready()
         time.sleep(2)
         assert [cluster.view(n)["live"] for n in (0, 1)] == [1, 1]
@@ -148,7 +148,7 @@
     """A flood of malformed datagrams must neither raise an error nor fill the log."""
     with start_cluster(2, tmp_path) as cluster:
         cluster.wait_until_ready()
-        cluster.wait_for_agreement(range(2), WITHIN_S)
+        cluster.wait_for_agreement(range(2), AGREEMENT_LIMIT_S)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
             for garbage in (
                 b"\x00",
@@ -178,20 +178,20 @@
     """Without the counter each gateway admits its share, and the shares of ended ones would be unused."""
     with start_cluster(4, tmp_path) as cluster:
         cluster.wait_until_ready()
-        cluster.wait_for_agreement(range(4), WITHIN_S)
+        cluster.wait_for_agreement(range(4), AGREEMENT_LIMIT_S)
         cluster.cut(range(4), "counter")
         load = cluster_load(cluster)
         load.start()
         time.sleep(4)
         cluster.kill(2, 3)
         killed_s = load.now_s()
-        cluster.wait_for_agreement([0, 1], WITHIN_S)
+        cluster.wait_for_agreement([0, 1], AGREEMENT_LIMIT_S)
         time.sleep(3)  # The end must have lasted for settle_ms.
         settled_s = load.now_s()
         time.sleep(8)
         cluster.start(2, 3)
         cluster.wait_until_ready(2, 3)
-        cluster.wait_for_agreement(range(4), WITHIN_S)
+        cluster.wait_for_agreement(range(4), AGREEMENT_LIMIT_S)
         rejoined_s = load.now_s()
         time.sleep(5)
         rows = load.stop()
@@ -207,14 +207,14 @@
     """If both sides took over the same share, the customer would exceed its quota."""
     with start_cluster(4, tmp_path) as cluster:
         cluster.wait_until_ready()
-        cluster.wait_for_agreement(range(4), WITHIN_S)
+        cluster.wait_for_agreement(range(4), AGREEMENT_LIMIT_S)
         cluster.cut(range(4), "counter")
         others = [n for n in range(4) if n not in isolated]
         cluster.cut(isolated, others)
         load = cluster_load(cluster)
         load.start()
-        cluster.wait_for_agreement(isolated, WITHIN_S)
-        cluster.wait_for_agreement(others, WITHIN_S)
+        cluster.wait_for_agreement(isolated, AGREEMENT_LIMIT_S)
+        cluster.wait_for_agreement(others, AGREEMENT_LIMIT_S)
         time.sleep(3)
         settled_s = load.now_s()
         time.sleep(5)
@@ -224,7 +224,7 @@
 
 def test_invalid_settings_stop_the_start_and_platform_may_forbid_membership(tmp_path):
     """An invalid file stops the process with its key and line; without permission no socket is opened."""
-    with GatewayCluster(world(1, "talk = true", "talk = false"), tmp_path) as cluster:
+    with GatewayCluster(fleet_scenario(1, "talk = true", "talk = false"), tmp_path) as cluster:
         cluster.wait_until_ready()
         assert cluster.ask(0, b"FLEET") == b"-ERR unknown command"
         disabled_events = [
--- a/tests/membership/test_membership_simulated.py
+++ b/tests/membership/test_membership_simulated.py
@@ -235,7 +235,7 @@
     # Missing messages prove nothing.
     assert slots.active_members(9000, 0, 4) == 4 and not slots.due_probes(9000)
     slots.member_changed(9000, MemberChange(member(3, MemberState.GONE), MemberState.DEAD))
-    assert slots.active_members(60_000, 0, 4) == 4  # Neither do claims of others.
+    assert slots.active_members(60_000, 0, 4) == 4  # Claims of other gateways prove nothing.
     assert slots.due_probes(60_000) == [member(3).address]
     slots.connection_refused(60_010, member(3).address)
     # Subsets without the slot keep their size.
--- a/tests/model_checking/test_model_checking.py
+++ b/tests/model_checking/test_model_checking.py
@@ -10,7 +10,7 @@
 import orjson
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from planted_faults import PLANTED, never_search_for_ended_members, treat_dead_as_ended
+from planted_faults import PLANTED, disable_anti_entropy, treat_dead_as_ended
 from pytest import mark, raises
 
 from granitedock import platform_settings
@@ -100,7 +100,7 @@
 
 @mark.parametrize(
     ("plant", "violation"),
-    [(treat_dead_as_ended, "divides by"), (never_search_for_ended_members, "views differ")],
+    [(treat_dead_as_ended, "divides by"), (disable_anti_entropy, "views differ")],
 )
 def test_a_search_reports_a_fault_planted_in_membership(plant, violation, monkeypatch):
     plant(monkeypatch)
@@ -155,9 +155,9 @@
     """
     plan, now, admitted = Plan("p", 0.01, 5.0, 0, 1, 0, 0, 0, 0, 0), 0.0, 0.0
     accounts = [QuotaAccount(plan, active_members, now) for _ in range(active_members)]
-    for n, (wait, units) in enumerate(steps):
+    for index, (wait, units) in enumerate(steps):
         now += wait
-        admitted += units * accounts[n % active_members].admit_locally(units, now, active_members)
+        admitted += units * accounts[index % active_members].admit_locally(units, now, active_members)
     assert admitted <= plan.burst + plan.rate * now + 3.0 * active_members + 1e-6
 
 
@@ -186,7 +186,7 @@
         st.sampled_from(["Refill", "MostAtOnce", "CeilingRate", "Concurrency"]), st.floats(0, 1e6)
     )
 )
-def test_settings_decode_to_the_same_plan_whichever_keys_are_absent(tariff):
+def test_rate_burst_and_concurrency_of_a_plan_are_as_set_and_0_if_absent(tariff):
     plan = platform_settings.plans({"Tariffs": [{"Name": "p"} | tariff]})[0]
     assert plan.rate * 1000 == tariff.get("Refill", 0.0) or abs(plan.rate * 1000 - tariff["Refill"]) < 1e-6
     assert plan.burst == tariff.get("MostAtOnce", 0.0) and plan.max_in_flight == int(
--- a/tests/outlier_detection/test_outlier_detection.py
+++ b/tests/outlier_detection/test_outlier_detection.py
@@ -66,7 +66,7 @@
     detector, hosts_by_name = detector_of()
     # Observations of the host's previous process do not count.
     assert not ejected(detector, 1000.0, observation("g1", started=4), observation("g2", started=4))
-    assert not ejected(detector, 1000.0, observation("x1"), observation("x2"))  # They are not members.
+    assert not ejected(detector, 1000.0, observation("x1"), observation("x2"))  # Not members.
 
 
 def test_the_limits_of_ejection_hold_whatever_is_observed():
--- a/tests/outlier_detection/test_outlier_detection_processes.py
+++ b/tests/outlier_detection/test_outlier_detection_processes.py
@@ -7,7 +7,7 @@
 import socket
 import time
 
-from process_fleet import WITHIN_S
+from process_fleet import AGREEMENT_LIMIT_S
 from pytest import mark
 
 from granitedock.lab.cluster.cluster import GatewayCluster
@@ -61,7 +61,7 @@
     def __enter__(self):
         cluster = self.cluster.__enter__()
         cluster.wait_until_ready()
-        cluster.wait_for_agreement(range(self.count), WITHIN_S)
+        cluster.wait_for_agreement(range(self.count), AGREEMENT_LIMIT_S)
         self.load = cluster_load(cluster)
         self.load.start()
         time.sleep(2)
@@ -140,13 +140,13 @@
         assert not any(run.ejected(*range(5)).values())
         cluster.pause(4)
         time.sleep(7)
-        cluster.resume(4)  # Its observations are old.
+        cluster.resume(4)  # The observations of gateway 4 are old.
         time.sleep(2)
         assert not any(run.ejected(*range(4)).values())
         run.finish()
 
 
-def test_a_draining_host_is_ejected_by_gossip_while_our_own_discovery_is_cut(tmp_path):
+def test_a_draining_host_is_ejected_by_gossip_while_the_gateways_discovery_is_cut(tmp_path):
     """Guards against requests to a draining host from a gateway whose endpoint list is stale."""
     # All load goes through the gateway without discovery.
     with ClusterRun(tmp_path, spread=1, first=1) as run:
@@ -160,7 +160,7 @@
         time.sleep(3)
         assert cluster.host("east/1").received == received_before, time.monotonic() - started_at
         assert run.ejected(1)[1] == {"east/1"}
-        # Its own endpoint list still has the host as ready.
+        # The gateway's own endpoint list still has the host as ready.
         assert run.cluster.host_verdicts(1)["hosts"]["east/1"]["status"] == "ready"
         run.finish()
 
--- a/tests/policy/test_fleet_quotas.py
+++ b/tests/policy/test_fleet_quotas.py
@@ -39,7 +39,7 @@
         self.history = deque([(0.0, PLAN.burst)])  # (time of an admission, level after it)
 
     def take(self, now):
-        """Take the unit of a request that was sent; it is over quota where the bucket does not hold it."""
+        """Take the unit of a request that was sent; it is over quota if the bucket holds less than one."""
         self.level, self.updated_at = min(PLAN.burst, self.level + PLAN.rate * (now - self.updated_at)), now
         if self.level >= 1.0:
             self.level -= 1.0
@@ -48,7 +48,7 @@
         self.history.append((now, self.level))
 
     def level_at(self, time_ms):
-        """Return the level at this time, which must not go back between calls."""
+        """Return the level at `time_ms`, which must not decrease between calls."""
         while len(self.history) > 1 and self.history[1][0] <= time_ms:
             self.history.popleft()
         updated_at, level = self.history[0]
@@ -159,13 +159,13 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 4, 20, 30, 200])
-def test_without_faults_little_more_is_admitted_beyond_quotas_than_where_the_exact_state_is_seen_late(
+def test_without_faults_the_over_quota_share_is_at_most_a_tenth_above_that_of_the_reference_policy(
     gateways,
 ):
-    """Fails where the fleet admits far more than the quotas allow, or sends too little.
+    """Guards against a fleet that admits far more than the quotas allow, or sends too little.
 
-    A gateway learns of the units of others only from the totals of its own increments, so that it decides by
-    an old state.
+    A gateway learns of the units that other gateways count only from the totals of its own increments, so
+    that it decides on an old state.
     """
     for seed in range(3):
         fleet = Fleet(seed, gateways, customers=60, load=0.5).run()
--- a/tests/policy/test_request_decisions.py
+++ b/tests/policy/test_request_decisions.py
@@ -39,7 +39,7 @@
 
 
 def test_a_refund_is_a_call_of_its_own_only_while_the_counter_has_spare_capacity():
-    """While it is overloaded the refund goes with the next increment, and stays due if that fails."""
+    """While the counter is overloaded, a refund goes with the next increment, and stays due if that fails."""
     harness, customer = GatewayHarness(), Customer(5)
     harness.send_request(customer=customer, units=2)
     harness.answer_call(total=500)
@@ -279,9 +279,8 @@
     harness.admit(KEYED_BY_ZONE)
     harness.update_endpoints(EndpointStatus.GONE, harness.attempts[0].host)
     harness.finish(Outcome.RESET)
-    assert (
-        len(harness.attempts) == 1 and len(harness.failed) == 1
-    )  # A repeat is allowed only in the scope, and no rejection invites one.
+    # A repeat is allowed only in the scope, and a rejection would invite the client to send one.
+    assert len(harness.attempts) == 1 and len(harness.failed) == 1
     harness = GatewayHarness()
     harness.admit(KEYED)
     harness.pass_ms(3001)
@@ -289,7 +288,7 @@
     assert len(harness.attempts) == 1 and len(harness.failed) == 1
 
 
-def test_a_time_out_at_the_deadline_gives_one_final_answer_and_no_retry():
+def test_a_timeout_at_the_deadline_gives_one_final_answer_and_no_retry():
     harness = GatewayHarness()
     request = harness.admit(time_left_ms=900)
     harness.gateway.advance_clock(harness.gateway.now + 900)
@@ -538,7 +537,7 @@
             assert sum(start <= at < start + 1000 for at in sent_times) <= capacity + 2 * capacity**0.5 + 2
 
 
-def test_each_request_gets_one_answer_while_the_counter_is_down_and_hosts_drain():
+def test_no_request_is_rejected_or_failed_twice_while_the_counter_is_down_and_hosts_drain():
     """Lost answers, a counter that is down and draining hosts at once must not cause a second answer."""
     harness = GatewayHarness(hosts=6)
     for step in range(30):
--- a/tests/quota_sharing/test_quota_sharing.py
+++ b/tests/quota_sharing/test_quota_sharing.py
@@ -85,7 +85,7 @@
 
 
 @mark.parametrize("cut_ms", [2000, 12_000])
-def test_usage_without_the_counter_is_not_counted_twice_once_it_is_back(cut_ms):
+def test_usage_during_a_counter_outage_is_not_counted_twice_after_it(cut_ms):
     """Guards against counting other gateways' units twice after the counter is reachable again.
 
     Each gateway's bucket already accounts for the usage of the others, whose units also arrive in rows and in
@@ -107,7 +107,7 @@
     assert min(shares) >= 0.93 and max(shares) <= 1.07, shares
 
 
-def test_without_reserves_the_bound_breaks_and_the_check_finds_it(monkeypatch):
+def test_without_reserves_the_bound_breaks_and_the_check_detects_it(monkeypatch):
     """Guards against a check of the bound that passes whatever is admitted."""
     steps = [("both", 12), ("run", 15_000), ("run", 15_000), ("run", 15_000)]
     check_bound(steps, 1)
@@ -129,15 +129,15 @@
 def test_reordered_lost_and_duplicated_rows_end_in_the_same_usage(steps, random):
     gateways = [UncountedUsage(f"g{n}", 1, 100) for n in range(3)]
     expected, sent = {}, []
-    for n, customer, units, is_reconciled in steps:
+    for number, customer, units, is_reconciled in steps:
         if is_reconciled:
-            units = min(units, gateways[n].local_outstanding(customer, 1))
-            gateways[n].reconcile(customer, 1, units)
-            expected[n, customer] = expected.get((n, customer), 0) - units
+            units = min(units, gateways[number].local_outstanding(customer, 1))
+            gateways[number].reconcile(customer, 1, units)
+            expected[number, customer] = expected.get((number, customer), 0) - units
         else:
-            gateways[n].record_uncounted(customer, 1, 2000, units)
-            expected[n, customer] = expected.get((n, customer), 0) + units
-        sent += gateways[n].next_broadcast(9, 3)
+            gateways[number].record_uncounted(customer, 1, 2000, units)
+            expected[number, customer] = expected.get((number, customer), 0) + units
+        sent += gateways[number].next_broadcast(9, 3)
     final = [row for usage in gateways for rows in usage.rows.values() for row in rows.values()]
     for _ in range(2):
         reader = UncountedUsage("reader", 1, 100)
@@ -246,13 +246,13 @@
         call for call in sharing.run_maintenance(16_000.0, 16_000.0).counter_calls if call.window == 3
     )
     sharing.counter_call_finished(call, Outcome.DONE, 1.0)
-    assert reserved_units(16_500.0) == 0  # The counter includes its units.
+    assert reserved_units(16_500.0) == 0  # The counter includes the silent gateway's units.
     assert reserved_units(31_000.0) > 0
     assert reserved_units(silent_since + 60_000 + 500) == 0  # The maximum time has passed.
     local_member.slots.member_changed(80_000.0, MemberChange(member(2, MemberState.DEAD), MemberState.ALIVE))
     assert reserved_units(80_100.0) > 0
     local_member.slots.member_changed(80_200.0, MemberChange(member(2, MemberState.LEFT), MemberState.DEAD))
-    assert reserved_units(80_300.0) == 0  # It announced its departure.
+    assert reserved_units(80_300.0) == 0  # Member 2 has announced its departure.
 
 
 def test_no_row_lowers_what_counts_as_used():
--- a/tests/quota_sharing/test_quota_sharing_processes.py
+++ b/tests/quota_sharing/test_quota_sharing_processes.py
@@ -7,7 +7,7 @@
 import os
 import time
 
-from process_fleet import WITHIN_S, world
+from process_fleet import AGREEMENT_LIMIT_S, fleet_scenario
 
 from granitedock.lab.cluster.cluster import GatewayCluster
 from granitedock.lab.emulators.counter import ExpiringCounts
@@ -17,7 +17,7 @@
 
 RATE_PER_S, BURST_UNITS, SUBSET_SIZE = 40.0, 40.0, 4
 MIN_ALLOWANCE_SHARE = 0.9  # Of the allowance over some seconds; other work may delay real processes.
-DETECTION_S = 9.0  # The documented time in which all gateways know of a silence (docs/membership.md).
+DETECTION_S = 9.0  # Documented time until all gateways have detected a silence (docs/membership.md).
 ENABLE_QUOTA_SHARING = ("view = true", "view = true\nshared = true")
 
 
@@ -25,12 +25,12 @@
     """A cluster of gateway processes under load, whose served units are compared with the allowance."""
 
     def __init__(self, tmp_path):
-        self.cluster = GatewayCluster(world(4, *ENABLE_QUOTA_SHARING), tmp_path)
+        self.cluster = GatewayCluster(fleet_scenario(4, *ENABLE_QUOTA_SHARING), tmp_path)
 
     def __enter__(self):
         cluster = self.cluster.__enter__()
         cluster.wait_until_ready()
-        cluster.wait_for_agreement(range(4), WITHIN_S)
+        cluster.wait_for_agreement(range(4), AGREEMENT_LIMIT_S)
         self.load = cluster_load(cluster)
         self.load.start()
         time.sleep(3)
@@ -103,7 +103,7 @@
         time.sleep(1)
         assert run.allowance_share(5) <= 1.05
         cluster.heal()
-        cluster.wait_for_agreement(range(4), 2 * WITHIN_S)
+        cluster.wait_for_agreement(range(4), 2 * AGREEMENT_LIMIT_S)
         time.sleep(5)
         assert MIN_ALLOWANCE_SHARE <= run.allowance_share(4) <= 1.05
         cluster.cut([2, 3], [0, 1])  # They are partitioned from each other only; all reach the counter.
@@ -113,7 +113,7 @@
         run.finish()
 
 
-def test_a_counter_with_kept_old_frozen_or_no_totals_is_not_read_as_nothing_used(
+def test_served_units_stay_near_the_allowance_if_the_counter_has_kept_old_frozen_or_no_totals(
     tmp_path,
 ):
     with ClusterRun(tmp_path) as run:
--- a/tests/service/test_discovery_watch.py
+++ b/tests/service/test_discovery_watch.py
@@ -45,8 +45,8 @@
             gateway.pass_ms(10)
             for index in [
                 index
-                for index, dial in enumerate(gateway.pending_connects)
-                if dial[2] is Input.WATCH_DISCONNECTED
+                for index, pending in enumerate(gateway.pending_connects)
+                if pending[2] is Input.WATCH_DISCONNECTED
             ][::-1]:
                 self.answer_connect(index)
             for at, call in [row for row in self.calls if row[0] <= gateway.now]:
@@ -63,10 +63,10 @@
             self.gateway.connect_fails(index)
             return
         if behaviour == "connect timeout":  # The connector reports the failure after its timeout.
-            dial = self.gateway.pending_connects.pop(index)
+            pending = self.gateway.pending_connects.pop(index)
             fails_at = self.gateway.now + self.gateway.limits.watch_connect_ms
             self.calls.append(
-                (fails_at, lambda: self.gateway.handle_input(Input.WATCH_DISCONNECTED, dial[1]))
+                (fails_at, lambda: self.gateway.handle_input(Input.WATCH_DISCONNECTED, pending[1]))
             )
             return
         transport = self.gateway.connect_succeeds(index)
--- a/tests/service/test_gateway_process.py
+++ b/tests/service/test_gateway_process.py
@@ -1,7 +1,7 @@
 """The gateway's state machine with its protocols on fake transports: a test for each failure.
 
-They guard against requests that stay unanswered, are answered twice or run twice, against peers that send
-malformed data, fail, stall or leave, and against exhausted memory and sockets.
+The tests guard against requests that stay unanswered, are answered twice or run twice, against peers that
+send malformed data, fail, stall or leave, and against exhausted memory and sockets.
 """
 
 from collections import Counter
--- a/tests/service/test_operator_settings.py
+++ b/tests/service/test_operator_settings.py
@@ -10,28 +10,28 @@
 import time
 import urllib.request
 
-from process_fleet import world
+from process_fleet import fleet_scenario
 
 from granitedock.lab.cluster.cluster import GatewayCluster
 
 GRANITEDOCK = [sys.executable, "-m", "granitedock"]
 
 
-def logged_events(cluster, n, event):
-    return [line for line in cluster.gateways[n].events() if line["event"] == event]
+def logged_events(cluster, number, event):
+    return [line for line in cluster.gateways[number].events() if line["event"] == event]
 
 
-def wait_for_events(cluster, n, event, count):
+def wait_for_events(cluster, number, event, count):
     deadline = time.monotonic() + 5
-    while time.monotonic() < deadline and len(logged_events(cluster, n, event)) < count:
+    while time.monotonic() < deadline and len(logged_events(cluster, number, event)) < count:
         time.sleep(0.05)
-    return logged_events(cluster, n, event)
+    return logged_events(cluster, number, event)
 
 
 def test_a_valid_file_takes_effect_and_an_invalid_one_is_rejected_with_its_line_and_changes_nothing(tmp_path):
     file = tmp_path / "gateway.toml"
     file.write_text("[log]\nlines_a_second = 7\n[limits]\nrest_ms = 4000\n")
-    with GatewayCluster(world(1, "view = true", "view = false"), tmp_path) as cluster:
+    with GatewayCluster(fleet_scenario(1, "view = true", "view = false"), tmp_path) as cluster:
         cluster.wait_until_ready()
         cluster.kill(0)
         cluster.gateways[0].options += ["--config", str(file)]
@@ -48,12 +48,12 @@
             ("[log]\nlines = 4\n", ":2: log.lines: "),
             ("[log\n", ":1: not TOML"),
         )
-        for n, (text, expected) in enumerate(invalid_files):
+        for index, (text, expected) in enumerate(invalid_files):
             file.write_text(text)
             result = subprocess.run(command, capture_output=True, text=True, timeout=20)
             assert result.returncode == 1 and f"gateway.toml{expected}" in result.stderr
             cluster.gateways[0].signal(signal.SIGHUP)
-            assert expected in wait_for_events(cluster, 0, "operator settings rejected", n + 1)[-1]["why"]
+            assert expected in wait_for_events(cluster, 0, "operator settings rejected", index + 1)[-1]["why"]
         file.write_text("[log]\nlines_a_second = 9\n[limits]\nrest_ms = 5000\n")
         cluster.gateways[0].signal(signal.SIGHUP)
         event = wait_for_events(cluster, 0, "operator settings reloaded", 1)[-1]
@@ -67,7 +67,7 @@
 
 
 def test_metrics_of_several_gateways_are_served_and_show_a_gateway_that_has_ended(tmp_path):
-    with GatewayCluster(world(2, "view = true", "view = false"), tmp_path) as cluster:
+    with GatewayCluster(fleet_scenario(2, "view = true", "view = false"), tmp_path) as cluster:
         cluster.wait_until_ready()
         addresses = [f"{cluster.gateway_host(n)}:6379" for n in range(2)]
         result = subprocess.run(
--- a/tests/service/test_race_conditions.py
+++ b/tests/service/test_race_conditions.py
@@ -41,16 +41,16 @@
 # The end of the process.
 
 
-def test_at_the_shutdown_deadline_requests_fail_and_the_process_waits_for_the_client_to_close(live):
+def test_at_the_shutdown_deadline_requests_fail_and_the_process_waits_for_the_client_to_close(make_gateway):
     # On the other deployment (roll+term+brink+mass), commands were accepted for 50 ms after the last answers,
     # and the process exited before they were answered.
-    gateway = live(lanes=LONG_TARGET_LANES)
+    gateway = make_gateway(lanes=LONG_TARGET_LANES)
     client = gateway.client()
     send_to_host(gateway, client, d=60000)
     gateway.service.shut_down()
     gateway.pass_ms(gateway.limits.leave_ms + 20)
     assert client.read() == ERR and client.ended == "closed"
-    client.send(gateway.request())  # crosses the gateway's close: it is neither accepted nor forwarded
+    client.send(gateway.request())  # Crosses the gateway's close, and is neither accepted nor forwarded.
     gateway.run_loop()
     assert gateway.state_machine.context.counts["taken"] == 1 and not gateway.exit_times_ms
     client.close()
@@ -61,8 +61,8 @@
     )
 
 
-def test_the_process_exits_at_the_exit_deadline_even_if_a_client_never_closes_its_connection(live):
-    gateway = live(lanes=LONG_TARGET_LANES)
+def test_the_process_exits_at_the_exit_deadline_even_if_a_client_never_closes_its_connection(make_gateway):
+    gateway = make_gateway(lanes=LONG_TARGET_LANES)
     client = gateway.client()
     send_to_host(gateway, client, d=60000)
     gateway.service.shut_down()
@@ -73,8 +73,8 @@
     assert gateway.exit_times_ms[0] <= gateway.now_ms and gateway.limits.leave_most_ms < longest + 700
 
 
-def test_requests_pipelined_behind_a_pending_one_during_shutdown_are_rejected_and_not_forwarded(live):
-    gateway = live()
+def test_requests_pipelined_behind_a_pending_one_during_shutdown_are_rejected_and_not_forwarded(make_gateway):
+    gateway = make_gateway()
     client = gateway.client()
     host = send_to_host(gateway, client)
     close_listener(gateway)
@@ -87,8 +87,8 @@
     assert replies.startswith(VALUE + b"-BUSY") and replies.count(b"-BUSY") == 2 and client.ended == "closed"
 
 
-def test_a_request_unread_when_the_listener_closes_is_answered_before_its_connection_closes(live):
-    gateway = live()
+def test_a_request_unread_when_the_listener_closes_is_answered_before_its_connection_closes(make_gateway):
+    gateway = make_gateway()
     client = gateway.client()
     client.send(gateway.request())
     host = gateway.accept_at_host()
@@ -96,7 +96,7 @@
     gateway.answer_from_host(host, client)
     gateway.service.shut_down()
     gateway.pass_ms(gateway.limits.open_ms - 30)
-    client.send(gateway.request())  # is unread when the timer that closes the listener expires
+    client.send(gateway.request())  # Unread when the timer that closes the listener expires.
     gateway.now_ms += 40
     gateway.reactor.runUntilCurrent()
     assert gateway.state_machine.state is LifecycleState.CLOSING
@@ -104,8 +104,8 @@
     assert client.read().startswith(b"-BUSY") and client.ended == "closed"
 
 
-def test_requests_on_connections_in_the_backlog_are_answered_when_the_listener_closes(live):
-    gateway = live()
+def test_requests_on_connections_in_the_backlog_are_answered_when_the_listener_closes(make_gateway):
+    gateway = make_gateway()
     gateway.service.shut_down()
     gateway.pass_ms(gateway.limits.open_ms - 30)
     # More connections than one iteration of the event loop accepts.
@@ -121,8 +121,8 @@
         socket.create_connection(gateway.listen)
 
 
-def test_the_rest_of_a_partial_request_may_arrive_shortly_after_the_listener_closes(live):
-    gateway = live()
+def test_the_rest_of_a_partial_request_may_arrive_shortly_after_the_listener_closes(make_gateway):
+    gateway = make_gateway()
     client, other = gateway.client(), gateway.client()
     request = gateway.request()
     for sender in client, other:
@@ -136,10 +136,12 @@
     assert other.read() == b"" and other.ended == "closed"
 
 
-def test_sigterm_while_starting_rejects_queued_requests_as_the_stored_endpoint_list_may_be_stale(live):
+def test_sigterm_while_starting_rejects_queued_requests_as_the_stored_endpoint_list_may_be_stale(
+    make_gateway,
+):
     # A host of the list in the platform file may have started to drain since. From its start, the gateway
     # must not use a host that discovery lists as draining.
-    gateway = live(listed=False)
+    gateway = make_gateway(listed=False)
     client, other = gateway.client(), gateway.client()
     client.send(PING + gateway.request())
     gateway.run_loop()
@@ -152,28 +154,30 @@
     other.send(gateway.request("once"))
     gateway.run_loop()
     assert other.read().startswith(b"-BUSY") and gateway.accept_at_host() is None
-    gateway.send_list()  # the current list arrives in time for further requests
+    gateway.send_list()  # The current list arrives in time for further requests.
     other.send(gateway.request("once"))
     host = gateway.accept_at_host()
     assert host.read()
     gateway.answer_from_host(host, other)
 
 
-def test_the_listener_closes_in_the_iteration_that_accepts_the_last_connection_of_the_backlog(live):
-    gateway = live()
+def test_the_listener_closes_in_the_iteration_that_accepts_the_last_connection_of_the_backlog(make_gateway):
+    gateway = make_gateway()
     gateway.service.shut_down()
     gateway.pass_ms(gateway.limits.open_ms - 30)
     gateway.now_ms += 40
     gateway.reactor.runUntilCurrent()
     assert gateway.state_machine.state is LifecycleState.CLOSING
-    with pytest.raises(ConnectionRefusedError):  # before the next iteration: none is accepted and then reset
+    with pytest.raises(
+        ConnectionRefusedError
+    ):  # Before the next iteration, so that none is accepted and reset.
         socket.create_connection(gateway.listen)
     gateway.run_loop()
     assert gateway.exit_times_ms or gateway.state_machine.clients.connections == {}
 
 
-def test_signals_received_before_the_event_loop_runs_take_effect_once_it_does(live, tmp_path):
-    gateway = live()
+def test_signals_received_before_the_event_loop_runs_take_effect_once_it_does(make_gateway, tmp_path):
+    gateway = make_gateway()
     before = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)}
     before[signal.SIGUSR1] = signal.getsignal(signal.SIGUSR1)
     try:
@@ -191,8 +195,8 @@
             signal.signal(number, handler)
 
 
-def test_further_signals_while_draining_change_the_discovery_address_and_nothing_else(live, tmp_path):
-    gateway = live()
+def test_further_signals_while_draining_change_the_discovery_address_and_nothing_else(make_gateway, tmp_path):
+    gateway = make_gateway()
     client, other_discovery = gateway.client(), Server()
     host = send_to_host(gateway, client)
     gateway.service.shut_down()
@@ -200,7 +204,7 @@
     platform_file = json.loads((tmp_path / "told.json").read_text()) | {"discovery": other_discovery.address}
     (tmp_path / "told.json").write_text(json.dumps(platform_file))
     gateway.service.reload()
-    gateway.service.shut_down()  # a second time; the deadlines count from the first
+    gateway.service.shut_down()  # The deadlines count from the first shutdown request.
     gateway.run_loop()
     assert other_discovery.accept().read().startswith(b"GET ")
     gateway.pass_ms(gateway.limits.open_ms - 300 + 1)
@@ -210,8 +214,8 @@
     assert client.read() == VALUE and client.ended == "closed"
 
 
-def test_failing_a_request_at_the_shutdown_deadline_cancels_an_attempt_that_is_still_connecting(live):
-    gateway = live(lanes=LONG_TARGET_LANES)
+def test_failing_a_request_at_the_shutdown_deadline_cancels_an_attempt_that_is_still_connecting(make_gateway):
+    gateway = make_gateway(lanes=LONG_TARGET_LANES)
     gateway.delay_connects()
     client = gateway.client()
     client.send(gateway.request("once", d=60000))
@@ -228,8 +232,10 @@
 # Clients that disconnect.
 
 
-def test_no_attempt_starts_for_a_client_that_disconnects_while_the_host_connection_is_established(live):
-    gateway = live()
+def test_no_attempt_starts_for_a_client_that_disconnects_while_the_host_connection_is_established(
+    make_gateway,
+):
+    gateway = make_gateway()
     gateway.delay_connects()
     client = gateway.client()
     client.send(gateway.request("once"))
@@ -246,8 +252,8 @@
     )
 
 
-def test_no_second_attempt_starts_for_a_client_that_disconnects_during_the_first(live):
-    gateway = live(hosts=2)
+def test_no_second_attempt_starts_for_a_client_that_disconnects_during_the_first(make_gateway):
+    gateway = make_gateway(hosts=2)
     client = gateway.client()
     client.send(gateway.request())
     gateway.run_loop()
@@ -260,8 +266,8 @@
     assert gateway.accept_at_host(0) is None and gateway.accept_at_host(1) is None
 
 
-def test_requests_that_wait_for_the_counter_are_not_forwarded_after_their_client_disconnects(live):
-    gateway = live()
+def test_requests_that_wait_for_the_counter_are_not_forwarded_after_their_client_disconnects(make_gateway):
+    gateway = make_gateway()
     gateway.counter_answers = False
     client = gateway.client()
     for _ in range(5):
@@ -290,11 +296,11 @@
     return answer_count
 
 
-def test_the_close_by_a_client_that_reads_no_answers_is_detected(live):
-    gateway = live()
+def test_the_close_by_a_client_that_reads_no_answers_is_detected(make_gateway):
+    gateway = make_gateway()
     client = gateway.client(buffer_bytes=16384)
     fill_write_buffer(gateway, client)
-    client.send(gateway.request())  # is buffered, and not parsed
+    client.send(gateway.request())  # Buffered, and not parsed.
     gateway.run_loop()
     assert gateway.accept_at_host() is None
     client.sock.shutdown(socket.SHUT_WR)
@@ -305,8 +311,8 @@
     )
 
 
-def test_a_slow_reader_whose_connection_is_closing_receives_its_whole_answers(live):
-    gateway = live()
+def test_a_slow_reader_whose_connection_is_closing_receives_its_whole_answers(make_gateway):
+    gateway = make_gateway()
     client = gateway.client(buffer_bytes=16384)
     answer_count = fill_write_buffer(gateway, client)
     close_listener(gateway)
@@ -323,8 +329,8 @@
 # Changes while a connection to a host is established.
 
 
-def test_nothing_is_sent_to_a_host_that_starts_to_drain_while_the_connection_is_established(live):
-    gateway = live()
+def test_nothing_is_sent_to_a_host_that_starts_to_drain_while_the_connection_is_established(make_gateway):
+    gateway = make_gateway()
     gateway.delay_connects()
     client = gateway.client()
     client.send(gateway.request("once"))
@@ -333,13 +339,13 @@
     gateway.release_connects()
     host = gateway.accept_at_host()
     assert host.read() == b"" and host.ended
-    assert client.read().startswith(b"-BUSY")  # the request never ran, and there is no other host
+    assert client.read().startswith(b"-BUSY")  # The request never ran, and there is no other host.
 
 
-def test_a_keyed_request_is_not_retried_past_its_idempotency_window_on_a_slow_connection(live):
+def test_a_keyed_request_is_not_retried_past_its_idempotency_window_on_a_slow_connection(make_gateway):
     lanes = [lane | {"WindowMs": 300} if lane["Repeat"] == "keyed" else lane for lane in SETTINGS["Lanes"]]
     for late_ms, repeats in (200, True), (320, False):
-        gateway = live(hosts=2, lanes=lanes)
+        gateway = make_gateway(hosts=2, lanes=lanes)
         client = gateway.client()
         client.send(gateway.request("mark", more=b",k=5c"))
         gateway.run_loop()
@@ -347,7 +353,7 @@
         host = host or gateway.accept_at_host(1)
         assert host.read()
         gateway.delay_connects()
-        host.close()  # the request may have run
+        host.close()  # The request may have run.
         gateway.run_loop()
         assert gateway.delayed_connects
         gateway.now_ms += late_ms
@@ -360,8 +366,8 @@
             assert client.read() in (ERR, b"-BUSY\r\n")
 
 
-def test_an_idle_connection_that_the_host_closes_just_before_its_reuse_is_not_written_to(live):
-    gateway = live()
+def test_an_idle_connection_that_the_host_closes_just_before_its_reuse_is_not_written_to(make_gateway):
+    gateway = make_gateway()
     client = gateway.client()
     client.send(gateway.request())
     idle_connection = gateway.accept_at_host()
@@ -370,11 +376,11 @@
     gateway.now_ms += 50
     gateway.counter_answers = False
     client.send(gateway.request("once"))
-    gateway.run_loop()  # the request waits for the counter
+    gateway.run_loop()  # The request waits for the counter.
     for peer in gateway.counter_peers:
         if b"TALLY" in peer.read():
             peer.send(b"$1\r\n1\r\n")
-    idle_connection.close()  # both are unread: the total, and the close of the idle connection
+    idle_connection.close()  # The gateway has read neither the total nor this close.
     gateway.run_loop()
     new_connection = gateway.accept_at_host()
     assert new_connection.read()
@@ -384,20 +390,20 @@
 # Long, slow and endless messages.
 
 
-def test_a_long_answer_on_a_slow_connection_reaches_the_client(live):
-    gateway = live(lanes=LONG_TARGET_LANES)
+def test_a_long_answer_on_a_slow_connection_reaches_the_client(make_gateway):
+    gateway = make_gateway(lanes=LONG_TARGET_LANES)
     client = gateway.client()
     host = send_to_host(gateway, client)
     long_answer = answer(4000 * b"x")
-    # One piece each 200 ms, in total longer than the time-out of a stalled answer.
+    # One piece each 200 ms, in total longer than the timeout of a stalled answer.
     for at in range(0, len(long_answer), 800):
         host.send(long_answer[at : at + 800])
         gateway.pass_ms(200)
     assert client.read() == long_answer
 
 
-def test_an_answer_that_stalls_in_the_middle_fails_soon(live):
-    gateway = live(lanes=LONG_TARGET_LANES)
+def test_an_answer_that_stalls_in_the_middle_fails_soon(make_gateway):
+    gateway = make_gateway(lanes=LONG_TARGET_LANES)
     client = gateway.client()
     host = send_to_host(gateway, client)
     host.send(VALUE[:9])
@@ -405,8 +411,8 @@
     assert client.read() == ERR and host.read() == b"" and host.ended
 
 
-def test_a_well_formed_answer_that_trickles_in_fails_within_the_total_time_limit(live):
-    gateway = live(lanes=LONG_TARGET_LANES)
+def test_a_well_formed_answer_that_trickles_in_fails_within_the_total_time_limit(make_gateway):
+    gateway = make_gateway(lanes=LONG_TARGET_LANES)
     client = gateway.client()
     host = send_to_host(gateway, client, d=3900)
     host.send(b"*3\r\n$60000\r\n")
@@ -417,8 +423,8 @@
     assert client.read() == ERR and gateway.now_ms - start_ms <= gateway.limits.answer_most_ms + 400
 
 
-def test_a_long_command_on_a_slow_connection_is_accepted_and_a_partial_one_times_out(live):
-    gateway = live()
+def test_a_long_command_on_a_slow_connection_is_accepted_and_a_partial_one_times_out(make_gateway):
+    gateway = make_gateway()
     client, stalled, endless = gateway.client(), gateway.client(), gateway.client()
     request = gateway.request("once", body=(2000 * b"x",))
     stalled.send(request[:50])
@@ -426,7 +432,7 @@
     piece = len(request) // 4 + 1
     for at in range(0, len(request), piece):
         client.send(request[at : at + piece])
-        gateway.pass_ms(700)  # in total longer than the time-out of a stalled command
+        gateway.pass_ms(700)  # In total longer than the timeout of a stalled command.
         endless.send(b"1")
     assert gateway.state_machine.context.counts["taken"] == 1 and gateway.accept_at_host().read()
     assert stalled.read() == b"-ERR command not ended\r\n" and stalled.ended == "closed"
@@ -445,8 +451,8 @@
     return sorted(endpoint.address for endpoint in gateway.state_machine.endpoints.by_name.values())
 
 
-def test_lists_may_arrive_indented_in_pieces_and_with_empty_lines_between(live):
-    gateway = live(hosts=2, known=False, listed=False)
+def test_lists_may_arrive_indented_in_pieces_and_with_empty_lines_between(make_gateway):
+    gateway = make_gateway(hosts=2, known=False, listed=False)
     text = json.dumps(gateway.endpoint_list(), indent=2).encode() + b"\n"
     watch = gateway.newest_watch()
     watch.send(WATCH_RESPONSE_HEAD)
@@ -464,8 +470,8 @@
     assert gateway.state_machine.context.counts["watch_spoilt"] == 0
 
 
-def test_a_list_without_a_length_that_is_cut_off_by_a_reset_changes_nothing(live):
-    gateway = live(hosts=2, known=False, listed=False)
+def test_a_list_without_a_length_that_is_cut_off_by_a_reset_changes_nothing(make_gateway):
+    gateway = make_gateway(hosts=2, known=False, listed=False)
     text = json.dumps(gateway.endpoint_list(), indent=1).encode()
     watch = gateway.newest_watch()
     watch.send(b"HTTP/1.1 200 OK\r\n\r\n" + text[:-40])
@@ -476,7 +482,7 @@
     assert known_addresses(gateway) == [] and gateway.state_machine.state is LifecycleState.STARTING
     gateway.pass_ms(150)
     watch = gateway.newest_watch()
-    watch.send(b"HTTP/1.1 200 OK\r\n\r\n" + text + b"\n")  # complete this time
+    watch.send(b"HTTP/1.1 200 OK\r\n\r\n" + text + b"\n")  # Complete this time.
     gateway.run_loop()
     assert len(known_addresses(gateway)) == 2 and gateway.state_machine.state is LifecycleState.SERVING
 
@@ -494,8 +500,10 @@
         b"nothing of the kind\r\n\r\n",
     ],
 )
-def test_a_malformed_response_of_discovery_is_logged_counted_and_ends_only_its_own_watch(live, response):
-    gateway = live()
+def test_a_malformed_response_of_discovery_is_logged_counted_and_ends_only_its_own_watch(
+    make_gateway, response
+):
+    gateway = make_gateway()
     client = gateway.client()
     gateway.service.handle_input(Input.ADDRESSES_CHANGED, False, True)
     gateway.run_loop()
@@ -504,14 +512,14 @@
     assert gateway.watches[-1].read() == b"" and gateway.watches[-1].ended
     assert gateway.state_machine.context.counts["watch_spoilt"] == 1
     assert [figures["why"] for event, figures in gateway.log_events if event == "watch malformed"]
-    host = send_to_host(gateway, client)  # the last list stays in use
+    host = send_to_host(gateway, client)  # The last list stays in use.
     gateway.answer_from_host(host, client)
     gateway.pass_ms(200)
-    assert gateway.newest_watch() is gateway.watches[-1] and len(gateway.watches) == 3  # a new watch is open
+    assert gateway.newest_watch() is gateway.watches[-1] and len(gateway.watches) == 3  # A new watch is open.
 
 
-def test_the_watch_of_a_list_that_never_ends_is_replaced(live):
-    gateway = live(known=False, listed=False)
+def test_the_watch_of_a_list_that_never_ends_is_replaced(make_gateway):
+    gateway = make_gateway(known=False, listed=False)
     watch = gateway.newest_watch()
     watch.send(WATCH_RESPONSE_HEAD + chunk(b'{"generation":9,"instances":[\n'))
     start_ms = gateway.now_ms
@@ -529,14 +537,14 @@
 # Floods, and exhaustion of file descriptors.
 
 
-def test_a_flood_behind_a_malformed_command_does_not_prevent_outstanding_answers(live):
-    gateway = live()
+def test_a_flood_behind_a_malformed_command_does_not_prevent_outstanding_answers(make_gateway):
+    gateway = make_gateway()
     client, other = gateway.client(), gateway.client()
     host = send_to_host(gateway, client)
     client.send(b"?\r\n")
     gateway.run_loop()
     sent = 0
-    for _ in range(200):  # more than is read from a closing connection
+    for _ in range(200):  # More than is read from a closing connection.
         try:
             sent += client.sock.send(8192 * b"x")
         except BlockingIOError:
@@ -549,9 +557,9 @@
     gateway.answer_from_host(host, other)
 
 
-def test_a_flood_of_idle_clients_leaves_file_descriptors_for_discovery_counter_and_hosts(live):
-    gateway = live(sockets=48)
-    gateway.watches[-1].close()  # discovery fails
+def test_a_flood_of_idle_clients_leaves_file_descriptors_for_discovery_counter_and_hosts(make_gateway):
+    gateway = make_gateway(sockets=48)
+    gateway.watches[-1].close()  # Discovery fails.
     gateway.run_loop()
     worker = gateway.client()
     host = send_to_host(gateway, worker)
@@ -566,7 +574,7 @@
         and len(gateway.state_machine.clients.connections) < gateway.limits.client_over
     )
     for peer in gateway.counter_peers:
-        peer.close()  # the counter's connections break and are opened again
+        peer.close()  # The counter's connections break and are opened again.
     gateway.counter_peers = []
     gateway.pass_ms(700)
     worker.send(gateway.request())
@@ -578,7 +586,7 @@
     version = gateway.version
     gateway.pass_ms(2500)
     gateway.next_watch()
-    gateway.send_list()  # discovery is available again
+    gateway.send_list()  # Discovery is available again.
     assert (
         gateway.state_machine.watch.version > version and gateway.state_machine.watch.state is WatchState.OPEN
     )
--- a/tests/service/test_service_examples.py
+++ b/tests/service/test_service_examples.py
@@ -1,7 +1,6 @@
 """Examples of small functions of the service: the result of each for given arguments.
 
-They guard the parsers and encoders against accepting input that they must reject, and against a changed wire
-format.
+Guards against parsers that accept input which they must reject, and against a changed wire format.
 """
 
 
