--- a/tests/golden/test_golden_story.py
+++ b/tests/golden/test_golden_story.py
@@ -21,9 +21,8 @@
 BUSY, FAILED = b"-BUSY\r\n", b"-ERR failed\r\n"
 CUSTOMER = b"00000000000000a1"
 OVER_QUOTA = b"00000000000000b2"
-OTHER_GATEWAYS_UNITS = (
-    1000.0  # Initial total of each name that is first counted while `over_quota` is not empty.
-)
+# The initial total of each name that is first counted while `over_quota` is not empty.
+OTHER_GATEWAYS_UNITS = 1000.0
 
 
 def begin_shutdown(harness):
--- a/tests/policy/test_fleet_quotas.py
+++ b/tests/policy/test_fleet_quotas.py
@@ -39,7 +39,7 @@
         self.history = deque([(0.0, PLAN.burst)])  # (time of an admission, level after it)
 
     def take(self, now):
-        """Take the unit of a request that was sent; it is over quota if the bucket holds less than one."""
+        """Take the unit of a sent request; it is over quota if the bucket holds less than one unit."""
         self.level, self.updated_at = min(PLAN.burst, self.level + PLAN.rate * (now - self.updated_at)), now
         if self.level >= 1.0:
             self.level -= 1.0
--- a/tests/service/test_race_conditions.py
+++ b/tests/service/test_race_conditions.py
@@ -168,9 +168,8 @@
     gateway.now_ms += 40
     gateway.reactor.runUntilCurrent()
     assert gateway.state_machine.state is LifecycleState.CLOSING
-    with pytest.raises(
-        ConnectionRefusedError
-    ):  # Before the next iteration, so that none is accepted and reset.
+    # The listener is closed before the next iteration, so that no connection is accepted and then reset.
+    with pytest.raises(ConnectionRefusedError):
         socket.create_connection(gateway.listen)
     gateway.run_loop()
     assert gateway.exit_times_ms or gateway.state_machine.clients.connections == {}
