--- a/tests/configuration/test_configuration_processes.py
+++ b/tests/configuration/test_configuration_processes.py
@@ -198,13 +198,13 @@
     ):
         peers = []
 
-        def answered():
+        def answer_and_check():
             if (peer := other_server.accept()) is not None:
                 peers.append(peer)
                 peer.sock.setblocking(True)
                 peer.sock.settimeout(5.0)
-            if peers and not answered.done:
-                answered.done = True
+            if peers and not answer_and_check.done:
+                answer_and_check.done = True
                 for at in range(0, len(answer), 65536):
                     try:
                         peers[0].send(answer[at : at + 65536])
@@ -213,8 +213,8 @@
                     gateway.run_loop(1)
             return gateway.configuration.document.version >= 1
 
-        answered.done = False
-        run_until(gateway, answered)
+        answer_and_check.done = False
+        run_until(gateway, answer_and_check)
         reasons = [
             figures["why"] for event, figures in gateway.log_events if event == "control connection rejected"
         ]
@@ -245,12 +245,12 @@
                 # The replica has abandoned its connection, and its attempts to reconnect fail.
                 run_until(gateway, lambda: replica.status()["following"]["counts"]["dials"] >= 4)
                 assert gateway.configuration.document.version == 1
-                fresh = start_control(tmp_path, "late", [replica.address], None)
+                new_replica = start_control(tmp_path, "late", [replica.address], None)
                 try:
-                    wait_for_version([fresh], 1)  # Served from the replica's own store.
+                    wait_for_version([new_replica], 1)  # Served from the replica's own store.
                 finally:
-                    fresh.process.kill()
-                    fresh.process.wait()
+                    new_replica.process.kill()
+                    new_replica.process.wait()
                 assert serve_request(gateway, gateway.client()) == VALUE
                 healed_at = time.monotonic()
                 on_reactor(link_faults.set, NO_FAULT, directions)
--- a/tests/configuration/test_control_node.py
+++ b/tests/configuration/test_control_node.py
@@ -35,13 +35,13 @@
 
 def test_the_digest_depends_on_the_entries_and_not_on_the_order_of_their_changes(tmp_path):
     """Two stores that reach the same entries by different changes must agree on the digest."""
-    one, other = control_node(tmp_path / "a.db"), control_node(tmp_path / "b.db")
-    one.apply(change(1, [PLAN | {"Name": "a"}, PLAN | {"Name": "b"}]), "test")
-    other.apply(change(1, [PLAN | {"Name": "b"}]), "test")
-    other.apply(change(2, [PLAN | {"Name": "c"}, PLAN | {"Name": "a"}]), "test")
-    assert one.contents.digest != other.contents.digest
-    other.apply(change(3, (), ["c"]), "test")
-    assert one.contents.digest == other.contents.digest
+    first, second = control_node(tmp_path / "a.db"), control_node(tmp_path / "b.db")
+    first.apply(change(1, [PLAN | {"Name": "a"}, PLAN | {"Name": "b"}]), "test")
+    second.apply(change(1, [PLAN | {"Name": "b"}]), "test")
+    second.apply(change(2, [PLAN | {"Name": "c"}, PLAN | {"Name": "a"}]), "test")
+    assert first.contents.digest != second.contents.digest
+    second.apply(change(3, (), ["c"]), "test")
+    assert first.contents.digest == second.contents.digest
 
 
 def test_a_restart_with_the_same_command_skips_the_import_if_the_store_has_a_version(tmp_path):
--- a/tests/helpers/fake_gateway.py
+++ b/tests/helpers/fake_gateway.py
@@ -49,7 +49,14 @@
     """A gateway policy and its effect handler, which records all effects."""
 
     def __init__(
-        self, hosts=3, number=0, gateways=2, copies=False, at=100000.0, request_classes=None, **listed
+        self,
+        hosts=3,
+        number=0,
+        gateways=2,
+        copies=False,
+        at=100000.0,
+        request_classes=None,
+        **endpoint_fields,
     ):
         self.attempts = []
         self.attempt_deadlines = []
@@ -68,7 +75,7 @@
             has_counter=True,
         )
         self.gateway = Gateway(self, at, settings)
-        self.update_endpoints(EndpointStatus.READY, *self.hosts, **listed)
+        self.update_endpoints(EndpointStatus.READY, *self.hosts, **endpoint_fields)
 
     # The effect handler.
 
--- a/tests/membership/test_membership_processes.py
+++ b/tests/membership/test_membership_processes.py
@@ -21,14 +21,14 @@
     return GatewayCluster(fleet_scenario(count), tmp_path, view)
 
 
-def reported_ended(cluster, *live):
+def reported_ended(cluster, *numbers):
     """Return which of these gateways, all live and reachable, some gateway has reported as dead or gone."""
     reported = set()
     for gateway in cluster.gateways:
         for event in gateway.events():
             if event["event"] == "member changed" and event["state"] in ("dead", "gone"):
                 reported.add(int(event["member"][1:]))
-    return reported & set(live)
+    return reported & set(numbers)
 
 
 def test_ten_gateways_join_by_one_seed_and_three_are_killed_and_restart_under_their_names(tmp_path):
--- a/tests/service/test_gateway_process.py
+++ b/tests/service/test_gateway_process.py
@@ -161,15 +161,15 @@
     assert client.take_written() == b""
     gateway.watch.protocol.dataReceived(EMPTY_UPDATE)
     assert client.take_written() == b"+PONG\r\n"
-    silent = InMemoryGateway()
-    client = silent.client()
+    without_discovery = InMemoryGateway()
+    client = without_discovery.client()
     client.protocol.dataReceived(PING)
-    silent.pass_ms(1000)  # Discovery is unavailable: the stored list is used.
+    without_discovery.pass_ms(1000)  # Discovery is unavailable: the stored list is used.
     assert client.take_written() == b"+PONG\r\n"
-    empty = InMemoryGateway(hosts=0)
-    client = empty.client()
+    without_endpoints = InMemoryGateway(hosts=0)
+    client = without_endpoints.client()
     client.protocol.dataReceived(PING)
-    empty.pass_ms(3000)
+    without_endpoints.pass_ms(3000)
     assert client.take_written() == b""
 
 
