--- a/tests/service/test_gateway_process.py
+++ b/tests/service/test_gateway_process.py
@@ -1,7 +1,7 @@
 """The gateway's state machine with its protocols on fake transports: a test for each failure.
 
-They guard against requests that stay unanswered, are answered twice or run twice, against peers that send
-malformed data, fail, stall or leave, and against exhausted memory and sockets.
+The tests guard against requests that stay unanswered, are answered twice or run twice, against peers that
+send malformed data, fail, stall or leave, and against exhausted memory and sockets.
 """
 
 from collections import Counter
@@ -161,15 +161,15 @@
     assert client.take_written() == b""
     gateway.watch.protocol.dataReceived(EMPTY_UPDATE)
     assert client.take_written() == b"+PONG\r\n"
-    silent = InMemoryGateway()
-    client = silent.client()
+    without_discovery = InMemoryGateway()
+    client = without_discovery.client()
     client.protocol.dataReceived(PING)
-    silent.pass_ms(1000)  # Discovery is unavailable: the stored list is used.
+    without_discovery.pass_ms(1000)  # Discovery is unavailable: the stored list is used.
     assert client.take_written() == b"+PONG\r\n"
-    empty = InMemoryGateway(hosts=0)
-    client = empty.client()
+    without_endpoints = InMemoryGateway(hosts=0)
+    client = without_endpoints.client()
     client.protocol.dataReceived(PING)
-    empty.pass_ms(3000)
+    without_endpoints.pass_ms(3000)
     assert client.take_written() == b""
 
 
