--- a/granitedock/commands/laboratory.py
+++ b/granitedock/commands/laboratory.py
@@ -50,7 +50,7 @@
 def load_gateways(
     scenario: str, addresses: tuple[str, ...], length_s: float | None, output: str | None
 ) -> None:
-    """Put the load of SCENARIO's clients on gateways that already run.
+    """Send the requests of SCENARIO's clients to gateways that are already running.
 
     Exits with 1 if a request did not get exactly one answer in time (rule 1). The faults of the scenario are
     not injected; only `lab run` injects them.
@@ -113,10 +113,10 @@
 def lab_scale(  # noqa: PLR0913 - a parameter for each option
     quick: bool, output: Path, page: Path | None, plots: Path | None, show_only: bool, kind: str | None
 ) -> None:
-    """Measure the cost of hosts, plans, gateways, requests, calls and changes, up to the operators' size.
+    """Measure the cost of hosts, plans, gateways, requests, calls and changes.
 
-    Writes the results to one JSON file and makes the tables of docs/CAPACITY.md. Exits with 1 if a
-    measurement could not be taken.
+    The sizes reach that of the operators' deployment (docs/CAPACITY.md). Writes the results to one JSON
+    file and makes the tables of that page. Exits with 1 if a measurement could not be taken.
     """
     from granitedock.lab.scale import command, results
     from granitedock.lab.scale.errors import ScaleError
@@ -153,7 +153,7 @@
     "--window-ms",
     default=1200.0,
     show_default=True,
-    help="With --views: the time, from the start, in which faults begin.",
+    help="With --views: faults begin within this time from the start, in ms.",
 )
 @click.option(
     "--most",
--- a/granitedock/gateway_process.py
+++ b/granitedock/gateway_process.py
@@ -1,4 +1,4 @@
-"""One gateway process: the service and, where enabled, membership and the configuration service.
+"""One gateway process: the service and, if enabled, membership and the configuration service.
 
 In a running gateway, this is the only module that joins the service with these optional components. Each
 component is imported only if it is enabled.
@@ -53,10 +53,10 @@
 ) -> GatewayProcess:
     """Build a gateway from the platform file at `path`, without starting it.
 
-    `membership_file` holds the operators' settings of membership, quota sharing and the outlier detector,
-    `operators_path` is the path of their settings of the gateway itself, and `configuration_file` holds those
-    of the configuration service. Each is None if it is not given. Raises PlatformFileError and the errors of
-    `GatewayService`.
+    `membership_file` holds the operators' settings for membership, quota sharing and the outlier detector,
+    `operators_path` is the path of their settings for the gateway itself, and `configuration_file` holds
+    those for the configuration service. Each is None if it is not given. Raises PlatformFileError and the
+    errors of `GatewayService`.
     """
     contents = load(path)
     service = GatewayService(path, contents, reactor, operators_path)
@@ -71,7 +71,7 @@
 def attach_membership(
     service: GatewayService, settings: dict[str, Any], file: MembershipFile | None
 ) -> MembershipServices | None:
-    """Attach membership, with quota sharing and the outlier detector where these are enabled.
+    """Attach membership, with quota sharing and the outlier detector if these are enabled.
 
     Returns None, and attaches nothing, unless the operators enabled membership and the deployment's settings
     permit messages between gateways. `settings` are those of the platform file.
@@ -134,7 +134,7 @@
 ) -> int:
     """Run a gateway until a signal ends it, and return the process's exit status.
 
-    The arguments are those of `build_gateway`.
+    The status is 1 if the gateway cannot start, else 0. The arguments are those of `build_gateway`.
     """
     # Signals that arrive during the start are recorded and handled after it. With the default actions they
     # would end the process, which drops connections that the kernel has already completed, and a new platform
--- a/granitedock/lab/cluster/gateway_process.py
+++ b/granitedock/lab/cluster/gateway_process.py
@@ -86,7 +86,7 @@
     def end(self, number: int, within_s: float = STOP_TIMEOUT_S) -> int | None:
         """Send the signal, wait until the process has ended and return its exit code.
 
-        A process that does not end within `within_s` is killed.
+        A process that does not end within `within_s` is killed. Returns None if no process was ever started.
         """
         if self.process is None:
             return None
@@ -102,7 +102,7 @@
     def events(self) -> list[dict[str, Any]]:
         """Return the events of the logs of all starts, each with the number of its `start`.
 
-        A line that is still being written is left out.
+        A line that is not JSON is left out, such as one that is still being written.
         """
         events = []
         for start in range(1, self.starts + 1):
--- a/granitedock/lab/scale/endpoint_list_emulator.py
+++ b/granitedock/lab/scale/endpoint_list_emulator.py
@@ -68,7 +68,7 @@
             watch.write(line)
 
     def update_hosts(self, count: int) -> None:
-        """Start draining `count` hosts, or end it where they drain, and send this update to each watch."""
+        """Start draining `count` hosts, or put draining ones back in service, and update each watch."""
         self.generation += 1
         numbers = [(self.generation * UPDATE_STRIDE + n) % self.hosts for n in range(count)]
         self.draining.symmetric_difference_update(numbers)
--- a/granitedock/lab/scale/events.py
+++ b/granitedock/lab/scale/events.py
@@ -92,12 +92,12 @@
     """Describe a day's restarts of hosts, and a release on all hosts."""
     size = costs.size
     updates = UPDATES_PER_RESTART * size.restarts_a_day * size.gateways
-    updates_a_second = UPDATES_PER_RESTART * size.hosts / RELEASE_S
+    updates_per_second = UPDATES_PER_RESTART * size.hosts / RELEASE_S
     return DayEvent(
         name=f"{size.restarts_a_day:g} restarts a day; a whole release",
         messages=f"three lists each, to {size.gateways} gateways: "
         f"{format_megabytes(updates, costs.update_bytes)} a day",
-        peak=f"a release in an hour: {format_value(updates_a_second)} lists/s at each gateway",
+        peak=f"a release in an hour: {format_value(updates_per_second)} lists/s at each gateway",
         recovery="each host by its drain and the settings' warm-up",
         unmeasured="drains of real hosts",
     )
--- a/granitedock/lab/scenario.py
+++ b/granitedock/lab/scenario.py
@@ -41,7 +41,7 @@
 class Service(StrictModel):
     """The distribution of a host's service time for one request, in ms.
 
-    `fixed` is constant, `exponential` has the given mean, and `lognormal` has a heavy tail, where `sigma` is
+    `fixed` is constant, `exponential` has the given mean, and `lognormal` has a heavy tail; `sigma` is
     the standard deviation of the logarithm.
     """
 
--- a/granitedock/lab/simulators/quota_simulation.py
+++ b/granitedock/lab/simulators/quota_simulation.py
@@ -1,6 +1,6 @@
 """Rate limiting and load balancing of many gateways against a simulated counter and simulated hosts.
 
-Each gateway runs the real policy, with membership, quota sharing and outlier detection where they are
+Each gateway runs the real policy, with membership, quota sharing and outlier detection if they are
 enabled. The hosts, the counter with its latency, and the clients, which send each customer's requests to the
 gateways of its subset, are simulated. This makes it possible to measure the usage that is admitted beyond a
 quota for hundreds of gateways and thousands of customers, under any partition between gateways and from the
@@ -68,7 +68,7 @@
         self.host_faults: dict[str, Outcome] = {}
         self.unreachable: set[tuple[int, str]] = set()
         self.attempts: Counter[str] = Counter()  # by host
-        self.failed_attempts: Counter[str] = Counter()  # by host, of hosts with a fault only
+        self.failed_attempts: Counter[str] = Counter()  # by host, counted only at hosts with a fault
         self.scenario = parse(MINIMAL_SCENARIO)
         self.loads = {load.customer: load for load in loads}
         self.gateways: dict[int, SimulatedGateway] = {}
@@ -108,7 +108,7 @@
         self.counter.disconnected_since.clear()
 
     def offer_next(self, load: OfferedLoad) -> None:
-        """Send a request of this customer to a serving gateway of its subset, and schedule the next."""
+        """Send a request of the load to a random serving gateway of its subset, and schedule the next."""
         self.schedule(self.arrivals.expovariate(load.rate) * 1000.0, self.offer_next, load)
         count = len(self.nodes)
         subset = [(load.subset_start + offset) % count for offset in range(load.subset_size)]
--- a/granitedock/model_checking/trace.py
+++ b/granitedock/model_checking/trace.py
@@ -79,7 +79,7 @@
 
 def read_gateway_shape(fields: dict[str, Any]) -> GatewayWorldShape:
     """Return the shape of a world of gateways from its fields in a file. Raises KeyError or TypeError."""
-    # The names of fields by their names in the file, where these differ.
+    # The names of fields by their names in the file, if these differ.
     field_names = {"tasks": "requests", "warm": "warm_up_requests"}
     renamed = {field_names.get(name, name): value for name, value in fields.items()}
     return GatewayWorldShape(**(renamed | {"requests": tuple(fields["tasks"])}))
--- a/granitedock/policy/circuit_breaker.py
+++ b/granitedock/policy/circuit_breaker.py
@@ -25,7 +25,7 @@
 MIN_COUNTED_SHARE = 0.1
 MAX_CREDIT_CALLS = 2.0  # Calls that may be made at once after requests that made none.
 CALL_BUDGET_MS = 20.0  # The design's budget of a call to the counter.
-CALL_BUDGET_MEAN_MULTIPLE = 3.0  # Budget as a multiple of the mean call time, where that is longer.
+CALL_BUDGET_MEAN_MULTIPLE = 3.0  # Budget as a multiple of the mean call time, if that is longer.
 CALL_TIMES_SPAN_MS = 10000.0
 
 
@@ -81,7 +81,7 @@
     def has_spare_capacity(self) -> bool:
         """Return whether the counter has room for calls that can wait.
 
-        The counter has room where all requests are counted and the counted share was not reduced for
+        The counter has room if all requests are counted and the counted share was not reduced for
         `failure_free_ms`.
         """
         return self.counted_share >= 1.0 and self.now - self.failed_at > self.failure_free_ms
--- a/granitedock/policy/gateway.py
+++ b/granitedock/policy/gateway.py
@@ -73,7 +73,7 @@
         self.reject_or_fail(request)
 
     def counter_call_finished(self, call: CounterCall, outcome: Outcome, total: float) -> None:
-        """Apply the end of a counter call; `total` is valid only where the outcome is DONE."""
+        """Apply the end of a counter call; `total` is valid only if the outcome is DONE."""
         event = self.rate_limiter.counter_call_finished(call, outcome, total)
         if event is not None and call.request is not None:
             advance(REQUEST, call.request, event, self)
@@ -83,7 +83,7 @@
     ) -> None:
         """Apply the end of an attempt.
 
-        `final` means that the answer of the attempt is the answer of the request. `units`, where above 0, is
+        `final` means that the answer of the attempt is the answer of the request. `units`, if above 0, is
         the actual cost of the request; if the outcome is DONE, the counted usage is adjusted to it.
         """
         request = attempt.request
@@ -117,7 +117,7 @@
     # Effects named in the `REQUEST` table.
 
     def check_quota(self, request: Request) -> RequestEvent | None:
-        """Check the quota, and call the counter where the check needs its total."""
+        """Check the quota, and call the counter if the check needs its total."""
         return self.rate_limiter.check_quota(request)
 
     def apply_local_fallback(self, request: Request) -> RequestEvent:
@@ -129,7 +129,7 @@
         self.rate_limiter.refund(request)
 
     def send_over_quota(self, request: Request) -> RequestEvent:
-        """Refund a request over quota, and send it only where its plan gains more by that than it costs."""
+        """Refund a request over quota, and send it only if its plan gains more by that than it costs."""
         self.rate_limiter.refund(request)
         if request.plan.over_quota_weight > request.plan.over_quota_cost:
             return self.send(request)
@@ -160,7 +160,7 @@
     def cancel_if_silent(self, request: Request) -> None:
         """Cancel the latest attempt if its host has answered nothing since the attempt was sent.
 
-        The attempt continues where no retry could follow it. Prevents requests from waiting for hosts that
+        The attempt continues if no retry could follow it. Prevents requests from waiting for hosts that
         hang, vanish or lose answers. A host that has answered since then is only slow: its attempt continues,
         and the check is scheduled again.
         """
@@ -174,7 +174,7 @@
     def reject_or_fail(self, request: Request) -> None:
         """Give the single final answer at once.
 
-        The answer is a rejection where a repeat by the client does no harm, and an error otherwise. The units
+        The answer is a rejection if a repeat by the client does no harm, and an error otherwise. The units
         of a request that was never sent are refunded.
         """
         if not request.attempts:
@@ -212,10 +212,11 @@
         return attempt
 
     def attempt_deadline(self, request: Request) -> float | None:
-        """Return when the attempt ends, if that is before the deadline of the request.
+        """Return when the latency objective ends the attempt, in Unix ms, or None if it does not.
 
-        Prevents hosts from working on answers that are already too late. None for an idempotent request, as
-        its client would only send it again, and for a request class in which a late answer has value.
+        The deadline of the request applies as well, if it is earlier. Prevents hosts from working on answers
+        that are already too late. None for an idempotent request, as its client would only send it again, and
+        for a request class in which a late answer has value.
         """
         request_class = request.request_class
         if request_class.idempotency is Idempotency.IDEMPOTENT or request_class.late_priority_weight:
--- a/granitedock/policy/load_balancer.py
+++ b/granitedock/policy/load_balancer.py
@@ -111,8 +111,8 @@
     def choose_host(self, request: Request, hosts: list[Host], max_queue_ms: float) -> Host | None:
         """Choose a host by power of two choices: of two drawn at random, the one expected to answer sooner.
 
-        Draws further hosts where that one exceeds `max_queue_ms` or where drawn ones are not eligible, since
-        another may have capacity. Where the slow-start credit suffices, a warming host is drawn first; other
+        Draws further hosts if that one exceeds `max_queue_ms` or if drawn ones are not eligible, since
+        another may have capacity. If the slow-start credit suffices, a warming host is drawn first; other
         warming hosts, and hosts already tried if there are enough others, are skipped.
         Without an eligible host the result is the ineligible one drawn last, or None if there is none either.
         """
@@ -161,7 +161,7 @@
         """Return the expected answer time (ms) of a mean request above which a host counts as overloaded.
 
         Prevents queues in which every answer is late. The limit is `share` of the latency objective divided
-        by the relative work, for the request class where that is shortest, times the request's relative
+        by the relative work, for the request class for which that is shortest, times the request's relative
         value.
         """
         shortest_ms = min(
@@ -189,10 +189,10 @@
     def should_probe_overdue_host(self, lateness: float) -> bool:
         """Return whether to send to a host without attempts of this gateway that is expected to answer late.
 
-        `lateness` is the expected answer time as a multiple of its limit, infinite where no time is left;
+        `lateness` is the expected answer time as a multiple of its limit, infinite if no time is left;
         the request is then not sent. With too few attempts per host the chance to send it is
         1 / lateness**2, otherwise it is always sent. Prevents overload that this gateway cannot see because
-        it has too few attempts; the cost is requests rejected without need where the estimate is wrong.
+        it has too few attempts; the cost is requests rejected without need if the estimate is wrong.
         """
         estimates = self.estimates
         attempts = self.retry_budget.attempts_per_ms(self.now) * estimates.initial_answer_ms
--- a/granitedock/policy/load_estimates.py
+++ b/granitedock/policy/load_estimates.py
@@ -79,7 +79,7 @@
             service_time.add(now, request_class.latency_objective_ms, 1.0)
 
     def record_answer(self, attempt: Attempt, took_ms: float, work: float, now: float) -> None:
-        """Record an answer time, or a lower bound of it where no answer came.
+        """Record an answer time, or a lower bound of it if no answer came.
 
         `work` is the request's estimated work before this answer, in mean requests.
         """
--- a/granitedock/policy/ports.py
+++ b/granitedock/policy/ports.py
@@ -84,12 +84,16 @@
     def send_attempt(self, attempt: Attempt, attempt_deadline: float | None) -> None:
         """Send the request to the host of the attempt.
 
-        If `attempt_deadline` is given, the attempt ends then, before the deadline of the request.
+        The attempt ends at `attempt_deadline` (Unix ms), if given, or at the deadline of the request,
+        whichever is earlier.
         """
         ...
 
     def reject(self, request: Request, retry_after_ms: float | None) -> None:
-        """Answer with a rejection: the client may repeat the request, after `retry_after_ms` if given."""
+        """Answer with a rejection: the client may repeat the request, after `retry_after_ms` if given.
+
+        The request may have run if its repeat does no harm.
+        """
         ...
 
     def fail(self, request: Request) -> None:
--- a/granitedock/policy/quota_account.py
+++ b/granitedock/policy/quota_account.py
@@ -25,7 +25,7 @@
     """Holds one customer's quota state at this gateway, in units and ms.
 
     The `subset_size` gateways from number `subset_start` serve the customer. `process_started_at` is when
-    this process started; a ceiling fills from `now` where that is later, as by default.
+    this process started; a ceiling fills from then, or from `now` if the start is later, as it is by default.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self.current = 0.0  # Last total of this window's name.
         self.previous = 0.0  # Last total of the previous window's name.
         self.quota = SharedQuota(plan, subset_start, self.subset_size, self.window_ms)
-        # The next fields, up to `uncounted_before`, are used where gateways share uncounted units. They are
+        # The next fields, up to `uncounted_before`, are used if gateways share uncounted units. They are
         # of the current window, unless noted otherwise.
         self.unreported = 0.0  # Units of this gateway that the next increment includes.
         self.added_by_this_gateway = 0.0
@@ -83,7 +83,7 @@
         """Start the window of `now` if it is not the current one.
 
         The previous count is the last total of the previous window's name, less the pending refund, or 0
-        where windows were skipped.
+        if windows were skipped.
         """
         window = int(now // self.window_ms)
         if window != self.window:
@@ -109,7 +109,7 @@
 
         Other gateways admitted `uncounted` of them in the call's window and `uncounted_before` in the window
         before; the latter only raise the burst usage. Prevents excess admissions after a counter restarts
-        empty or with old totals: where a total falls by more than the others would refund meanwhile, or below
+        empty or with old totals: if a total falls by more than the others would refund meanwhile, or below
         what this gateway alone added, the lost units stay counted until the window ends.
         """
         if call.window == self.window:
@@ -139,7 +139,7 @@
         """Apply a total to the count and the burst usage.
 
         Units that others added since the last total are treated as spread over that time. A total of the
-        window before only replaces the previous count. `shared` is set where gateways exchange uncounted
+        window before only replaces the previous count. `shared` is set if gateways exchange uncounted
         units.
         """
         if call.window == self.window:
--- a/granitedock/policy/rate_limiter.py
+++ b/granitedock/policy/rate_limiter.py
@@ -45,7 +45,7 @@
         self.late_retries = LateRetryDetector()
         self.membership: MembershipPort | None = None  # View of the other gateways.
         self.quota_sharing: QuotaSharingPort | None = None  # Exchanges uncounted units between gateways.
-        self.open_account = QuotaAccount  # Replaced by another function where plans change in service.
+        self.open_account = QuotaAccount  # Replaced by another function if plans can change at run time.
         self.accounts: dict[Customer, None] = {}  # Ordered by last use or inspection, the oldest first.
 
     # Accounts.
@@ -80,7 +80,7 @@
     def check_quota(self, request: Request) -> RequestEvent | None:
         """Decide on the request's quota, or call the counter.
 
-        Returns None where the counter is called; the end of the call then decides.
+        Returns None if the counter is called; the end of the call then decides.
         """
         account: QuotaAccount = request.customer.account
         plan = request.plan
@@ -128,9 +128,9 @@
     def local_fallback(self, request: Request) -> RequestEvent:
         """Decide by this gateway's even share of the quota.
 
-        The active members divide the quota, or the whole subset where there is no membership view. Prevents
-        the shares of stopped gateways from going unused; the cost is what a restarted gateway admits before
-        the others detect its return.
+        The quota is divided among the active members, or among the whole subset if there is no membership
+        view. Prevents the shares of stopped gateways from going unused; the cost is what a restarted gateway
+        admits before the others detect its return.
         """
         account: QuotaAccount = request.customer.account
         active_members = account.subset_size
@@ -163,7 +163,7 @@
     def counter_call_finished(self, call: CounterCall, outcome: Outcome, total: float) -> RequestEvent | None:
         """Apply the outcome of a call, and its total if it has one.
 
-        Returns the event that decides the request, or None where no request waits for the call.
+        Returns the event that decides the request, or None if no request waits for the call.
         """
         account: QuotaAccount | None = call.customer.account
         request = call.request
@@ -213,7 +213,7 @@
     def counter_call_timed_out(self, call: CounterCall) -> bool:
         """Record that the budget of a call has elapsed.
 
-        Returns False where the call ended before or had timed out already.
+        Returns False if the call had already ended or timed out.
         """
         if call.answered or call.timed_out:
             return False
@@ -227,7 +227,7 @@
     def refund(self, request: Request) -> None:
         """Refund the units of a request that is over quota or is not sent, once only.
 
-        Where the call has not ended yet and the request is never sent, they are refunded when the call ends.
+        If the call has not ended yet and the request is never sent, they are refunded when the call ends.
         """
         call = request.counter_call
         request.counter_call = None
@@ -249,7 +249,7 @@
             account.refund_due = 0.0
             self.send_increment(call.customer, amount)
 
-    # Uncounted units, where gateways exchange them.
+    # Uncounted units, if gateways exchange them.
 
     def total_with_uncounted(
         self, call: CounterCall, account: QuotaAccount, total: float, sharing: QuotaSharingPort
--- a/granitedock/service/counter_connection.py
+++ b/granitedock/service/counter_connection.py
@@ -81,6 +81,6 @@
     state: CounterConnectionState = CounterConnectionState.CONNECTING
     link: CounterLinkPort | None = None
     waiting: deque[CounterCall | None] = field(default_factory=deque)
-    last_reply_at: float = 0.0  # Or the time at which the connection was established, if later.
+    last_reply_at: float = 0.0  # Time of the last reply, or of the connect until then.
     waiting_since: float = 0.0  # When the first call after the connection was last drained was made.
     retired_at: float = 0.0
--- a/granitedock/service/dispatcher.py
+++ b/granitedock/service/dispatcher.py
@@ -65,11 +65,15 @@
         self.policy_timers = timers
 
     def send_attempt(self, attempt: Attempt, attempt_deadline: float | None) -> None:
-        """Send a request to a host; `attempt_deadline` (Unix ms or None) may end the attempt earlier."""
+        """Send a request to a host.
+
+        The attempt ends at `attempt_deadline` (Unix ms), if given, or at the deadline of the request,
+        whichever is earlier.
+        """
         self.hosts.send_attempt(attempt, attempt_deadline)
 
     def reject(self, request: Request, retry_after_ms: float | None) -> None:
-        """Reply that the request did not run and may be repeated, after `retry_after_ms` if given."""
+        """Reply with a rejection: the client may repeat the request, after `retry_after_ms` if given."""
         self.requests.reject(request, retry_after_ms)  # type: ignore[arg-type]  # It is an InFlightRequest.
 
     def fail(self, request: Request) -> None:
--- a/granitedock/service/host_connections.py
+++ b/granitedock/service/host_connections.py
@@ -358,7 +358,7 @@
         """Close all idle connections to a host, as after an attempt there that got no response.
 
         Prevents the use of half-open connections, as after the loss of a machine: the next attempt to that
-        host connects anew and, where the connect fails, provably never ran. The cost is some handshakes with
+        host connects anew and, if the connect fails, provably never ran. The cost is some handshakes with
         a host that is only slow.
         """
         for connection in self.pool.take_all(endpoint):
--- a/granitedock/service/in_flight_requests.py
+++ b/granitedock/service/in_flight_requests.py
@@ -216,7 +216,10 @@
         self.fail(request)
 
     def reject(self, request: InFlightRequest, retry_after_ms: float | None) -> None:
-        """Reply that the request did not run and may be repeated, after `retry_after_ms` if given."""
+        """Reply with a rejection: the client may repeat the request, after `retry_after_ms` if given.
+
+        The request may have run if its repeat does no harm (`retry_rules.may_invite_repeat`).
+        """
         self.context.counts[counter_names.DEFERRED] += 1
         answer = b"-BUSY %d\r\n" % max(1, round(retry_after_ms)) if retry_after_ms else b"-BUSY\r\n"
         self._finish(request, answer)
