--- a/granitedock/configuration/follower.py
+++ b/granitedock/configuration/follower.py
@@ -170,7 +170,7 @@
             self.advance(connection, ConnectionEvent.RETURN_DUE)
 
     def silence_timeout(self, state: ConnectionState) -> float | None:
-        """Return the silence timeout in this state, in ms, or None where no line is expected."""
+        """Return the silence timeout of this state, in ms, or None if no line is expected in it."""
         if state is ConnectionState.AWAITING_FIRST_LINE:
             return self.timing.first_line_timeout_ms
         if state is ConnectionState.FOLLOWING:
--- a/granitedock/configuration/follower_session.py
+++ b/granitedock/configuration/follower_session.py
@@ -39,11 +39,14 @@
     version: int
     digest: int
     connected_at: float
-    progressed_at: float  # Time of the last line for this follower.
+    # Time, in ms, at which the last line was handed to the connection; at first, the time of connecting.
+    progressed_at: float
     remaining_lines: Iterator[bytes] | None = None  # Unsent lines of the snapshot in progress.
     snapshot_version: int = 0  # Version of the last snapshot that was started.
     queued: bool = False  # Whether the session waits for a snapshot slot.
-    greeting: bytes = b""  # Line to write before all others; empty if there is none.
+    # Line with the version and digest of the control process, to be written before all others. Empty if the
+    # follower needs none or the line has been handed to the connection.
+    greeting: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
--- a/granitedock/configuration/plan_transition.py
+++ b/granitedock/configuration/plan_transition.py
@@ -67,7 +67,10 @@
 
 
 def carry_over_unseen(account: QuotaAccount, plan: Plan, at: float) -> QuotaAccount:
-    """Return an account under another plan, for a customer without an account here when the plan changed.
+    """Carry over the account of a customer whose account here is opened only after the plan changed.
+
+    `account` is opened under the former plan, and `at` is the time of the change, in Unix ms. If the window
+    length changes, at least the whole burst of the former plan counts as used at that time.
 
     Prevents a fresh burst under new counter names when this gateway cannot know the usage under the old ones.
     The cost is that a customer that is first seen here before the burst has refilled after such a change gets
--- a/granitedock/configuration/quota_windows.py
+++ b/granitedock/configuration/quota_windows.py
@@ -2,9 +2,9 @@
 
 Counter names derive from the window's number, so a plan whose window length changes is counted under new
 names, and while gateways have different versions, each part of the fleet counts under its own names. A plan
-therefore keeps its window length across a change of rate or burst as long as the length is one to four
-refills of the burst; a new plan gets two (`granitedock.policy`). All gateways then continue with the same
-totals, whichever version they have, and the more generous of both versions bounds the sum. Times are in ms.
+therefore keeps its window length across a change of rate or burst if the length is one to four refills of
+the burst; a new plan gets two (`granitedock.policy`). All gateways then continue with the same totals,
+whichever version they have, and the more generous of both versions bounds the sum. Times are in ms.
 """
 
 from __future__ import annotations
--- a/tests/service/test_race_conditions.py
+++ b/tests/service/test_race_conditions.py
@@ -50,7 +50,8 @@
     gateway.service.shut_down()
     gateway.pass_ms(gateway.limits.leave_ms + 20)
     assert client.read() == ERR and client.ended == "closed"
-    client.send(gateway.request())  # Crosses the gateway's close, and is neither accepted nor forwarded.
+    # This request crosses the gateway's close, and is neither accepted nor forwarded.
+    client.send(gateway.request())
     gateway.run_loop()
     assert gateway.state_machine.context.counts["taken"] == 1 and not gateway.exit_times_ms
     client.close()
